--- a/src/gateway.c
+++ b/src/gateway.c
@@ -14,22 +14,23 @@
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_GATEWAY_TIMEOUT = 504,
-  /* A host that has no configuration yet gets one within a few round trips. */
+  /* Retry-After of a host that has no configuration yet.  */
   NO_CONFIG_RETRY_MS = 300,
-  /* An answer is handed to the caller by then, ahead of its own deadline.  */
+  /* Safety margin by which the proxy answers before the caller's deadline.  */
   DEADLINE_MARGIN_MS = 20,
-  /* How long after a change the former timeouts count too: well within the
-     three seconds in which a change must be in force.  */
+  /* Period after a configuration change in which the previous timeouts still
+     apply.  Must be below the 3 s within which a change has to take
+     effect.  */
   CHANGE_MS = 2000,
-  /* A host that has just started knows nothing: its keepers tell it within
-     half a second, and upstreams, if the keepers have just started too, with
-     their next heartbeat.  Requests of its first seconds wait that long.  */
+  /* For YOUNG_MS after its start a host may not have its configuration or its
+     upstreams yet.  Requests received in that period wait up to YOUNG_WAIT_MS
+     for them.  */
   YOUNG_MS = 4000,
   YOUNG_WAIT_MS = 500,
-  /* A batch of an engine takes some 10 ms; one that passes nothing on to any
-     of this host's requests for this long has stopped.  */
+  /* An upstream that sends no data for any request of this host for this long
+     is considered stalled.  */
   UPSTREAM_SILENT_MS = 800,
-  /* How long a silent request is left alone before it is looked at again.  */
+  /* Interval between checks of an idle attempt that was kept.  */
   SILENT_AGAIN_MS = 200
 };
 
@@ -100,7 +101,7 @@
   return exchange->digest;
 }
 
-/* ---- Ends.  ---- */
+/* ---- Completion. ---- */
 
 static void
 destroy (marjoram_gateway *gateway, struct marjoram_exchange *exchange)
@@ -137,7 +138,7 @@
   free (gateway);
 }
 
-/* The bound that decided the end; "none" where there was none.  */
+/* Name of the limit that ended the request, for the log.  */
 static const char *
 limit_name (const struct marjoram_exchange *exchange,
             enum marjoram_reason reason)
@@ -149,7 +150,7 @@
   return "none";
 }
 
-/* Since events last went to the caller; -1 if none did.  */
+/* Time since the last event was sent to the caller; -1 if none was.  */
 static int64_t
 quiet_ms (const struct marjoram_exchange *exchange, int64_t now)
 {
@@ -238,8 +239,7 @@
   return exchange;
 }
 
-/* The upstream is told by the close of its connection, so that it stops work
-   that nobody waits for.  */
+/* Closing the connection tells the upstream to stop work on the request.  */
 void
 marjoram_gateway_gone (marjoram_gateway *gateway, int64_t now, uint64_t call)
 {
@@ -256,7 +256,7 @@
   destroy (gateway, exchange);
 }
 
-/* ---- Arrival.  ---- */
+/* ---- Admission. ---- */
 
 static void
 refuse_at_once (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -269,10 +269,9 @@
   marjoram_exchange_refuse (gateway, exchange, now, &why);
 }
 
-/* A configuration may shorten a timeout while operators still wait for its
-   acknowledgement, and hosts put it in force at slightly different times.  An
-   answer cut by the new timeout would be lost by the change itself, so for a
-   short while the longer of the two counts.  */
+/* Hosts apply a configuration at slightly different times.  For CHANGE_MS
+   after a change the longer of the old and the new timeout applies, so that a
+   change does not cut answers in progress.  */
 static int64_t
 timeout_of (const marjoram_gateway *gateway, const char *host,
             const struct marjoram_exchange *exchange,
@@ -300,7 +299,7 @@
     exchange->due_at = exchange->received_at + patience - DEADLINE_MARGIN_MS;
 }
 
-/* Whether a configuration that came since gives the request more time.  */
+/* Whether the current configuration extends the request's deadline.  */
 static bool
 has_more_time (const marjoram_gateway *gateway,
                struct marjoram_exchange *exchange, int64_t now)
@@ -325,8 +324,8 @@
          && now < exchange->received_at + YOUNG_WAIT_MS;
 }
 
-/* Finds the route and sends the request, or refuses it; or leaves it waiting,
-   where it may.  */
+/* Finds the route and sends or refuses the request, or leaves it waiting where
+   marjoram_exchange_may_wait allows that.  */
 static void
 admit (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
        int64_t now)
@@ -406,7 +405,7 @@
   admit (gateway, exchange, now);
 }
 
-/* ---- Time.  ---- */
+/* ---- Timeouts. ---- */
 
 static void
 time_out (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -421,23 +420,20 @@
   marjoram_exchange_refuse (gateway, exchange, now, &why);
 }
 
-/* The time up to which this host has heard what was sent to it.  Where its own
-   link is full, answers of live engines wait there for seconds.  Judged by the
-   clock, these are left one after the other, until there is no place to go on
-   and the callers' streams end without an end.  The lag has a bound, so that
-   upstreams that are dead are found all the same.  */
+/* Time up to which this host has processed its input.  Answers may be delayed
+   on this host's own link for seconds, so idle timeouts are measured against
+   this time instead of the clock.  The lag is bounded, so dead upstreams are
+   still detected.  */
 static int64_t
 heard_until (const marjoram_gateway *gateway, int64_t now)
 {
   return now - gateway->ops->lag_ms (gateway->context);
 }
 
-/* An engine under load may put a request off for seconds and go on with it,
-   while it answers others: one that answers anybody is not dead.  And one that
-   is dead is left only for a place that takes the request, as what is cut
-   without one is lost for sure.  Streams were cut so, in the middle, at hosts
-   that stopped in good order.  Where a request came from another host, that
-   one decides.  */
+/* An upstream that sends data for any request is alive, even if it delays this
+   one.  A stalled upstream is abandoned only if another place accepts the
+   request, since a stream that is cut without one is lost.  For a forwarded
+   request the forwarding host decides.  */
 static bool
 is_worth_leaving (marjoram_gateway *gateway,
                   const struct marjoram_exchange *exchange, int64_t now)
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -1,9 +1,11 @@
-/* An entry host's course of requests: from a caller, or from a host of another
-   region, to an upstream of this region or to a host of another one, and back.
-   Pure decisions: events and the time go in, operations come out.
+/* Request handling of an entry host: routes each request from a caller, or
+   from a host of another region, to an upstream of this region or to a host of
+   another region, and relays the answer.  A pure state machine: events and the
+   time are passed in, operations are called back.
 
-   A request is sent again only if it surely has not run, or may run twice.  It
-   crosses to another region at most once: the host there serves or refuses. */
+   A request is retried only if it certainly did not run or its route allows
+   repeats.  It is forwarded to another region at most once; the host there
+   serves or refuses it.  */
 #ifndef MARJORAM_GATEWAY_H
 #define MARJORAM_GATEWAY_H
 
@@ -18,13 +20,13 @@
 
 typedef struct marjoram_gateway marjoram_gateway;
 
-/* Why a request gets no upstream's answer.  */
+/* Error returned instead of an upstream's answer.  */
 struct marjoram_no_answer
 {
   enum marjoram_outcome outcome;
   enum marjoram_reason reason;
-  int status;       /* for a caller */
-  int64_t retry_ms; /* when to come again; 0: not told */
+  int status;       /* HTTP status for the caller */
+  int64_t retry_ms; /* Retry-After; 0: omitted */
 };
 
 struct marjoram_gateway_ops
@@ -40,14 +42,14 @@
                       const struct marjoram_no_answer *why);
   void (*send) (void *context, const struct marjoram_http_send *send);
   void (*cancel) (void *context, uint64_t attempt);
-  /* Whether a request could be forwarded to HOST now.  */
+  /* Whether HOST can be reached now.  */
   bool (*reaches) (void *context, const char *host);
-  /* False if HOST can't be reached now.  */
+  /* Returns false if HOST cannot be reached.  */
   bool (*forward) (void *context, const char *host,
                    const struct marjoram_forward *forward);
   void (*cancel_forward) (void *context, const char *host, uint64_t attempt);
-  /* How far behind this host's own hearing is (own_lag.h): upstreams may have
-     answered all that long ago.  */
+  /* Processing delay of this host (own_lag.h): answers that upstreams sent
+     within this time may not have been read yet.  */
   int64_t (*lag_ms) (void *context);
 };
 
@@ -67,20 +69,20 @@
 marjoram_placement *marjoram_gateway_placement (marjoram_gateway *gateway);
 marjoram_repeat_budget *marjoram_gateway_budget (marjoram_gateway *gateway);
 marjoram_crash_list *marjoram_gateway_crashes (marjoram_gateway *gateway);
-/* Puts TABLE in force, which stays the caller's until another one is, and as
-   the former one until the one after that.  */
+/* Activates TABLE.  The caller keeps ownership; TABLE must stay valid until
+   two later tables have been set.  */
 void marjoram_gateway_set_table (marjoram_gateway *gateway, int64_t now,
                                  const struct marjoram_route_table *table);
 
-/* What the host that forwarded a request says of it.  */
+/* Time limits sent along by the host that forwarded a request.  */
 struct marjoram_forwarded
 {
-  int64_t patience_ms; /* left of its caller's */
-  int64_t useful_ms;   /* left until a first event is late; 0: not known */
+  int64_t patience_ms; /* until the caller's deadline */
+  int64_t useful_ms;   /* until the first event is due; 0: unknown */
 };
 
-/* Takes REQUEST.  FORWARDED is null unless it comes from a host of another
-   region.  */
+/* Takes ownership of REQUEST.  FORWARDED is null for a caller's request and
+   set for one forwarded by another region.  */
 void marjoram_gateway_receive (marjoram_gateway *gateway, int64_t now,
                                uint64_t call,
                                struct marjoram_http_request *request,
@@ -88,7 +90,9 @@
 void marjoram_gateway_gone (marjoram_gateway *gateway, int64_t now,
                             uint64_t call);
 
-/* Events of attempts, sent or forwarded.  */
+/* Events of attempts, whether sent to an upstream or forwarded.
+   marjoram_gateway_head returns false if the answer does not belong to the
+   attempt.  */
 bool marjoram_gateway_head (marjoram_gateway *gateway, int64_t now,
                             uint64_t attempt, int status,
                             struct marjoram_header_list *headers);
@@ -96,15 +100,15 @@
                             uint64_t attempt, const void *data, size_t size);
 void marjoram_gateway_end (marjoram_gateway *gateway, int64_t now,
                            uint64_t attempt, enum marjoram_http_end how);
-/* The other host gave no answer.  */
+/* The other host returned an error instead of an answer.  */
 void marjoram_gateway_forward_refused (marjoram_gateway *gateway, int64_t now,
                                        uint64_t attempt,
                                        const struct marjoram_no_answer *why);
-/* The link to HOST broke: what was forwarded there may have run.  */
+/* The link to HOST was lost: requests forwarded there may have run.  */
 void marjoram_gateway_link_lost (marjoram_gateway *gateway, int64_t now,
                                  const char *host);
 
-/* Ends what is out of time; at least every 25 ms.  */
+/* Enforces deadlines and timeouts; to be called at least every 25 ms.  */
 void marjoram_gateway_tick (marjoram_gateway *gateway, int64_t now);
 size_t marjoram_gateway_open (const marjoram_gateway *gateway);
 
