--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -12,16 +12,15 @@
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_SERVER_ERROR = 500,
-  SUCCESS = 2, /* hundreds of a status */
+  SUCCESS = 2, /* status class 2xx */
   REFUSED_RETRY_MS = 250,
-  /* Least time left for which another attempt is worth its arrival.  */
+  /* Minimum time left for a retry.  */
   RETRY_TIME_MIN_MS = 30,
-  /* Sendings of one request beyond the upstreams that may run it: to those
-     that refuse because they are full or not the ones that were meant.  */
+  /* Attempts allowed beyond max_upstreams, for upstreams that refused without
+     running the request.  */
   EXTRA_ARRIVALS = 2,
-  /* A stream's upstream that sends no event for this long is taken for dead
-     where another may go on; above any pause of a busy engine, and below the
-     two seconds after which callers give up.  */
+  /* Idle timeout of resumable streams: above the pauses of a busy engine and
+     below the 2 s after which callers give up.  */
   STREAM_SILENT_MS = 1500
 };
 
@@ -41,7 +40,7 @@
   return exchange->status / 100 == SUCCESS;
 }
 
-/* ---- Another attempt.  ---- */
+/* ---- Retries. ---- */
 
 static const char *
 may_not_retry (marjoram_gateway *gateway,
@@ -50,7 +49,7 @@
 {
   if (!not_run && !exchange->repeatable)
     return "may-have-run";
-  /* Its first host alone decides that, so that attempts don't multiply.  */
+  /* Only the forwarding host retries, so that attempts do not multiply.  */
   if (!not_run && exchange->forwarded)
     return "first-host-decides";
   if (exchange->due_at - now < RETRY_TIME_MIN_MS)
@@ -138,7 +137,7 @@
   give_up (gateway, exchange, now, reason);
 }
 
-/* ---- An answer as it comes.  ---- */
+/* ---- Answer head and data. ---- */
 
 static void
 keep_headers (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -154,8 +153,8 @@
                                 headers->items[i].value);
 }
 
-/* An answer that names another request is a late one of that request, and one
-   of success that names none can't be proved to be this one's.  */
+/* Rejects late answers of other requests, and successes without a request id,
+   which cannot be attributed.  */
 static bool
 is_ours (const struct marjoram_exchange *exchange, int status,
          const struct marjoram_answer_facts *facts)
@@ -275,7 +274,7 @@
   flush_stream (gateway, exchange);
 }
 
-/* ---- Its end.  ---- */
+/* ---- End of the answer. ---- */
 
 static void
 deliver (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -316,8 +315,8 @@
                            MARJORAM_REASON_UPSTREAM_REFUSED, true);
 }
 
-/* A failure that the upstream itself reports: another one may do better, and
-   if none may be asked, the report goes to the caller as it is.  */
+/* Retries a failure reported by the upstream; if that is not allowed, the
+   upstream's answer is relayed.  */
 static void
 end_failed (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
             int64_t now)
@@ -356,8 +355,7 @@
            || (exchange->state == MARJORAM_EXCHANGE_STREAMS
                && !is_success (exchange)))
     end_failed (gateway, exchange, now);
-  /* Without the upstream's signature a success can't be told from a stray
-     answer.  */
+  /* A success without the upstream's signature may be a stray answer.  */
   else if (is_success (exchange) && !exchange->is_signed)
     end_broken (gateway, exchange, now);
   else if (exchange->stream && is_success (exchange))
@@ -383,7 +381,7 @@
   marjoram_exchange_send (gateway, exchange, now);
 }
 
-/* It may be this request that took the upstream down.  */
+/* Records that the upstream broke off while running this request.  */
 static void
 note_death (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
             int64_t now)
