--- a/src/gateway_cross.c
+++ b/src/gateway_cross.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  /* There and back between two regions, with a margin for the hosts.  */
+  /* Round trip between two regions, plus margin.  */
   CROSSING_MS = 130
 };
 
@@ -64,7 +64,8 @@
   return false;
 }
 
-/* What HOST offers for the exchange; null if it can't be forwarded there.  */
+/* HOST's offer for the exchange's service; null if it cannot be forwarded
+   there.  */
 static const struct marjoram_host_offer *
 offer_of (marjoram_gateway *gateway, const struct marjoram_exchange *exchange,
           const struct marjoram_route_rule *route,
@@ -78,7 +79,8 @@
   return marjoram_listed_host_offer (host, exchange->service);
 }
 
-/* The same request prefers the same host, and requests spread evenly.  */
+/* Rendezvous hashing: the same request prefers the same host, and requests
+   spread evenly.  */
 static uint64_t
 claim (const struct marjoram_exchange *exchange,
        const struct marjoram_listed_host *host)
@@ -86,8 +88,8 @@
   return marjoram_listed_host_claim (host, exchange->facts.id);
 }
 
-/* What makes one region better than another: its least loaded upstream is free
-   sooner, or its engines have less to read in the mean.  */
+/* Orders regions by the wait at their least loaded upstream or by the mean
+   backlog of their upstreams.  */
 enum region_order
 {
   BY_WAIT,
@@ -124,10 +126,9 @@
   return best;
 }
 
-/* The host to cross to: of the region that may run the request with the least
-   wait, any one.  All hosts of a region share its upstreams, so that what one
-   of them offers the others can do too; all that crosses would else queue at
-   the host of the best offer.  */
+/* Chooses the best region and then a host in it by rendezvous hashing.  All
+   hosts of a region share its upstreams, so requests are spread over them
+   instead of all queueing at the host with the best offer.  */
 static const struct marjoram_listed_host *
 choose_far (marjoram_gateway *gateway,
             const struct marjoram_exchange *exchange,
