--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -18,12 +18,11 @@
 {
   SIGNALS = 3, /* SIGTERM, SIGINT, SIGHUP */
   TICK_MS = 25,
-  /* How often the settings file is looked at; it may change without a
-     signal.  */
-  /* Keepers tell hosts of all others every twenty seconds.  */
+  /* Validity of host state relayed by keepers, which send it every 20 s.  */
   TOLD_VALID_MS = 27000,
+  /* Interval at which the settings file is checked for changes.  */
   SETTINGS_LOOK_MS = 1000,
-  /* Before the platform's own limit, for answers to leave the sockets.  */
+  /* Time left before the drain limit for socket buffers to be written.  */
   EXIT_MARGIN_MS = 400,
   STATUS_OK = 200
 };
@@ -59,7 +58,7 @@
   return marjoram_clock_now (daemon->clock);
 }
 
-/* ---- What the links tell, for the role.  ---- */
+/* ---- Link events, passed to the role. ---- */
 
 static void
 on_frame (void *context, const char *host, uint64_t session,
@@ -119,9 +118,9 @@
   .fill_beat = fill_beat,
 };
 
-/* ---- Calls.  ---- */
+/* ---- HTTP requests to the status interface. ---- */
 
-/* Malloc'd.  */
+/* The result is allocated with malloc.  */
 static char *
 status_text (marjoram_gateway_daemon *daemon)
 {
@@ -208,7 +207,7 @@
     reload (daemon, "changed");
 }
 
-/* ---- The course.  ---- */
+/* ---- Run and shutdown. ---- */
 
 static void
 check_stopped (marjoram_gateway_daemon *daemon, int64_t now)
@@ -258,8 +257,8 @@
   marjoram_host_links_beat (daemon->links, now);
 }
 
-/* Later starts have a higher number; two within a ms are told apart by their
-   hosts.  */
+/* Incarnations increase with each start of a host; different hosts may have
+   equal ones.  */
 static uint64_t
 new_incarnation (struct marjoram_clock *clock)
 {
@@ -366,7 +365,7 @@
       event_free (daemon->signals[i]);
   if (daemon->tick)
     event_free (daemon->tick);
-  /* What the links tell while they end is of no use to anybody.  */
+  /* Link events during destruction are ignored.  */
   role = daemon->role;
   daemon->role = NULL;
   marjoram_host_links_destroy (daemon->links);
