--- a/src/gateway_report.h
+++ b/src/gateway_report.h
@@ -1,5 +1,5 @@
-/* What a host in the role entry or keeper tells operators about itself, as
-   JSON.  Queries only; each function returns a new value.  */
+/* JSON status reports of hosts in the roles entry and keeper.  Read-only; each
+   function returns a new reference.  */
 #ifndef MARJORAM_GATEWAY_REPORT_H
 #define MARJORAM_GATEWAY_REPORT_H
 
@@ -10,14 +10,14 @@
 
 #include <jansson.h>
 
-/* The hosts that it has heard of, and when.  */
+/* Known hosts and the time since their last heartbeat.  */
 json_t *marjoram_gateway_report_hosts (marjoram_host_list *hosts, int64_t now);
-/* The upstreams that it has heard of, and whether they are used.  */
+/* Known upstreams and whether they are usable.  */
 json_t *marjoram_gateway_report_upstreams (marjoram_registry *registry,
                                            int64_t now);
 json_t *marjoram_gateway_report_zones (const struct marjoram_names *zones);
-/* Slots of the members, and why this one has no vote; null if KEEPER has no
-   state yet.  */
+/* Slots of the members, and the reason if this keeper may not vote; JSON null
+   if KEEPER has no state yet.  */
 json_t *marjoram_gateway_report_keeper (const marjoram_keeper *keeper);
 
 #endif
