--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -11,18 +11,19 @@
 
 enum
 {
-  /* For a request that crashes upstreams: the caller is not to come again.  */
+  /* For requests that crash upstreams: tells the caller not to retry.  */
   STATUS_BAD_REQUEST = 400,
   STATUS_NOT_FOUND = 404,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
-  /* An upstream that gives no sign for this long beyond its estimated wait is
-     taken for dead, where another may go on.  */
+  /* Idle timeout before the first event, in addition to SILENT_FACTOR times
+     the estimated wait.  */
   SILENT_MS = 900,
   SILENT_FACTOR = 3,
-  /* Least time left for which an upstream is given a request.  */
+  /* Minimum time left to the latency target; below it the deadline is
+     used.  */
   USEFUL_MIN_MS = 5,
-  UNREACHED_MAX = 4, /* attempts that reach nobody */
+  UNREACHED_MAX = 4, /* attempts without a connection */
   REFUSED_RETRY_MS = 250,
   URGENCY_MAX = 9
 };
@@ -71,7 +72,7 @@
     gateway->ops->cancel (gateway->context, attempt);
 }
 
-/* ---- The message.  ---- */
+/* ---- Request message. ---- */
 
 int64_t
 marjoram_exchange_patience (const struct marjoram_exchange *exchange,
@@ -80,7 +81,6 @@
   return exchange->due_at - now;
 }
 
-/* After which event the next upstream goes on; null: as the caller said.  */
 const char *
 marjoram_exchange_last_event (const struct marjoram_exchange *exchange)
 {
@@ -145,7 +145,7 @@
   return message;
 }
 
-/* ---- To an upstream of this region.  ---- */
+/* ---- Sending to an upstream of this region. ---- */
 
 static void
 remember_tried (struct marjoram_exchange *exchange, const char *upstream)
@@ -203,7 +203,7 @@
   marjoram_bytes_release (send.message);
 }
 
-/* ---- The choice.  ---- */
+/* ---- Placement. ---- */
 
 static void
 refuse (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -260,9 +260,9 @@
   snprintf (exchange->service, sizeof exchange->service, "%s", service);
 }
 
-/* The longest wait for which it is worth to leave the region: where no
-   upstream is left here, any that the caller bears; else only one that is
-   shorter than the wait here.  */
+/* Longest wait in another region that is preferred to this one: up to the
+   deadline if no upstream is left here, otherwise up to the shorter of the
+   wait here and the time left to the latency target.  */
 static int64_t
 most_wait_elsewhere (const marjoram_gateway *gateway,
                      const struct marjoram_exchange *exchange, int64_t now,
@@ -295,8 +295,8 @@
   query->copied_tokens = chosen->copied_tokens;
 }
 
-/* The last zone of a region is evacuated while no other region that may run a
-   request can be reached: for a short while its upstreams still take it.  */
+/* Allows upstreams of a zone that is being evacuated, for requests that no
+   other region can serve.  */
 static bool
 find_last_resort (marjoram_gateway *gateway,
                   struct marjoram_exchange *exchange, int64_t now,
@@ -348,8 +348,8 @@
     refuse_place (gateway, exchange, now, &chosen);
 }
 
-/* Whether it was refused, as it has taken down one upstream after the other,
-   and would the next one, with all that runs there.  */
+/* Refuses a request that crashed several upstreams.  Returns whether it was
+   refused.  */
 static bool
 refuse_crashing (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
                  int64_t now)
@@ -417,8 +417,8 @@
                                          query.useful_ms);
 }
 
-/* The route is looked up at each sending, so that a request that is sent again
-   goes by the configuration that is in force then.  */
+/* Looks up the route on each attempt, so that a retry follows the current
+   configuration.  */
 void
 marjoram_exchange_send (marjoram_gateway *gateway,
                         struct marjoram_exchange *exchange, int64_t now)
