--- a/src/gateway_settings.c
+++ b/src/gateway_settings.c
@@ -13,7 +13,7 @@
   HOUR_MS = 60 * MINUTE_MS,
   ALLOWANCE_MAX = 1000 * 1000,
   LOOKUP_VALID_MAX_S = 3600,
-  DISK_LOSSES_MAX = 5 /* eleven keepers agree on each change */
+  DISK_LOSSES_MAX = 5 /* requires eleven keepers */
 };
 
 #define PLACE(member) offsetof (struct marjoram_gateway_settings, member)
@@ -40,7 +40,7 @@
   { "lookup", MARJORAM_INI_ADDRESS, PLACE (lookup_address), "", 0, 0, NULL },
 };
 
-/* Defaults: a fifth of the requests and ten more in ten seconds.  */
+/* Default repeat budget: 20 % of the requests plus 10 in 10 s.  */
 static const struct marjoram_ini_key limit_keys[] = {
   { "repeat_ratio", MARJORAM_INI_REAL, PLACE (repeat_ratio), "0.2", 0, 1,
     NULL },
@@ -61,7 +61,7 @@
 static const struct section_kind
 {
   const char *name;
-  const struct marjoram_ini_key *keys; /* null: a list */
+  const struct marjoram_ini_key *keys; /* null: free-form keys */
   size_t key_count;
   bool required;
 } kinds[] = {
@@ -92,8 +92,8 @@
                            file->sections[i].kind);
 }
 
-/* keepers = IP:port, IP:port; only the IP numbers count, since the link port
-   is the same on all hosts.  */
+/* Reads "keepers = IP:port, IP:port".  The ports are ignored, since all hosts
+   use the same link port.  */
 static void
 read_seeds (struct marjoram_gateway_settings *settings,
             const struct marjoram_ini_file *file, marjoram_faults *faults)
@@ -107,8 +107,8 @@
   if (!entry)
     {
       marjoram_faults_add (faults, file->path, section ? section->line : 0,
-                           "no seeds; add a section [seeds] with keepers = "
-                           "IP:port, IP:port");
+                           "no seeds configured; add a section [seeds] with "
+                           "keepers = IP:port, IP:port");
       return;
     }
   names = marjoram_names_parse (entry->value);
@@ -122,7 +122,7 @@
         settings->seeds[settings->seed_count++] = marjoram_strdup (ip);
       else
         marjoram_faults_add (faults, file->path, entry->line,
-                             "\"%.80s\" is no address; write IP:port",
+                             "\"%.80s\" is not an address; write IP:port",
                              names.items[i]);
     }
   marjoram_names_clear (&names);
@@ -138,8 +138,8 @@
   if (!section)
     {
       marjoram_faults_add (faults, file->path, 0,
-                           "no zones; add a section [zones] with a line "
-                           "ZONE = REGION for each");
+                           "no zones configured; add a section [zones] with "
+                           "a line ZONE = REGION for each zone");
       return;
     }
   settings->zones
@@ -163,7 +163,8 @@
 
   if (!value)
     marjoram_faults_add (faults, file->path, section ? section->line : 0,
-                         "role %s needs an address for %s; add %s = IP:port",
+                         "role %s requires an address for %s; add "
+                         "%s = IP:port",
                          role, key, key);
 }
 
@@ -181,8 +182,8 @@
   require (file, faults, "keeper", "lookup", settings->lookup_address);
   if (!settings->data_folder)
     marjoram_faults_add (faults, file->path, 0,
-                         "a keeper needs a disk; add data_folder to "
-                         "[gateway]");
+                         "role keeper requires persistent storage; add "
+                         "data_folder to [gateway]");
 }
 
 static void
@@ -197,7 +198,8 @@
   if (settings->zone && settings->region
       && (!region || strcmp (region, settings->region) != 0))
     marjoram_faults_add (faults, file->path, 0,
-                         "[zones] does not say that %s is in %s; add it",
+                         "[zones] does not assign zone %s to region %s; "
+                         "add it",
                          settings->zone, settings->region);
 }
 
--- a/src/gateway_settings.h
+++ b/src/gateway_settings.h
@@ -1,4 +1,5 @@
-/* Settings of a daemon in the roles entry or keeper, from an INI file.  */
+/* Settings of the daemon in the roles entry and keeper, read from an INI
+   file.  */
 #ifndef MARJORAM_GATEWAY_SETTINGS_H
 #define MARJORAM_GATEWAY_SETTINGS_H
 
@@ -29,8 +30,8 @@
   char *zone;
   char *region;
   char *data_folder; /* null unless keeper */
-  bool first_start;  /* the whole system starts for the first time */
-  /* [listen], each IP:port, null where the role has none */
+  bool first_start;  /* bootstraps a new cluster */
+  /* [listen]: IP:port; null where not used by the role */
   char *entry_address;
   char *ready_address;
   char *control_address;
@@ -41,28 +42,29 @@
   double repeat_ratio;
   double repeat_allowance;
   int64_t repeat_window_ms;
-  int64_t drain_limit_ms; /* from the signal to the exit */
+  int64_t drain_limit_ms; /* from signal to exit */
   int64_t lookup_valid_s;
-  int64_t disk_losses; /* of keepers, that are survived at once */
-  /* [seeds]: IP numbers of keepers */
+  int64_t disk_losses; /* simultaneous losses of keeper disks to survive */
+  /* [seeds]: IP addresses of keepers */
   char **seeds;
   size_t seed_count;
-  /* [zones]: zone = region */
+  /* [zones] */
   struct marjoram_zone_setting *zones;
   size_t zone_count;
 };
 
-/* Null on failure, ERR names the first fault; FAULTS, unless null, becomes
-   malloc'd text with a line for each fault: file, line, fault, remedy.  */
+/* Returns null on failure with ERR set to the first error.  FAULTS, unless
+   null, receives malloc'd text with one line per error: file, line, error and
+   remedy.  */
 struct marjoram_gateway_settings *
 marjoram_gateway_settings_load (const char *path, char **faults,
                                 struct marjoram_error *err);
 void
 marjoram_gateway_settings_destroy (struct marjoram_gateway_settings *settings);
-/* Whether the file at PATH has a [gateway] section and so is for these
-   roles.  */
+/* Whether the file at PATH has a [gateway] section and thus configures one of
+   these roles.  */
 bool marjoram_gateway_settings_is (const char *path);
-/* Null if ZONE is not known.  */
+/* Returns null if ZONE is unknown.  */
 const char *marjoram_gateway_settings_region (
     const struct marjoram_gateway_settings *settings, const char *zone);
 
--- a/test/test_gateway_settings.c
+++ b/test/test_gateway_settings.c
@@ -1,5 +1,5 @@
-/* Settings of the roles entry and keeper: what is taken, and that each fault
-   is told with its line and what to do.  */
+/* Tests of the settings of the roles entry and keeper: accepted files, and
+   errors reported with a remedy.  */
 #include "suite.h"
 
 #include "gateway_settings.h"
@@ -76,14 +76,14 @@
     { HEAD ("entry") "[listen]\nlink = 10.0.0.1:70\nentry = 10.0.0.1:80\n"
                      "ready = 10.0.0.1:81\n[seeds]\nkeepers = nobody\n"
                      "[zones]\nza = ra\n",
-      "\"nobody\" is no address" },
+      "\"nobody\" is not an address" },
     { HEAD ("entry") "[listen]\nlink = 10.0.0.1:70\nentry = 10.0.0.1:80\n"
                      "ready = 10.0.0.1:81\n[zones]\nza = ra\n",
       "no seeds" },
     { HEAD ("entry") "[listen]\nlink = 10.0.0.1:70\nentry = 10.0.0.1:80\n"
                      "ready = 10.0.0.1:81\n[seeds]\nkeepers = 10.0.0.7:1\n"
                      "[zones]\nzb = rb\n",
-      "[zones] does not say that za is in ra" },
+      "[zones] does not assign zone za to region ra" },
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
