--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -2,18 +2,17 @@
 
 enum
 {
-  /* Most requests that wait at once, some MB of prompts: more could not be
-     served in time.  */
+  /* Maximum number of queued requests; limits their memory, and more could not
+     be served in time.  */
   WAITERS_MAX = 400,
-  /* Most waiting requests that are tried for a place at once: each is compared
-     with all upstreams, and those further back have more time.  */
+  /* Maximum number of queued requests for which placement is retried per tick,
+     since each is compared with all upstreams.  */
   TRIES_MAX = 16,
-  /* A stream that broke off goes before others for this long, as its caller
-     already reads; then it waits among them by the time that it has left, so
-     that streams without a place keep nobody else from one.  */
+  /* Period in which an interrupted stream precedes other requests.  After it,
+     the stream is ordered by its deadline, so that it cannot starve them.  */
   RESUME_FIRST_MS = 800,
-  /* Until an upstream's first event is with the caller, beside the reading of
-     the prompt: a batch, and the way back.  */
+  /* Allowance for one engine batch and the response path, in addition to the
+     time to process the prompt.  */
   ANSWER_MS = 60
 };
 
@@ -42,8 +41,9 @@
   return exchange->state == MARJORAM_EXCHANGE_STREAMS;
 }
 
-/* A stream that is cut is lost for sure, while one that pauses may go on: its
-   caller waits for events as long as for the whole.  */
+/* Latest time at which the request can be started.  An interrupted stream may
+   wait up to its deadline instead of the latency target, since cutting it
+   would lose it.  */
 static int64_t
 last_start (const struct marjoram_exchange *exchange,
             const struct marjoram_place *chosen)
@@ -79,7 +79,7 @@
          == 0;
 }
 
-/* Whether the exchange, which waits, may go on to do so.  */
+/* Whether a queued exchange may remain queued.  */
 static bool
 wait_on (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
          int64_t now, const struct marjoram_place *chosen)
@@ -95,13 +95,14 @@
       waiter->turn = later;
       marjoram_wait_queue_add (gateway->queue, waiter);
     }
-  /* All upstreams may be paused for a moment; none at all won't come back.  */
+  /* Paused upstreams return; a service without any does not recover in
+     time.  */
   return now < waiter->start_by && chosen->candidates > 0;
 }
 
-/* Whether a place may come at all, as far as CHOSEN tells.  Where all
-   upstreams are paused, nothing is known of their speed; a stream waits for
-   them all the same.  */
+/* Whether CHOSEN leaves a chance that a place becomes free.  If all upstreams
+   are paused their speed is unknown; only interrupted streams wait for
+   them.  */
 static bool
 may_come (const struct marjoram_exchange *exchange,
           const struct marjoram_place *chosen)
@@ -111,9 +112,8 @@
   return chosen->outcome != MARJORAM_PLACE_NONE && chosen->tokens_per_ms > 0;
 }
 
-/* Under bursts, a request that is refused the moment it comes is a lottery: an
-   engine has too many prompts ahead for some hundred ms, while the answer
-   would be of use a second later.  */
+/* Queues requests in bursts, in which an engine's backlog lasts only some
+   hundred ms, instead of refusing them.  */
 bool
 marjoram_exchange_wait (marjoram_gateway *gateway,
                         struct marjoram_exchange *exchange, int64_t now,
