--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -6,15 +6,14 @@
 
 enum
 {
-  /* How much less time a request must have left to go before one that is more
-     urgent by one rank: so much that the urgent ones of a burst go first, and
-     less than the objectives that waiting requests have.  */
+  /* Time by which a request of the next lower priority must be more pressing
+     to go first.  Longer than a burst, shorter than the latency targets.  */
   RANK_MS = 1000
 };
 
 struct marjoram_wait_queue
 {
-  TAILQ_HEAD (waiter_list, marjoram_waiter) waiters; /* by turn */
+  TAILQ_HEAD (waiter_list, marjoram_waiter) waiters; /* sorted by turn */
   int64_t count;
 };
 
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -1,4 +1,4 @@
-/* The order in which requests wait for a place.  */
+/* Tests of the queue of requests that wait for a place.  */
 #include "suite.h"
 
 #include "wait_queue.h"
@@ -47,8 +47,8 @@
 }
 END_TEST
 
-/* Urgent requests come without end; one of a lower rank that has waited goes
-   before the newest of them, or it would never be served.  */
+/* Guards against starvation of low-priority requests by a steady flow of
+   urgent ones.  */
 START_TEST (low_rank_does_not_starve)
 {
   struct marjoram_waiter low = waiter ("lm", 1, 1000, 1);
