--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -7,35 +7,35 @@
 
 enum
 {
-  /* The window is counted in steps; repeats are counted for one step more than
-     it has, so that no span of its length holds more.  */
+  /* The window is divided into buckets.  Repeats are summed over one bucket
+     more, so that no interval of the window's length exceeds the bound.  */
   STEPS = 10,
-  /* Keepers' sums are renewed with each beat; after three that were missed a
-     host goes by its own part alone.  */
+  /* Validity of a keeper's sums, three heartbeats.  After that a host uses
+     only its own share.  */
   SUMS_VALID_MS = 1000
 };
 
-/* Part of the bound that hosts may spend before they hear of each other's
-   repeats.  */
+/* Share of the total bound held back for repeats that are not in the sums
+   yet.  */
 #define RESERVE 0.15
-/* Part of its own bound, or of the bound of all hosts, above which a host asks
-   for the sums.  */
+/* Usage, as a share of the host's own bound or of the total bound, above which
+   a host requests the sums.  */
 #define ASK_SHARE 0.3
 
 struct account
 {
   char *service;
-  int64_t step; /* number of the newest step */
+  int64_t step; /* number of the newest bucket */
   uint32_t requests[STEPS + 1];
   uint32_t repeats[STEPS + 1];
-  /* Over all hosts that a keeper hears.  */
-  struct marjoram_repeat_use sums; /* without the text */
+  /* Last sums from a keeper.  */
+  struct marjoram_repeat_use sums; /* service is null */
   uint64_t sums_hosts;
-  int64_t sums_at; /* INT64_MIN / 2: never */
-  uint64_t taken;  /* by this host since the sums */
-  /* As of the last repeat that was asked for.  */
+  int64_t sums_at; /* INT64_MIN / 2: none yet */
+  uint64_t taken;  /* repeats of this host since then */
+  /* As of the last call of marjoram_repeat_budget_take.  */
   double own_bound;
-  double spent_share; /* of the bound of all hosts */
+  double spent_share; /* of the total bound */
   UT_hash_handle hh;
 };
 
@@ -64,7 +64,7 @@
     return;
   HASH_ITER (hh, budget->accounts, account, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, budget->accounts, account);
     free (account->service);
     free (account);
@@ -114,7 +114,7 @@
   account->requests[account->step % (STEPS + 1)]++;
 }
 
-/* The oldest step is only partly in the window.  */
+/* Excludes the oldest bucket, which is only partly in the window.  */
 static uint64_t
 count_requests (const struct account *account)
 {
@@ -135,8 +135,8 @@
   return count;
 }
 
-/* Which part of the bound all hosts have spent, by the last sums.  Hosts that
-   the keeper does not hear have the rest of the allowance.  */
+/* Share of the total bound spent by all hosts according to the last sums.  The
+   allowance is scaled by the share of hosts included in them.  */
 static double
 spent_share (const marjoram_repeat_budget *budget,
              const struct account *account, size_t hosts)
@@ -194,7 +194,7 @@
   return count;
 }
 
-/* Of several keepers' sums those over the most hosts hold.  */
+/* If several keepers answer, the sums over the most hosts are kept.  */
 void
 marjoram_repeat_budget_hear (marjoram_repeat_budget *budget, int64_t now,
                              const struct marjoram_repeat_sums *sums)
--- a/src/repeat_budget.h
+++ b/src/repeat_budget.h
@@ -1,12 +1,12 @@
-/* How many requests may be sent to a second upstream: a share of all requests
-   and a fixed allowance, over a sliding window, summed over all hosts.  Each
-   host spends only its own part, so that the sum holds without agreement, also
-   between hosts that are out of touch.
+/* Budget of repeats, that is of requests sent to a second upstream: a ratio of
+   all requests plus a fixed allowance, over a sliding window, summed over all
+   hosts.  Each host spends only its own share, so the bound holds without
+   coordination, also during a network partition.
 
-   Load that moves from some hosts to others leaves the former with shares of
-   requests that are older than the latter's, and both may be spent in one
-   window.  So a host that spends much asks keepers for the sums over all hosts
-   and stops where the bound as a whole is nearly reached.  */
+   If load moves between hosts, both the former hosts and the new ones may
+   spend their shares in one window.  A host with high usage therefore requests
+   the sums over all hosts from the keepers and stops when the total bound is
+   nearly reached.  */
 #ifndef MARJORAM_REPEAT_BUDGET_H
 #define MARJORAM_REPEAT_BUDGET_H
 
@@ -20,8 +20,8 @@
 
 struct marjoram_repeat_terms
 {
-  double ratio;     /* of the requests in the window */
-  double allowance; /* repeats in the window, of all hosts together */
+  double ratio;     /* of requests in the window */
+  double allowance; /* repeats per window, over all hosts */
   int64_t window_ms;
 };
 
@@ -30,20 +30,20 @@
 void marjoram_repeat_budget_destroy (marjoram_repeat_budget *budget);
 void marjoram_repeat_budget_set (marjoram_repeat_budget *budget,
                                  const struct marjoram_repeat_terms *terms);
-/* A caller's request for SERVICE came.  */
+/* Records a caller's request for SERVICE.  */
 void marjoram_repeat_budget_request (marjoram_repeat_budget *budget,
                                      int64_t now, const char *service);
-/* Whether one may be sent again to SERVICE, by one of HOSTS hosts; if so, it
-   is counted.  */
+/* Records a repeat and returns true if the budget of this host, one of HOSTS,
+   permits one for SERVICE.  */
 bool marjoram_repeat_budget_take (marjoram_repeat_budget *budget, int64_t now,
                                   const char *service, size_t hosts);
-/* What this host did, for its keepers, at most MAX services into ITEMS, which
-   borrow their texts; returns how many.  */
+/* Writes this host's usage, reported to keepers, of at most MAX services into
+   ITEMS, which borrow their texts.  Returns their number.  */
 size_t marjoram_repeat_budget_uses (marjoram_repeat_budget *budget,
                                     int64_t now,
                                     struct marjoram_repeat_use *items,
                                     size_t max);
-/* A keeper's answer.  */
+/* Applies the sums that a keeper answered.  */
 void marjoram_repeat_budget_hear (marjoram_repeat_budget *budget, int64_t now,
                                   const struct marjoram_repeat_sums *sums);
 
--- a/test/test_repeat_budget.c
+++ b/test/test_repeat_budget.c
@@ -1,4 +1,4 @@
-/* The budget of second sendings.  */
+/* Tests of the repeat budget.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -16,9 +16,8 @@
 
 static const struct marjoram_repeat_terms terms = { 0.2, 58, WINDOW_MS };
 
-/* An upstream fails every request, and nine hosts that can't talk to each
-   other send each one again.  Whatever span of the window's length is looked
-   at, the sum over all hosts must stay within the share and the allowance.  */
+/* Guards against exceeding the total bound in any window when hosts without
+   contact repeat every request.  */
 START_TEST (sum_of_all_hosts_stays_within_the_bound)
 {
   static int64_t at[HOSTS * 100000];
@@ -31,7 +30,7 @@
   for (int64_t now = 0; now < 60000; now += 10)
     for (int i = 0; i < HOSTS; i++)
       {
-        /* Eleven requests a second each.  */
+        /* Eleven requests per second and host.  */
         if ((now / 10 + i) % 9 != 0)
           continue;
         marjoram_repeat_budget_request (budgets[i], now, "lm");
@@ -58,7 +57,7 @@
 enum
 {
   MOVING_HOSTS = 80,
-  /* Requests a second of the half of the hosts that callers use.  */
+  /* Requests per second of the half of the hosts in use.  */
   MOVING_RATE = 1000,
   MOVES_AT_MS = 13000,
   FAILS_AT_MS = 8000,
@@ -67,7 +66,7 @@
   BEAT_MS = 300
 };
 
-/* Counts by STEP_MS of the day, summed over the hosts.  */
+/* Counts per STEP_MS, summed over the hosts.  */
 struct moving_day
 {
   marjoram_repeat_budget *budgets[MOVING_HOSTS];
@@ -132,8 +131,8 @@
   return sum;
 }
 
-/* Guards against hosts that lost their callers spending shares of old requests
-   beside hosts that gained them.  */
+/* Guards against exceeding the bound when load moves to other hosts, as both
+   groups may spend their shares in one window.  */
 START_TEST (load_that_moves_between_hosts_stays_within_the_bound)
 {
   struct moving_day *day = marjoram_alloc (sizeof *day);
@@ -159,8 +158,7 @@
 }
 END_TEST
 
-/* Guards against a host that is told of too few others, or of none, being held
-   back: then its own part counts.  */
+/* Guards against a host being limited by sums that have expired.  */
 START_TEST (sums_that_are_old_do_not_bind)
 {
   marjoram_repeat_budget *budget = marjoram_repeat_budget_create (&terms);
