--- a/src/repeat_sums.c
+++ b/src/repeat_sums.c
@@ -8,8 +8,7 @@
 
 enum
 {
-  /* The repeats of a host that has gone silent were in the budget's window
-     for at most so long.  */
+  /* Window of the repeat budget, after which a report has no effect.  */
   FORGET_MS = 10000
 };
 
@@ -35,7 +34,7 @@
   int64_t heard_at;
   struct host_use *uses;
   size_t count;
-  size_t room; /* uses that fit */
+  size_t room; /* allocated uses */
   UT_hash_handle hh;
 };
 
@@ -43,7 +42,7 @@
 {
   struct sum *sums;
   struct reporter *by_host;
-  TAILQ_HEAD (, reporter) by_age; /* the one heard longest ago first */
+  TAILQ_HEAD (, reporter) by_age; /* least recently updated first */
 };
 
 marjoram_repeat_sums_list *
@@ -72,7 +71,7 @@
 forget (marjoram_repeat_sums_list *list, struct reporter *reporter)
 {
   take_off (reporter);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, list->by_host, reporter);
   TAILQ_REMOVE (&list->by_age, reporter, link);
   free (reporter->uses);
@@ -89,11 +88,11 @@
   if (!list)
     return;
   while (!TAILQ_EMPTY (&list->by_age))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
     forget (list, TAILQ_FIRST (&list->by_age));
   HASH_ITER (hh, list->sums, sum, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, list->sums, sum);
     free (sum->service);
     free (sum);
@@ -161,7 +160,7 @@
   struct reporter *oldest;
 
   while ((oldest = TAILQ_FIRST (&list->by_age))
-         /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+         /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
          && now - oldest->heard_at > FORGET_MS)
     forget (list, oldest);
 }
