--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -12,17 +12,16 @@
 
 enum
 {
-  /* Deaths that convict.  An innocent request that is at two, by its own
-     retry, is common where a whole region loses power.  */
+  /* Crashes after which a request is refused.  Above two, since a power loss
+     of a region can hit a harmless request and its retry.  */
   CONVICTING = 3,
-  /* A request that crashes upstreams comes again within seconds, by its
-     caller's retries, or minutes, by hand.  */
+  /* Covers retries by the caller within seconds and by hand within
+     minutes.  */
   KEEP_MS = 10 * 60 * 1000,
-  /* More requests are not kept, the oldest go first: what runs at a hundred
-     upstreams of 24 slots that die together.  */
+  /* Maximum number of entries; the oldest are evicted.  Covers 100 upstreams
+     of 24 slots that crash together, with a margin.  */
   ENTRIES_MAX = 4096,
-  /* Requests that were answered lately are remembered in so many places, each
-     the last one of those that fall there.  */
+  /* Slots of the direct-mapped cache of recently answered requests.  */
   ANSWERED = 1024
 };
 
@@ -33,10 +32,10 @@
   size_t count;
   int64_t expires;
   UT_hash_handle hh;
-  TAILQ_ENTRY (entry) link; /* oldest news first */
+  TAILQ_ENTRY (entry) link; /* least recently updated first */
 };
 
-/* One line of the next report.  */
+/* One item of the next report.  */
 struct line
 {
   char digest[MARJORAM_DIGEST_TEXT + 1];
@@ -118,7 +117,7 @@
   return entry;
 }
 
-/* Two hosts, or two sendings, may tell of one death: it counts once.  */
+/* Counts a crash once, although several hosts or attempts may report it.  */
 static bool
 add_death (marjoram_crash_list *list, int64_t now, const char *digest,
            const char *life)
@@ -141,7 +140,7 @@
 
 /* ---- Answered requests.  ---- */
 
-/* The digest's first half, as a number.  */
+/* First half of the digest as an integer.  */
 static uint64_t
 number_of (const char *digest)
 {
@@ -159,7 +158,7 @@
   return list->answered[number % ANSWERED] == number;
 }
 
-/* ---- What is seen here.  ---- */
+/* ---- Local events. ---- */
 
 static void
 report (marjoram_crash_list *list, const char *digest, const char *life)
@@ -181,9 +180,9 @@
 {
   char life[MARJORAM_LIFE_MAX];
 
-  /* Callers may send the same words again and again; what was answered once
-     doesn't crash upstreams.  Else the loss of a region's power, at which many
-     of them run at several upstreams, would convict them all.  */
+  /* Identical requests often run at several upstreams at once.  A recently
+     answered one is not recorded, or a power loss of a region would block
+     it.  */
   if (was_answered (list, digest))
     return;
   snprintf (life, sizeof life, "%s/%" PRId64, upstream, born);
@@ -213,7 +212,7 @@
   return entry && entry->count == CONVICTING && now < entry->expires;
 }
 
-/* ---- Between hosts.  ---- */
+/* ---- Reports between hosts. ---- */
 
 static void
 hear (marjoram_crash_list *list, int64_t now,
--- a/test/test_crash_list.c
+++ b/test/test_crash_list.c
@@ -1,11 +1,10 @@
-/* Requests that crash upstreams, and how hosts tell one another.  */
+/* Tests of the detection of requests that crash upstreams.  */
 #include "suite.h"
 
 #include "crash_list.h"
 
 #include <stdio.h>
 
-/* Two digests that differ.  */
 #define KILLER "0123456789abcdef0123456789abcdef"
 #define INNOCENT "fedcba9876543210fedcba9876543210"
 
@@ -29,7 +28,7 @@
   return marjoram_crash_list_convicts (list, 0, digest);
 }
 
-/* Passes what FROM has seen on to TO; returns how many lines.  */
+/* Sends FROM's report to TO; returns the number of items.  */
 static size_t
 pass_on (marjoram_crash_list *from, marjoram_crash_list *to)
 {
@@ -44,9 +43,8 @@
   return count;
 }
 
-/* A request that kills engines comes again and again; the engines' batch mates
-   are tried again and answered.  After the third engine the killer is known,
-   and the mates, which died with engines once or twice, are not refused.  */
+/* Guards against not detecting a request that crashes upstreams, and against
+   refusing requests that ran beside it and were answered since.  */
 START_TEST (third_death_convicts)
 {
   marjoram_crash_list_died (list, 0, KILLER, "u1", 5);
@@ -60,9 +58,8 @@
 }
 END_TEST
 
-/* One death is told by every connection that was open there, and by two hosts
-   that had sent the same request: it is one death all the same.  The next
-   start of the same upstream is another.  */
+/* Guards against counting a crash several times because several connections or
+   hosts report it.  A restarted upstream can crash anew.  */
 START_TEST (one_death_counts_once)
 {
   for (int i = 0; i < 5; i++)
@@ -74,9 +71,8 @@
 }
 END_TEST
 
-/* Callers poll with the same words.  All of a region's upstreams lose power
-   while each of them runs that request: it was answered a moment before, so it
-   is not what took them down, and callers must not be refused for it.  */
+/* Guards against refusing a request that is polled often when a power loss
+   ends it at all upstreams of a region.  */
 START_TEST (what_is_often_answered_is_not_convicted)
 {
   marjoram_crash_list_answered (list, INNOCENT);
@@ -87,8 +83,7 @@
 }
 END_TEST
 
-/* The same at a host that has just started and knows of no answers: the others
-   hear its news, say that the request was answered there, and clear it.  */
+/* The same at a host that has just started: other hosts clear the request.  */
 START_TEST (other_hosts_clear_what_they_have_answered)
 {
   marjoram_crash_list *other = marjoram_crash_list_create ();
@@ -106,7 +101,8 @@
 }
 END_TEST
 
-/* The killer comes to another host each time.  */
+/* Guards against crashes going undetected because each happens at another
+   host.  */
 START_TEST (deaths_at_several_hosts_add_up)
 {
   marjoram_crash_list *other = marjoram_crash_list_create ();
@@ -117,7 +113,7 @@
   marjoram_crash_list_died (other, 0, KILLER, "u3", 5);
   ck_assert_uint_eq (pass_on (other, list), 1);
   ck_assert (convicts (KILLER));
-  /* A host that starts now is told all at once.  */
+  /* A host that has just started receives all entries.  */
   marjoram_crash_list_all (list, &all);
   marjoram_crash_list_hear (other, 0, &all);
   ck_assert (marjoram_crash_list_convicts (other, 0, KILLER));
@@ -126,7 +122,7 @@
 }
 END_TEST
 
-/* What others report can't be trusted to be well formed.  */
+/* Guards against malformed reports of other hosts.  */
 START_TEST (malformed_news_name_nothing)
 {
   struct marjoram_crash_item items[]
@@ -148,7 +144,7 @@
 }
 END_TEST
 
-/* Thousands of requests die with upstreams: the list stays bounded.  */
+/* Guards against unbounded memory use when many requests crash.  */
 START_TEST (list_is_bounded)
 {
   char digest[33];
