--- a/src/suspect.c
+++ b/src/suspect.c
@@ -10,10 +10,10 @@
 enum
 {
   DIGEST_MAX = 64,
-  /* More suspicions than this are not kept; the oldest go first.  */
+  /* Maximum number of suspicions; the oldest are evicted.  */
   ENTRIES_MAX = 10000,
-  /* For so long a suspect counts as running at another host that does not say
-     that it ended: that host may have died.  */
+  /* Timeout after which a suspect no longer counts as running at another host
+     that did not report its end, since that host may have died.  */
   ELSEWHERE_MS = 10 * 60 * 1000
 };
 
@@ -32,29 +32,29 @@
     = { "marjoram_suspect_message", sizeof (struct marjoram_suspect_message),
         suspect_fields, sizeof suspect_fields / sizeof *suspect_fields };
 
-/* One suspicion.  */
 struct entry
 {
   char digest[DIGEST_MAX + 1];
   enum marjoram_suspicion suspicion;
   uint64_t deaths;
   int64_t expires;
-  char died[MARJORAM_NAME_MAX + 1]; /* whose death made it a suspect */
-  uint64_t since;                   /* number of the event that made it one */
+  char died[MARJORAM_NAME_MAX + 1]; /* upstream whose death made it suspect */
+  uint64_t since;                   /* event number at which it became
+                                       suspect */
   UT_hash_handle hh;
-  TAILQ_ENTRY (entry) link; /* oldest news first */
+  TAILQ_ENTRY (entry) link; /* least recently updated first */
 };
 
-/* One digest at one upstream, started by this host or, if it is a suspect, by
-   another one.  */
+/* A request at one upstream, started by this host or, if it is a suspect, by
+   others.  */
 struct run
 {
   char digest[DIGEST_MAX + 1];
-  unsigned here;      /* how often this host has started it */
-  unsigned elsewhere; /* at how many other hosts it is a suspect */
-  bool reported;      /* the other hosts know that it runs here */
-  uint64_t since;     /* number of the event that started it */
-  int64_t expires;    /* of ELSEWHERE: the other host may have died */
+  unsigned here;      /* starts by this host that have not ended */
+  unsigned elsewhere; /* other hosts that run it as a suspect */
+  bool reported;      /* reported to the other hosts as running */
+  uint64_t since;     /* event number of its start */
+  int64_t expires;    /* expiry of ELSEWHERE */
   TAILQ_ENTRY (run) link;
 };
 
@@ -72,7 +72,7 @@
   TAILQ_HEAD (, entry) list;
   struct place *places;
   size_t run_count;
-  uint64_t events; /* starts and suspicions so far */
+  uint64_t events; /* counter of starts and new suspicions */
   marjoram_suspects_report *report;
   void *context;
 };
@@ -115,7 +115,7 @@
   free (place);
 }
 
-/* Frees PLACE, which is not in the table any more.  */
+/* Frees PLACE, which has been removed from the table.  */
 static void
 drop_runs (marjoram_suspects *suspects, struct place *place)
 {
@@ -178,7 +178,7 @@
   return entry;
 }
 
-/* The entry of DIGEST, made if need be, as the newest one.  */
+/* Finds or creates the entry of DIGEST and makes it the most recent one.  */
 static struct entry *
 touch_entry (marjoram_suspects *suspects, int64_t now, const char *digest)
 {
@@ -255,8 +255,8 @@
   return run;
 }
 
-/* Tells the other hosts once that a suspect runs here, and once that it does
-   not any more, as they count.  */
+/* Reports the start and the end of a suspect's run exactly once each, since
+   the other hosts count them.  */
 static void
 report_run (marjoram_suspects *suspects, int64_t now, const char *upstream,
             struct run *run)
@@ -280,8 +280,8 @@
     suspects->report (suspects->context, &message);
 }
 
-/* A request has just become a suspect by the death of DIED: the other hosts do
-   not know yet where else it is running.  */
+/* Reports where else a request that just became suspect by the death of DIED
+   is running.  */
 static void
 report_runs (marjoram_suspects *suspects, int64_t now, const char *digest,
              const char *died)
@@ -324,7 +324,8 @@
     drop_run (suspects, place, run);
 }
 
-/* A conviction stands: a crash needs not happen at every run.  */
+/* A conviction is not cleared, since a request need not crash at every
+   run.  */
 static bool
 clear (marjoram_suspects *suspects, int64_t now, const char *digest)
 {
@@ -338,8 +339,8 @@
   return true;
 }
 
-/* The other hosts are told, as each start of what they still suspect would
-   make it a suspect here again, perhaps beside the one that crashes.  */
+/* The other hosts are informed, since otherwise their reports of new runs
+   would make the request suspect here again.  */
 void
 marjoram_suspects_cleared (marjoram_suspects *suspects, int64_t now,
                            const char *digest)
@@ -356,8 +357,8 @@
   return run->here > 0 || (run->elsewhere > 0 && run->expires > now);
 }
 
-/* Stops a third death: a suspect that runs at two upstreams at once may kill
-   both, which with the first one makes three.  */
+/* Guards against a third crash: a suspect running at two upstreams at once
+   could crash both.  */
 static bool
 runs_somewhere_else (const marjoram_suspects *suspects, int64_t now,
                      const char *upstream, const char *digest)
@@ -403,8 +404,9 @@
   return true;
 }
 
-/* Hosts notice one death one after the other.  A run that is suspect only by
-   another host's news of this same death was no suspect when it started.  */
+/* Whether RUN was suspect before the death of PLACE.  Hosts detect a death at
+   different times, so a suspicion that stems from another host's report of the
+   same death does not count.  */
 static bool
 was_suspect (const marjoram_suspects *suspects, int64_t now,
              const struct place *place, const struct run *run)
@@ -440,10 +442,9 @@
   copy_text (entry->died, died, sizeof entry->died);
 }
 
-/* Stops the conviction of an innocent batch-mate: a death convicts only a
-   request that was a suspect before it and the only one there.  Two hosts that
-   started one each at the same moment leave two suspects at the death; then
-   neither is convicted.  */
+/* Convicts a request only if it was the only suspect at the upstream before
+   its death.  If two hosts started one suspect each at the same time, neither
+   is convicted.  */
 static void
 suspect_run (marjoram_suspects *suspects, int64_t now,
              const struct place *place, const struct run *run, bool alone,
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -1,4 +1,4 @@
-/* Requests that crash upstreams: who is suspected, isolated and convicted.  */
+/* Tests of the suspicion and isolation of requests that crash upstreams.  */
 #include "suite.h"
 
 #include "random.h"
@@ -9,7 +9,7 @@
 
 enum
 {
-  TEST_SECONDS = 60, /* a busy machine is no failure */
+  TEST_SECONDS = 60, /* allows for a busy machine */
   KEEP_MS = 60000,
   HOUR_MS = 3600000,
   DAY_MS = 24 * HOUR_MS,
@@ -26,12 +26,12 @@
   int64_t now;
   marjoram_suspects *hosts[HOSTS];
   int runs[HOSTS][UPSTREAMS][DIGESTS];
-  int killers; /* runs of the killer now */
+  int killers; /* current runs of the killer */
   int deaths;
   int reports;
 };
 
-/* What one host reports.  */
+/* Context of one host's reports.  */
 struct link
 {
   struct cluster *cluster;
@@ -110,9 +110,8 @@
                             &links[i]);
 }
 
-/* K crashes u1, where A and B run as well; their callers send all three again,
-   to other hosts.  K crashes a second upstream, alone there; only K is refused
-   from then on, everywhere, and A and B are answered.  */
+/* Guards against more than two crashes by one request (K), and against
+   refusing requests (A and B) that ran beside it.  */
 START_TEST (second_death_convicts_exactly_one)
 {
   struct cluster c;
@@ -155,9 +154,8 @@
 }
 END_TEST
 
-/* Two hosts start one suspect each at the same upstream before they hear of
-   each other.  It dies: nobody knows by which, so neither is refused for
-   ever.  */
+/* Guards against convicting either of two suspects that two hosts started at
+   the same upstream at the same time.  */
 START_TEST (two_suspects_at_one_death_are_not_convicted)
 {
   struct cluster c;
@@ -203,8 +201,7 @@
 }
 END_TEST
 
-/* A host dies while a suspect of its runs, so that nobody says when it ends.
-   Its mark must not keep other suspects from that upstream for good.  */
+/* Guards against a dead host's suspect blocking an upstream forever.  */
 START_TEST (mark_of_a_dead_host_expires)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (DAY_MS);
@@ -222,7 +219,7 @@
 }
 END_TEST
 
-/* Upstreams die all day and each takes new requests with it.  */
+/* Guards against unbounded memory use by repeated deaths.  */
 START_TEST (memory_is_bounded)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (KEEP_MS);
@@ -248,7 +245,7 @@
 
   snprintf (u, sizeof u, "u%d", upstream);
   snprintf (d, sizeof d, "d%d", digest);
-  /* The killer's caller sends it again after it failed, not before.  */
+  /* The killer's caller retries it only after a failure.  */
   if ((digest == KILLER && c->killers > 0) || !may (c, host, u, d))
     return;
   start (c, host, u, d);
@@ -287,9 +284,8 @@
     memset (c->runs[i][upstream], 0, sizeof c->runs[i][upstream]);
 }
 
-/* Many callers send the same few requests to all hosts, also at once, and one
-   of these requests kills each upstream that runs it.  Whatever the order, two
-   upstreams die at most, and no other request is refused for ever.  */
+/* Property test: whatever the order of events, a request that crashes each
+   upstream is convicted after two crashes, and no other request is.  */
 START_TEST (killer_is_found_in_two_deaths)
 {
   for (int seed = 1; seed <= SEEDS; seed++)
