--- a/src/retry.c
+++ b/src/retry.c
@@ -1,8 +1,8 @@
 #include "retry.h"
 
 #define RETRY_PART 0.1
-/* Saved up at most, so that a quiet hour buys no storm; also what a host
-   starts with, so that its first failures can be retried.  */
+/* Maximum number of saved tokens, which limits retry bursts after idle
+   periods; also the initial balance.  */
 #define SAVED_MAX 10.0
 
 void
--- a/src/retry.h
+++ b/src/retry.h
@@ -1,5 +1,5 @@
-/* A budget for retries: a fixed part of the requests, so that retries can't
-   multiply the load of a system that fails because it is overloaded.  */
+/* Token bucket that limits retries to a fixed ratio of the requests, so that
+   retries cannot amplify an overload.  */
 #ifndef MARJORAM_RETRY_H
 #define MARJORAM_RETRY_H
 
@@ -11,9 +11,9 @@
 };
 
 void marjoram_retry_budget_init (struct marjoram_retry_budget *budget);
-/* A caller's request came in.  */
+/* Credits a caller's request.  */
 void marjoram_retry_budget_earn (struct marjoram_retry_budget *budget);
-/* Whether one more retry is allowed; counts it if so.  */
+/* Takes a token for a retry; returns false if none is left.  */
 bool marjoram_retry_budget_spend (struct marjoram_retry_budget *budget);
 
 #endif
