--- a/src/replay.c
+++ b/src/replay.c
@@ -16,7 +16,7 @@
 {
   int64_t started;
   int64_t now;
-  struct taken *taken; /* in the order in which they came */
+  struct taken *taken; /* in insertion order */
 };
 
 marjoram_replays *
@@ -39,7 +39,7 @@
     return;
   HASH_ITER (hh, replays->taken, taken, next)
   {
-    /* uthash's macros mislead the analyzer here and below.  */
+    /* False positive in uthash's macros, here and below.  */
     HASH_DEL (replays->taken, taken); /* NOLINT(clang-analyzer-unix.*) */
     free (taken);
   }
@@ -76,8 +76,8 @@
   int64_t now = marjoram_replays_now (replays, wall);
   struct taken *taken;
 
-  /* After a restart the nonces are forgotten: a recorded drain would stop the
-     host a second time.  Calls from before the start are therefore refused. */
+  /* Nonces are lost on a restart, so calls signed before the start are refused
+     as possible replays.  */
   if (sent < replays->started || sent < now - MARJORAM_REPLAY_WINDOW_MS)
     return MARJORAM_REPLAY_OLD;
   if (sent > now + MARJORAM_REPLAY_WINDOW_MS)
@@ -91,7 +91,8 @@
     return MARJORAM_REPLAY_FULL;
   taken = marjoram_alloc (sizeof *taken);
   memcpy (taken->nonce, nonce, sizeof taken->nonce);
-  /* The latest time of sending that is taken now stays fresh this long.  */
+  /* Calls are accepted up to one window ahead of the clock and stay valid for
+     one window after that.  */
   taken->until = now + (int64_t)2 * MARJORAM_REPLAY_WINDOW_MS;
   HASH_ADD (hh, replays->taken, nonce, sizeof taken->nonce, taken);
   return MARJORAM_REPLAY_FRESH;
--- a/src/replay.h
+++ b/src/replay.h
@@ -1,6 +1,6 @@
-/* Guard against replayed orders: each signed call carries the time and a
-   random nonce, and is taken once.  Pure decisions; times are milliseconds of
-   the wall clock.  */
+/* Replay protection: each signed call carries a timestamp and a random nonce
+   and is accepted once.  A pure data structure; times are milliseconds of
+   wall-clock time.  */
 #ifndef MARJORAM_REPLAY_H
 #define MARJORAM_REPLAY_H
 
@@ -19,19 +19,20 @@
 enum marjoram_replay_verdict
 {
   MARJORAM_REPLAY_FRESH,
-  MARJORAM_REPLAY_OLD,   /* sent too long ago, or before this host started */
-  MARJORAM_REPLAY_EARLY, /* sent in this host's future */
-  MARJORAM_REPLAY_AGAIN, /* the nonce was taken before */
-  MARJORAM_REPLAY_FULL   /* too many calls at once */
+  MARJORAM_REPLAY_OLD,   /* expired, or sent before this host started */
+  MARJORAM_REPLAY_EARLY, /* timestamp ahead of this host's clock */
+  MARJORAM_REPLAY_AGAIN, /* nonce already used */
+  MARJORAM_REPLAY_FULL   /* too many nonces stored */
 };
 
 marjoram_replays *marjoram_replays_create (int64_t started);
 void marjoram_replays_destroy (marjoram_replays *replays);
-/* The time to be told to callers for their calls: never goes back, as a clock
-   that is set back would make forgotten calls fresh again.  */
+/* Time reported to callers for signing.  Never goes back, since expired nonces
+   would otherwise become valid again.  */
 int64_t marjoram_replays_now (marjoram_replays *replays, int64_t wall);
-/* To be asked only for calls whose proof is good, so that others can't fill
-   the memory.  NONCE has MARJORAM_NONCE_TEXT characters.  */
+/* Checks and stores NONCE, of MARJORAM_NONCE_TEXT characters.  To be called
+   only after the signature was verified, so that unauthenticated calls cannot
+   fill the memory.  */
 enum marjoram_replay_verdict marjoram_replays_take (marjoram_replays *replays,
                                                     int64_t wall, int64_t sent,
                                                     const char *nonce);
