--- a/src/residency.c
+++ b/src/residency.c
@@ -4,12 +4,12 @@
 
 #include <stdbool.h>
 
-/* A rule for some callers and some works; those for all of either are folded
-   into the other's own set.  */
+/* A rule for specific callers and specific works.  Rules for all of either are
+   folded into the per-caller and per-work sets.  */
 struct rule
 {
   uint64_t regions;
-  uint8_t *callers; /* a bit each */
+  uint8_t *callers; /* bitmap */
   uint8_t *works;
 };
 
