--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -1,4 +1,4 @@
-/* The course of requests through an entry host.  */
+/* Tests of request handling by the gateway.  */
 #include "suite.h"
 
 #include "lib_gateway.h"
@@ -50,7 +50,7 @@
   ck_assert (sent ("Marjoramproxy-Target-Instance: p1\r\n"));
   ck_assert (sent ("Content-Length: 5\r\n\r\nhello"));
   ck_assert (!sent ("Marjoramproxy-Hold"));
-  /* The route's timeout is shorter than the caller's patience.  */
+  /* The route's timeout precedes the caller's deadline.  */
   ck_assert (sent ("Marjoramproxy-Deadline-Ms: 1500\r\n"));
   serve (10, "answer");
   ck_assert_int_eq (f.seen.status, 200);
@@ -73,10 +73,8 @@
 }
 END_TEST
 
-/* All hosts have just lost power and come back.  A caller that reaches one
-   before its keepers have told it anything is served half a second later,
-   instead of being sent away, with its one retry, to another host that knows
-   as little; and no later than that it gets its answer.  */
+/* Guards against refusing requests in the first moments after a restart,
+   before the configuration has arrived from the keepers.  */
 START_TEST (young_host_waits_for_its_configuration)
 {
   gateway_fixture_close (&f);
@@ -110,8 +108,7 @@
 }
 END_TEST
 
-/* A room is marked clean; the upstream breaks off without an answer.  It may
-   have run: sent again, two housekeepers would walk into the same room.  */
+/* Guards against repeating a non-idempotent request that may have run.  */
 START_TEST (what_may_not_repeat_is_not_sent_again)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -123,8 +120,8 @@
 }
 END_TEST
 
-/* The same, but the upstream says that it did not run it, or was never
-   reached: then it goes again, and a refusal may say not-run.  */
+/* Guards against giving up a non-idempotent request that did not run, and
+   against reporting it as possibly run.  */
 START_TEST (what_did_not_run_is_sent_again)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -158,8 +155,8 @@
 }
 END_TEST
 
-/* An upstream's own failure is repeated where that is allowed, and its report
-   passed on as it is where it is not.  */
+/* A failure reported by the upstream is retried where that is allowed, and
+   otherwise relayed unchanged.  */
 START_TEST (upstreams_failure)
 {
   gateway_fixture_call (&f, 0, "/get/x");
@@ -178,8 +175,8 @@
 }
 END_TEST
 
-/* A late second answer of an earlier request stands where the next is due.  It
-   must not reach this caller.  */
+/* Guards against relaying a late answer of an earlier request on the same
+   connection.  */
 START_TEST (another_requests_answer_is_skipped)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -201,8 +198,8 @@
 }
 END_TEST
 
-/* An upstream dies in the middle of a stream's second event.  Another one goes
-   on after the first; the caller sees one head and each event once.  */
+/* Guards against lost or duplicated events when a stream is resumed at another
+   upstream after its first one died within an event.  */
 START_TEST (stream_goes_on_elsewhere)
 {
   char first[MARJORAM_ID_MAX];
@@ -237,7 +234,8 @@
 }
 END_TEST
 
-/* An upstream falls silent under a resumable stream: no close, no event.  */
+/* Guards against waiting for an upstream that stalls without closing the
+   connection.  */
 START_TEST (silent_upstream_is_left)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
@@ -251,9 +249,8 @@
 }
 END_TEST
 
-/* The host's own link is full for three seconds; engines answer, their answers
-   wait.  The host left live engines, found no other place, and its callers'
-   streams ended without an end.  */
+/* Guards against abandoning live upstreams, and cutting their streams, while
+   this host is late in processing their answers.  */
 START_TEST (late_host_leaves_no_live_upstream)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
@@ -272,8 +269,7 @@
 }
 END_TEST
 
-/* The same before the first event: the answer to a request that was sent in
-   the jam waits too.  */
+/* The same before the first event.  */
 START_TEST (late_host_waits_for_a_first_event)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
@@ -284,8 +280,7 @@
 }
 END_TEST
 
-/* An upstream dies while the host is late: it is found by the lag later than
-   else, and not once the lag is over only.  */
+/* Guards against not detecting dead upstreams while this host is late.  */
 START_TEST (late_host_finds_dead_upstreams)
 {
   f.lag_ms = 1000;
@@ -300,9 +295,8 @@
 }
 END_TEST
 
-/* An engine is full: it puts a stream off for two seconds, and answers others
-   meanwhile.  Taken for dead, its caller's stream would be cut in the middle,
-   or read again elsewhere for nothing.  */
+/* Guards against treating a busy upstream, which delays one stream but answers
+   others, as stalled.  */
 START_TEST (busy_upstream_is_not_silent)
 {
   uint64_t attempts[3];
@@ -317,7 +311,7 @@
       gateway_fixture_head (&f, 10, 200, NULL, true, false);
       gateway_fixture_data (&f, 10, "id: 1\ndata: a\n\n");
     }
-  /* Of three streams, two are at the same one of two upstreams.  */
+  /* Two of the three streams share an upstream.  */
   silent = strcmp (addresses[1], addresses[2]) == 0 ? 1 : 0;
   for (size_t i = 0; i < 3; i++)
     if (i != silent)
@@ -331,8 +325,7 @@
 }
 END_TEST
 
-/* The same, with no other upstream that would take the stream: what comes
-   late is delivered, where a cut would have lost it for sure.  */
+/* Guards against cutting a stalled stream that no other upstream accepts.  */
 START_TEST (silent_upstream_is_kept_if_there_is_no_other)
 {
   gateway_fixture_leave (&f, 0, "u2");
@@ -350,8 +343,8 @@
 }
 END_TEST
 
-/* A stream comes from a host of another region, which alone may send it on
-   elsewhere; ended here for silence, it is lost.  */
+/* Guards against losing a forwarded stream: only the forwarding host may retry
+   it.  */
 START_TEST (forwarded_stream_is_not_left_for_silence)
 {
   gateway_fixture_forwarded (&f, 0, "/ask/x");
@@ -363,10 +356,9 @@
 }
 END_TEST
 
-/* A stream's upstream falls silent and is left for another one, which can't be
-   reached; meanwhile both have long prompts to read.  No event had come for
-   longer than a stream waited, and it was cut at once, though its caller had a
-   second left and a place came in time.  */
+/* Guards against cutting a resumed stream at once because its idle time
+   already exceeds the queueing limit, although a place becomes free before its
+   deadline.  */
 START_TEST (stream_left_for_silence_waits_for_a_place)
 {
   uint64_t stream;
@@ -393,8 +385,8 @@
 }
 END_TEST
 
-/* A stream whose upstream dies at 100, while both have long prompts ahead, the
-   attempts 2 and 3.  */
+/* Breaks a stream at 100 ms while both upstreams have a backlog, attempts 2
+   and 3.  */
 static void
 break_stream_without_place (void)
 {
@@ -410,8 +402,8 @@
   ck_assert_int_eq (f.seen.cuts, 0);
 }
 
-/* The same, and no place comes: the stream is cut when its caller would not
-   get an event any more, and not later.  */
+/* Guards against cutting a queued stream before its caller's deadline, or
+   keeping it longer.  */
 START_TEST (broken_stream_waits_no_longer_than_its_caller)
 {
   break_stream_without_place ();
@@ -423,9 +415,8 @@
 }
 END_TEST
 
-/* A stream has waited in vain for a second when a newcomer with less time left
-   arrives: the place that then comes is the newcomer's.  Streams that go first
-   for as long as they wait would keep all others from places.  */
+/* Guards against starvation of other requests by interrupted streams, which go
+   first for a limited time only.  */
 START_TEST (broken_stream_goes_first_for_a_while_only)
 {
   break_stream_without_place ();
@@ -444,8 +435,8 @@
 }
 END_TEST
 
-/* A stream breaks off, and for a moment neither upstream takes a connection:
-   both are left alone for some hundred ms.  The stream was cut meanwhile.  */
+/* Guards against cutting a stream while all upstreams are paused after failed
+   connections.  */
 START_TEST (broken_stream_waits_for_paused_upstreams)
 {
   f.link_up = false;
@@ -463,8 +454,7 @@
 }
 END_TEST
 
-/* All upstreams of a service are gone: no wait helps, and the caller is told
-   at once, to ask elsewhere.  */
+/* Guards against queueing a stream whose service has no upstreams left.  */
 START_TEST (broken_stream_without_upstreams_is_cut_at_once)
 {
   f.link_up = false;
@@ -478,9 +468,8 @@
 }
 END_TEST
 
-/* A burst: both engines have 250 ms of prompts to read when a further caller
-   comes, to whom an answer is of use for a second.  Refused, it would come
-   back to the same; so it waits, and is sent as soon as an engine has read. */
+/* Guards against refusing requests in a burst whose backlog ends before the
+   latency target.  */
 START_TEST (request_waits_for_a_place)
 {
   uint64_t attempts[2];
@@ -505,8 +494,8 @@
 }
 END_TEST
 
-/* While it waits, a place comes free, and with it a newcomer that is no more
-   urgent: the one that waited takes the place.  */
+/* Guards against a new request taking the place of a queued one of the same
+   priority.  */
 START_TEST (newcomer_does_not_overtake)
 {
   uint64_t attempt;
@@ -527,9 +516,7 @@
 }
 END_TEST
 
-/* The same burst, ten times as large: a place can't come in time, so the
-   caller is told at once, with a time to come back, and not after a vain wait.
- */
+/* Guards against queueing a request that cannot be served in time.  */
 START_TEST (request_that_would_wait_in_vain_is_refused_at_once)
 {
   f.link_up = false;
@@ -543,8 +530,7 @@
 }
 END_TEST
 
-/* A place was expected in time and did not come, as an engine is slower than
-   thought: the request is refused while its caller can still come back.  */
+/* Guards against keeping a request queued after its latest useful start.  */
 START_TEST (waiting_ends_when_a_place_is_of_no_use)
 {
   f.link_up = false;
@@ -560,8 +546,7 @@
 }
 END_TEST
 
-/* A request that can't be repeated is never given up for silence: its answer
-   may yet come, and is delivered up to the timeout.  */
+/* Guards against abandoning a non-repeatable request before its timeout.  */
 START_TEST (silence_ends_nothing_that_may_not_repeat)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -582,7 +567,8 @@
 }
 END_TEST
 
-/* The table in force with TIMEOUT_MS for all its routes, kept in ROUTES.  */
+/* The current table with TIMEOUT_MS for all routes, which are stored in
+   ROUTES.  */
 static struct marjoram_route_table
 with_timeout (struct marjoram_route_rule routes[ROUTES_MAX],
               int64_t timeout_ms)
@@ -596,8 +582,8 @@
   return table;
 }
 
-/* An operator shortens a route's timeout.  A request that comes while the
-   change is spreading must not be cut by it in the middle of its answer.  */
+/* Guards against a shortened timeout cutting answers in progress while the
+   change is being distributed.  */
 START_TEST (shorter_timeout_counts_after_a_while)
 {
   struct marjoram_route_rule routes[ROUTES_MAX];
@@ -615,9 +601,7 @@
 }
 END_TEST
 
-/* Two operators race: one shortens a timeout, the other's change, which comes
-   in the middle of an answer, has the longer one again.  The answer must not
-   be cut by a timeout that no longer holds.  */
+/* Guards against cutting an answer by a timeout that was since extended.  */
 START_TEST (longer_timeout_holds_at_once)
 {
   struct marjoram_route_rule routes[ROUTES_MAX];
@@ -644,8 +628,7 @@
 }
 END_TEST
 
-/* A route may run only in another region: its request crosses, once, with the
-   time that is left.  */
+/* Guards against running a request outside of its permitted regions.  */
 START_TEST (residency_sends_it_across)
 {
   gateway_fixture_call (&f, 0, "/home/x");
@@ -664,8 +647,7 @@
 }
 END_TEST
 
-/* A stream that runs in another region breaks after its first event. Forwarded
-   again it must go on there, and not begin anew.  */
+/* Guards against restarting a forwarded stream from its beginning.  */
 START_TEST (far_stream_goes_on)
 {
   gateway_fixture_call (&f, 0, "/home/x");
@@ -677,12 +659,8 @@
 }
 END_TEST
 
-/* In a large system a host has links to a few hosts of each other region only.
-   All requests that must cross have to go to one of these, whichever has
-   offers to make; sent to others they would be refused beside free engines. */
-/* The only zone of a region is evacuated while the link to the other region is
-   cut.  What nothing else may run is served for the short while in which
-   operators still expect it, then refused at once.  */
+/* Guards against refusing requests that no other region can serve as soon as
+   the last zone of a region is evacuated.  */
 START_TEST (leaving_zone_serves_what_nothing_else_may)
 {
   f.link_up = false;
@@ -702,8 +680,8 @@
 }
 END_TEST
 
-/* Two hosts of another region share its upstreams.  If all that crosses goes
-   to one of them, it waits there in a long queue while the other has none.  */
+/* Guards against all forwarded requests queueing at one of a region's
+   hosts.  */
 START_TEST (crossing_requests_spread_over_the_hosts)
 {
   int to_first = 0;
@@ -720,6 +698,8 @@
 }
 END_TEST
 
+/* Guards against forwarding to hosts without a link to this one, as in large
+   systems, where a host has links to a few hosts of each region only.  */
 START_TEST (only_reached_hosts_are_crossed_to)
 {
   for (int i = 0; i < 20; i++)
@@ -745,8 +725,7 @@
 }
 END_TEST
 
-/* A host of another region forwards a request here.  It runs here or is
-   refused, and is not sent on: no loops.  */
+/* Guards against forwarding loops between regions.  */
 START_TEST (forwarded_request_does_not_cross_again)
 {
   const struct marjoram_forwarded told = { 500, 0 };
@@ -773,8 +752,7 @@
 }
 END_TEST
 
-/* An upstream fails everything.  Sent again without a bound, the requests
-   would double the load just when it is highest.  */
+/* Guards against retries multiplying the load of a failing service.  */
 START_TEST (repeats_stay_within_the_budget)
 {
   for (int i = 0; i < 100; i++)
@@ -784,14 +762,12 @@
       if (marjoram_gateway_open (f.gateway) > 0)
         gateway_fixture_end (&f, i, MARJORAM_HTTP_BROKEN);
     }
-  /* A fifth, and this host's half of the allowance of ten.  */
+  /* 20 % of the requests and this host's half of the allowance of 10.  */
   ck_assert_int_le (f.seen.sends, 100 + 20 + 5);
 }
 END_TEST
 
-/* A request kills each upstream that begins to run it, with all that runs
-   there, and its caller sends it again and again.  After the third upstream it
-   is refused for good, while others with the same path are served.  */
+/* Guards against one request crashing upstream after upstream.  */
 START_TEST (crashing_request_is_refused)
 {
   for (int64_t i = 1; i <= 3; i++)
@@ -813,8 +789,7 @@
 }
 END_TEST
 
-/* The same upstream is killed by another request each time, beside which this
-   one runs: it is answered in between, so it is not refused.  */
+/* Guards against refusing a request that runs beside crashing ones.  */
 START_TEST (innocent_request_is_not_refused)
 {
   for (int64_t i = 1; i <= 6; i++)
