--- a/src/gateway.c
+++ b/src/gateway.c
@@ -21,17 +21,17 @@
   /* Period after a configuration change in which the previous timeouts still
      apply.  Must be below the 3 s within which a change has to take
      effect.  */
-  CHANGE_MS = 2000,
-  /* For YOUNG_MS after its start a host may not have its configuration or its
-     upstreams yet.  Requests received in that period wait up to YOUNG_WAIT_MS
-     for them.  */
-  YOUNG_MS = 4000,
-  YOUNG_WAIT_MS = 500,
+  CONFIG_CHANGE_GRACE_MS = 2000,
+  /* For STARTUP_MS after its start a host may not have its configuration or
+     its upstreams yet.  Requests received in that period wait up to
+     STARTUP_WAIT_MS for them.  */
+  STARTUP_MS = 4000,
+  STARTUP_WAIT_MS = 500,
   /* An upstream that sends no data for any request of this host for this long
      is considered stalled.  */
-  UPSTREAM_SILENT_MS = 800,
+  UPSTREAM_STALL_MS = 800,
   /* Interval between checks of an idle attempt that was kept.  */
-  SILENT_AGAIN_MS = 200
+  IDLE_CHECK_MS = 200
 };
 
 marjoram_gateway *
@@ -76,9 +76,9 @@
 marjoram_gateway_set_table (marjoram_gateway *gateway, int64_t now,
                             const struct marjoram_route_table *table)
 {
-  gateway->former = gateway->table;
+  gateway->previous_table = gateway->table;
   gateway->table = table;
-  gateway->table_since = now;
+  gateway->table_set_at = now;
 }
 
 size_t
@@ -144,7 +144,7 @@
             enum marjoram_reason reason)
 {
   if (reason == MARJORAM_REASON_DEADLINE)
-    return exchange->is_due_by_caller ? "caller-patience" : "route-timeout";
+    return exchange->is_caller_deadline ? "caller-patience" : "route-timeout";
   if (reason == MARJORAM_REASON_OVERLOAD)
     return marjoram_place_limit_name (exchange->place.limit);
   return "none";
@@ -152,17 +152,18 @@
 
 /* Time since the last event was sent to the caller; -1 if none was.  */
 static int64_t
-quiet_ms (const struct marjoram_exchange *exchange, int64_t now)
+since_last_event_ms (const struct marjoram_exchange *exchange, int64_t now)
 {
-  return exchange->last_at ? now - exchange->last_at : -1;
+  return exchange->last_event_at ? now - exchange->last_event_at : -1;
 }
 
 static void
 log_end (const struct marjoram_exchange *exchange, int64_t now,
          const char *outcome, enum marjoram_reason reason, int status)
 {
-  int64_t first_ms
-      = exchange->first_at ? exchange->first_at - exchange->received_at : -1;
+  int64_t first_ms = exchange->first_event_at
+                         ? exchange->first_event_at - exchange->received_at
+                         : -1;
 
   marjoram_event (
       MARJORAM_EVENT_REQUEST,
@@ -174,16 +175,16 @@
       " upstream=%s host=%s arrivals=%d unreached=%d forwarded=%d",
       *exchange->facts.id ? exchange->facts.id : "-", outcome,
       marjoram_reason_name (reason), status, now - exchange->received_at,
-      first_ms, exchange->objective_ms, exchange->waited_ms,
+      first_ms, exchange->objective_ms, exchange->estimated_wait_ms,
       exchange->place.backlog_ms, exchange->place.copied_tokens,
       exchange->place.candidates, exchange->place.usable,
       exchange->place.news_age_ms, limit_name (exchange, reason),
-      exchange->events_passed, quiet_ms (exchange, now), exchange->pause_ms,
-      *exchange->route ? exchange->route : "-",
+      exchange->events_sent, since_last_event_ms (exchange, now),
+      exchange->longest_gap_ms, *exchange->route ? exchange->route : "-",
       *exchange->service ? exchange->service : "-", exchange->config,
       *exchange->upstream ? exchange->upstream : "-",
       *exchange->host ? exchange->host : "-", exchange->arrivals,
-      exchange->unreached, exchange->forwarded);
+      exchange->failed_connections, exchange->forwarded);
 }
 
 void
@@ -269,40 +270,41 @@
   marjoram_exchange_refuse (gateway, exchange, now, &why);
 }
 
-/* Hosts apply a configuration at slightly different times.  For CHANGE_MS
-   after a change the longer of the old and the new timeout applies, so that a
-   change does not cut answers in progress.  */
+/* Hosts apply a configuration at slightly different times.  For
+   CONFIG_CHANGE_GRACE_MS after a change the longer of the old and the new
+   timeout applies, so that a change does not cut answers in progress.  */
 static int64_t
-timeout_of (const marjoram_gateway *gateway, const char *host,
-            const struct marjoram_exchange *exchange,
-            const struct marjoram_route_rule *route)
+effective_timeout (const marjoram_gateway *gateway, const char *host,
+                   const struct marjoram_exchange *exchange,
+                   const struct marjoram_route_rule *route)
 {
   const struct marjoram_route_rule *before = NULL;
 
-  if (gateway->former
-      && exchange->received_at < gateway->table_since + CHANGE_MS)
-    before = marjoram_route_table_find (gateway->former, host,
+  if (gateway->previous_table
+      && exchange->received_at
+             < gateway->table_set_at + CONFIG_CHANGE_GRACE_MS)
+    before = marjoram_route_table_find (gateway->previous_table, host,
                                         exchange->request->target);
   return before && before->timeout_ms > route->timeout_ms ? before->timeout_ms
                                                           : route->timeout_ms;
 }
 
 static void
-set_due (struct marjoram_exchange *exchange, int64_t timeout_ms)
+set_deadline (struct marjoram_exchange *exchange, int64_t timeout_ms)
 {
   int64_t patience = exchange->facts.patience_ms;
 
   exchange->due_at = exchange->received_at + timeout_ms;
-  exchange->is_due_by_caller
+  exchange->is_caller_deadline
       = patience > 0 && patience - DEADLINE_MARGIN_MS < timeout_ms;
-  if (exchange->is_due_by_caller)
+  if (exchange->is_caller_deadline)
     exchange->due_at = exchange->received_at + patience - DEADLINE_MARGIN_MS;
 }
 
 /* Whether the current configuration extends the request's deadline.  */
 static bool
-has_more_time (const marjoram_gateway *gateway,
-               struct marjoram_exchange *exchange, int64_t now)
+extend_deadline (const marjoram_gateway *gateway,
+                 struct marjoram_exchange *exchange, int64_t now)
 {
   const char *host
       = marjoram_header_list_get (&exchange->request->headers, "Host");
@@ -310,7 +312,8 @@
       gateway->table, host ? host : "", exchange->request->target);
 
   if (route)
-    set_due (exchange, timeout_of (gateway, host, exchange, route));
+    set_deadline (exchange,
+                  effective_timeout (gateway, host, exchange, route));
   return now < exchange->due_at;
 }
 
@@ -319,9 +322,9 @@
                             const struct marjoram_exchange *exchange,
                             int64_t now)
 {
-  return now < gateway->created_at + YOUNG_MS && !exchange->forwarded
+  return now < gateway->created_at + STARTUP_MS && !exchange->forwarded
          && exchange->arrivals == 0
-         && now < exchange->received_at + YOUNG_WAIT_MS;
+         && now < exchange->received_at + STARTUP_WAIT_MS;
 }
 
 /* Finds the route and sends or refuses the request, or leaves it waiting where
@@ -349,7 +352,7 @@
                       STATUS_NOT_FOUND, 0);
       return;
     }
-  set_due (exchange, timeout_of (gateway, host, exchange, route));
+  set_deadline (exchange, effective_timeout (gateway, host, exchange, route));
   marjoram_exchange_send (gateway, exchange, now);
 }
 
@@ -386,14 +389,14 @@
   exchange->forwarded = forwarded != NULL;
   exchange->received_at = now;
   exchange->due_at = INT64_MAX;
-  exchange->silent_at = INT64_MAX;
+  exchange->idle_deadline = INT64_MAX;
   exchange->body = evbuffer_new ();
   gateway->options.dialect->ops->read_call (&request->headers,
                                             &exchange->facts);
   if (forwarded && forwarded->patience_ms > 0)
     exchange->facts.patience_ms = forwarded->patience_ms;
   if (forwarded && forwarded->useful_ms > 0)
-    exchange->told_useful_by = now + forwarded->useful_ms;
+    exchange->forwarded_target_at = now + forwarded->useful_ms;
   HASH_ADD (by_call, gateway->by_call, call, sizeof exchange->call, exchange);
   count_request (gateway, exchange, now);
   if (!*exchange->facts.id)
@@ -435,24 +438,24 @@
    request, since a stream that is cut without one is lost.  For a forwarded
    request the forwarding host decides.  */
 static bool
-is_worth_leaving (marjoram_gateway *gateway,
-                  const struct marjoram_exchange *exchange, int64_t now)
+should_abandon (marjoram_gateway *gateway,
+                const struct marjoram_exchange *exchange, int64_t now)
 {
   int64_t heard_at
       = marjoram_placement_heard_at (gateway->placement, exchange->attempt);
 
   return !exchange->forwarded
-         && heard_until (gateway, now) >= heard_at + UPSTREAM_SILENT_MS
+         && heard_until (gateway, now) >= heard_at + UPSTREAM_STALL_MS
          && marjoram_exchange_has_other_place (gateway, exchange, now);
 }
 
 static void
-give_up_silent (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-                int64_t now)
+check_idle (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+            int64_t now)
 {
-  if (!is_worth_leaving (gateway, exchange, now))
+  if (!should_abandon (gateway, exchange, now))
     {
-      exchange->silent_at = heard_until (gateway, now) + SILENT_AGAIN_MS;
+      exchange->idle_deadline = heard_until (gateway, now) + IDLE_CHECK_MS;
       return;
     }
   marjoram_exchange_drop_attempt (gateway, exchange, now,
@@ -469,14 +472,14 @@
 
   HASH_ITER (by_call, gateway->by_call, exchange, next)
   {
-    if (exchange->state == MARJORAM_EXCHANGE_WAITS && !exchange->waiter.waits)
+    if (exchange->state == MARJORAM_EXCHANGE_WAITS && !exchange->waiter.queued)
       admit (gateway, exchange, now);
     else if (now >= exchange->due_at
-             && !has_more_time (gateway, exchange, now))
+             && !extend_deadline (gateway, exchange, now))
       time_out (gateway, exchange, now);
     else if (exchange->attempt
-             && heard_until (gateway, now) >= exchange->silent_at)
-      give_up_silent (gateway, exchange, now);
+             && heard_until (gateway, now) >= exchange->idle_deadline)
+      check_idle (gateway, exchange, now);
   }
   marjoram_gateway_try_waiting (gateway, now);
   marjoram_placement_tick (gateway->placement, now);
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -18,10 +18,10 @@
   RETRY_TIME_MIN_MS = 30,
   /* Attempts allowed beyond max_upstreams, for upstreams that refused without
      running the request.  */
-  EXTRA_ARRIVALS = 2,
+  EXTRA_ATTEMPTS = 2,
   /* Idle timeout of resumable streams: above the pauses of a busy engine and
      below the 2 s after which callers give up.  */
-  STREAM_SILENT_MS = 1500
+  STREAM_IDLE_MS = 1500
 };
 
 static struct marjoram_exchange *
@@ -43,9 +43,9 @@
 /* ---- Retries. ---- */
 
 static const char *
-may_not_retry (marjoram_gateway *gateway,
-               const struct marjoram_exchange *exchange, int64_t now,
-               bool not_run)
+retry_denial (marjoram_gateway *gateway,
+              const struct marjoram_exchange *exchange, int64_t now,
+              bool not_run)
 {
   if (!not_run && !exchange->repeatable)
     return "may-have-run";
@@ -55,7 +55,7 @@
   if (exchange->due_at - now < RETRY_TIME_MIN_MS)
     return "no-time";
   if (exchange->runs >= exchange->max_upstreams
-      || exchange->arrivals >= exchange->max_upstreams + EXTRA_ARRIVALS)
+      || exchange->arrivals >= exchange->max_upstreams + EXTRA_ATTEMPTS)
     return "upstreams-used";
   if (!marjoram_repeat_budget_take (
           gateway->budget, now, exchange->service,
@@ -95,8 +95,8 @@
 }
 
 static void
-send_again (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-            int64_t now, enum marjoram_reason reason)
+retry (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+       int64_t now, enum marjoram_reason reason)
 {
   log_attempt (gateway, exchange, reason, NULL);
   marjoram_metrics_add (gateway->options.metrics,
@@ -109,8 +109,8 @@
 }
 
 static void
-give_up (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-         int64_t now, enum marjoram_reason reason)
+fail (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+      int64_t now, enum marjoram_reason reason)
 {
   bool ran = exchange->runs > 0;
   const struct marjoram_no_answer why
@@ -126,21 +126,21 @@
                          struct marjoram_exchange *exchange, int64_t now,
                          enum marjoram_reason reason, bool not_run)
 {
-  const char *refused = may_not_retry (gateway, exchange, now, not_run);
+  const char *refused = retry_denial (gateway, exchange, now, not_run);
 
   if (!refused)
     {
-      send_again (gateway, exchange, now, reason);
+      retry (gateway, exchange, now, reason);
       return;
     }
   log_attempt (gateway, exchange, reason, refused);
-  give_up (gateway, exchange, now, reason);
+  fail (gateway, exchange, now, reason);
 }
 
 /* ---- Answer head and data. ---- */
 
 static void
-keep_headers (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+copy_headers (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
               const struct marjoram_header_list *headers)
 {
   const struct marjoram_dialect_ops *dialect = gateway->options.dialect->ops;
@@ -156,8 +156,8 @@
 /* Rejects late answers of other requests, and successes without a request id,
    which cannot be attributed.  */
 static bool
-is_ours (const struct marjoram_exchange *exchange, int status,
-         const struct marjoram_answer_facts *facts)
+is_answer_to (const struct marjoram_exchange *exchange, int status,
+              const struct marjoram_answer_facts *facts)
 {
   if (*facts->id)
     return strcmp (facts->id, exchange->facts.id) == 0;
@@ -165,16 +165,16 @@
 }
 
 static void
-note_first (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-            int64_t now)
+record_first (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+              int64_t now)
 {
   int64_t error;
 
   marjoram_placement_answering (gateway->placement, now, exchange->attempt);
-  if (exchange->first_at)
+  if (exchange->first_event_at)
     return;
-  exchange->first_at = now;
-  error = now - exchange->received_at - exchange->waited_ms;
+  exchange->first_event_at = now;
+  error = now - exchange->received_at - exchange->estimated_wait_ms;
   marjoram_metrics_time (gateway->options.metrics, MARJORAM_TIMING_FIRST,
                          now - exchange->received_at);
   marjoram_metrics_time (gateway->options.metrics, MARJORAM_TIMING_ESTIMATE,
@@ -192,7 +192,7 @@
   if (!exchange)
     return false;
   gateway->options.dialect->ops->read_answer (status, headers, &facts);
-  if (!is_ours (exchange, status, &facts))
+  if (!is_answer_to (exchange, status, &facts))
     {
       marjoram_metrics_add (gateway->options.metrics,
                             MARJORAM_METRIC_STRAY_ANSWERS, 1);
@@ -207,7 +207,7 @@
   exchange->wrong_upstream = facts.wrong_upstream;
   if (exchange->state == MARJORAM_EXCHANGE_STREAMS)
     return true;
-  keep_headers (gateway, exchange, headers);
+  copy_headers (gateway, exchange, headers);
   if (exchange->stream && is_success (exchange))
     {
       exchange->state = MARJORAM_EXCHANGE_HEAD;
@@ -215,7 +215,7 @@
         exchange->events = marjoram_event_stream_create ();
     }
   else
-    note_first (gateway, exchange, now);
+    record_first (gateway, exchange, now);
   return true;
 }
 
@@ -238,14 +238,14 @@
 }
 
 static void
-note_events (struct marjoram_exchange *exchange, int64_t now, size_t events)
+record_events (struct marjoram_exchange *exchange, int64_t now, size_t events)
 {
-  int64_t pause = exchange->last_at ? now - exchange->last_at : 0;
+  int64_t pause = exchange->last_event_at ? now - exchange->last_event_at : 0;
 
-  if (pause > exchange->pause_ms)
-    exchange->pause_ms = pause;
-  exchange->last_at = now;
-  exchange->events_passed += (int)events;
+  if (pause > exchange->longest_gap_ms)
+    exchange->longest_gap_ms = pause;
+  exchange->last_event_at = now;
+  exchange->events_sent += (int)events;
 }
 
 void
@@ -267,10 +267,10 @@
                                        exchange->body);
   if (events == 0)
     return;
-  note_first (gateway, exchange, now);
-  note_events (exchange, now, events);
+  record_first (gateway, exchange, now);
+  record_events (exchange, now, events);
   if (exchange->repeatable)
-    exchange->silent_at = now + STREAM_SILENT_MS;
+    exchange->idle_deadline = now + STREAM_IDLE_MS;
   flush_stream (gateway, exchange);
 }
 
@@ -325,11 +325,11 @@
 
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  MARJORAM_ATTEMPT_FAILED);
-  refused = may_not_retry (gateway, exchange, now, false);
+  refused = retry_denial (gateway, exchange, now, false);
   if (!refused)
-    send_again (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
+    retry (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
   else if (exchange->state == MARJORAM_EXCHANGE_STREAMS)
-    give_up (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
+    fail (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
   else
     deliver (gateway, exchange, now);
 }
@@ -340,7 +340,7 @@
 {
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  MARJORAM_ATTEMPT_BROKEN);
-  exchange->crossed = false;
+  exchange->was_forwarded = false;
   marjoram_exchange_retry (gateway, exchange, now,
                            MARJORAM_REASON_UPSTREAM_FAILED, false);
 }
@@ -376,15 +376,15 @@
                                  MARJORAM_ATTEMPT_UNREACHED);
   exchange->runs--;
   exchange->arrivals--;
-  exchange->unreached++;
+  exchange->failed_connections++;
   log_attempt (gateway, exchange, MARJORAM_REASON_NO_UPSTREAM, NULL);
   marjoram_exchange_send (gateway, exchange, now);
 }
 
 /* Records that the upstream broke off while running this request.  */
 static void
-note_death (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-            int64_t now)
+record_crash (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+              int64_t now)
 {
   const struct marjoram_registered *upstream = marjoram_registry_find (
       gateway->options.place.registry, exchange->upstream);
@@ -417,7 +417,7 @@
       break;
     case MARJORAM_HTTP_BROKEN:
       if (*exchange->upstream)
-        note_death (gateway, exchange, now);
+        record_crash (gateway, exchange, now);
       end_broken (gateway, exchange, now);
       break;
     }
--- a/src/gateway_cross.c
+++ b/src/gateway_cross.c
@@ -8,7 +8,7 @@
 enum
 {
   /* Round trip between two regions, plus margin.  */
-  CROSSING_MS = 130
+  REGION_RTT_MS = 130
 };
 
 static bool
@@ -50,7 +50,7 @@
     {
       snprintf (exchange->host, sizeof exchange->host, "%s", host);
       exchange->upstream[0] = '\0';
-      exchange->crossed = true;
+      exchange->was_forwarded = true;
       exchange->arrivals++;
       exchange->runs++;
       marjoram_metrics_add (gateway->options.metrics,
@@ -67,9 +67,10 @@
 /* HOST's offer for the exchange's service; null if it cannot be forwarded
    there.  */
 static const struct marjoram_host_offer *
-offer_of (marjoram_gateway *gateway, const struct marjoram_exchange *exchange,
-          const struct marjoram_route_rule *route,
-          const struct marjoram_listed_host *host, int64_t now)
+find_offer (marjoram_gateway *gateway,
+            const struct marjoram_exchange *exchange,
+            const struct marjoram_route_rule *route,
+            const struct marjoram_listed_host *host, int64_t now)
 {
   if (!marjoram_host_list_serves (host, now)
       || strcmp (host->beat.region, gateway->region) == 0
@@ -82,8 +83,8 @@
 /* Rendezvous hashing: the same request prefers the same host, and requests
    spread evenly.  */
 static uint64_t
-claim (const struct marjoram_exchange *exchange,
-       const struct marjoram_listed_host *host)
+host_weight (const struct marjoram_exchange *exchange,
+             const struct marjoram_listed_host *host)
 {
   return marjoram_listed_host_claim (host, exchange->facts.id);
 }
@@ -97,7 +98,7 @@
 };
 
 static uint64_t
-rank_of (const struct marjoram_host_offer *offer, enum region_order order)
+load_of (const struct marjoram_host_offer *offer, enum region_order order)
 {
   return order == BY_WAIT ? offer->wait_ms : offer->backlog_ms;
 }
@@ -116,9 +117,9 @@
     {
       const struct marjoram_listed_host *host = offering->hosts[i];
       const struct marjoram_host_offer *offer
-          = offer_of (gateway, exchange, route, host, now);
+          = find_offer (gateway, exchange, route, host, now);
 
-      if (!offer || (best && rank_of (offer, order) >= rank_of (found, order)))
+      if (!offer || (best && load_of (offer, order) >= load_of (found, order)))
         continue;
       best = host->beat.region;
       *found = *offer;
@@ -130,10 +131,10 @@
    hosts of a region share its upstreams, so requests are spread over them
    instead of all queueing at the host with the best offer.  */
 static const struct marjoram_listed_host *
-choose_far (marjoram_gateway *gateway,
-            const struct marjoram_exchange *exchange,
-            const struct marjoram_route_rule *route, int64_t now,
-            enum region_order order, struct marjoram_host_offer *offer)
+choose_remote_host (marjoram_gateway *gateway,
+                    const struct marjoram_exchange *exchange,
+                    const struct marjoram_route_rule *route, int64_t now,
+                    enum region_order order, struct marjoram_host_offer *offer)
 {
   const char *region
       = choose_region (gateway, exchange, route, now, order, offer);
@@ -148,8 +149,9 @@
       const struct marjoram_listed_host *host = offering->hosts[i];
 
       if (strcmp (host->beat.region, region) == 0
-          && offer_of (gateway, exchange, route, host, now)
-          && (!best || claim (exchange, host) > claim (exchange, best)))
+          && find_offer (gateway, exchange, route, host, now)
+          && (!best
+              || host_weight (exchange, host) > host_weight (exchange, best)))
         best = host;
     }
   return best;
@@ -159,30 +161,30 @@
 marjoram_exchange_may_cross (marjoram_gateway *gateway,
                              const struct marjoram_exchange *exchange,
                              const struct marjoram_route_rule *route,
-                             int64_t now, int64_t most_wait_ms)
+                             int64_t now, int64_t max_wait_ms)
 {
   struct marjoram_host_offer offer = { 0 };
 
-  return !exchange->forwarded && !exchange->crossed
-         && choose_far (gateway, exchange, route, now, BY_WAIT, &offer)
-         && (int64_t)offer.wait_ms + CROSSING_MS <= most_wait_ms;
+  return !exchange->forwarded && !exchange->was_forwarded
+         && choose_remote_host (gateway, exchange, route, now, BY_WAIT, &offer)
+         && (int64_t)offer.wait_ms + REGION_RTT_MS <= max_wait_ms;
 }
 
 bool
 marjoram_exchange_cross (marjoram_gateway *gateway,
                          struct marjoram_exchange *exchange,
                          const struct marjoram_route_rule *route, int64_t now,
-                         int64_t most_wait_ms)
+                         int64_t max_wait_ms)
 {
   const struct marjoram_listed_host *host;
   struct marjoram_host_offer offer = { 0 };
 
-  if (exchange->forwarded || exchange->crossed)
+  if (exchange->forwarded || exchange->was_forwarded)
     return false;
-  host = choose_far (gateway, exchange, route, now, BY_WAIT, &offer);
-  if (!host || (int64_t)offer.wait_ms + CROSSING_MS > most_wait_ms)
+  host = choose_remote_host (gateway, exchange, route, now, BY_WAIT, &offer);
+  if (!host || (int64_t)offer.wait_ms + REGION_RTT_MS > max_wait_ms)
     return false;
-  exchange->waited_ms = (int64_t)offer.wait_ms + CROSSING_MS;
+  exchange->estimated_wait_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
   return forward_to (gateway, exchange, now, host->beat.name);
 }
 
@@ -197,10 +199,11 @@
   struct marjoram_host_offer offer = { 0 };
   struct marjoram_spill_query query = { .id = exchange->facts.id };
 
-  if (exchange->forwarded || exchange->crossed || exchange->runs > 0
+  if (exchange->forwarded || exchange->was_forwarded || exchange->runs > 0
       || chosen->engine_tokens_per_ms <= 0)
     return false;
-  host = choose_far (gateway, exchange, route, now, BY_BACKLOG, &offer);
+  host
+      = choose_remote_host (gateway, exchange, route, now, BY_BACKLOG, &offer);
   if (!host)
     return false;
   query.engines = (int)offer.upstreams < chosen->usable ? (int)offer.upstreams
@@ -212,10 +215,11 @@
       = (double)chosen->unread_tokens / chosen->engine_tokens_per_ms;
   query.prompt_ms
       = (double)exchange->facts.prompt_tokens / chosen->engine_tokens_per_ms;
-  query.there_first_ms = (int64_t)offer.wait_ms + CROSSING_MS;
+  query.there_first_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
   query.useful_ms = useful_ms;
   if (!marjoram_spill_wanted (&query))
     return false;
-  exchange->waited_ms = query.there_first_ms + (int64_t)query.prompt_ms;
+  exchange->estimated_wait_ms
+      = query.there_first_ms + (int64_t)query.prompt_ms;
   return forward_to (gateway, exchange, now, host->beat.name);
 }
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -37,17 +37,17 @@
   bool forwarded;
   enum marjoram_exchange_state state;
   int64_t received_at;
-  int64_t due_at;         /* route timeout or caller's deadline */
-  int64_t useful_by;      /* latency target for the first event */
-  int64_t told_useful_by; /* set by the forwarding host; 0 if none */
+  int64_t due_at;              /* route timeout or caller's deadline */
+  int64_t useful_by;           /* latency target for the first event */
+  int64_t forwarded_target_at; /* set by the forwarding host; 0 if none */
   struct marjoram_waiter waiter;
-  int64_t waits_since; /* while queued */
-  int64_t first_at;    /* first event or answer head; 0: none yet */
-  int64_t last_at;     /* last event sent to the caller; 0: none */
-  int64_t pause_ms;    /* longest gap between events */
-  int events_passed;
-  bool is_due_by_caller; /* caller's deadline precedes the route timeout */
-  int64_t waited_ms;     /* estimate of the last attempt */
+  int64_t queued_since;   /* while queued */
+  int64_t first_event_at; /* first event or answer head; 0: none yet */
+  int64_t last_event_at;  /* last event sent to the caller; 0: none */
+  int64_t longest_gap_ms; /* longest gap between events */
+  int events_sent;
+  bool is_caller_deadline;   /* caller's deadline precedes the route timeout */
+  int64_t estimated_wait_ms; /* estimate of the last attempt */
   struct marjoram_place place; /* last choice; upstream pointers are cleared */
   char digest[MARJORAM_DIGEST_TEXT + 1]; /* "" until computed */
 
@@ -65,7 +65,7 @@
   uint64_t attempt; /* 0 if none */
   char upstream[MARJORAM_ID_MAX];
   char host[MARJORAM_HOST_NAME_MAX]; /* "" if not forwarded */
-  int64_t silent_at; /* idle deadline in input time; INT64_MAX: none */
+  int64_t idle_deadline; /* idle deadline in input time; INT64_MAX: none */
   int status;
   struct marjoram_header_list headers; /* of the answer */
   bool is_signed;
@@ -77,10 +77,10 @@
   /* Totals over all attempts.  */
   char tried[MARJORAM_TRIED_MAX][MARJORAM_ID_MAX];
   size_t tried_count;
-  int arrivals;  /* attempts that may have reached an upstream */
-  int runs;      /* attempts that may have run or still run */
-  int unreached; /* attempts without a connection */
-  bool crossed;  /* forwarded to another region */
+  int arrivals;           /* attempts that may have reached an upstream */
+  int runs;               /* attempts that may have run or still run */
+  int failed_connections; /* attempts without a connection */
+  bool was_forwarded;     /* forwarded to another region */
   UT_hash_handle by_call;
   UT_hash_handle by_attempt;
 };
@@ -92,8 +92,9 @@
   const struct marjoram_gateway_ops *ops;
   void *context;
   const struct marjoram_route_table *table;
-  const struct marjoram_route_table *former; /* previous table; null if none */
-  int64_t table_since;
+  const struct marjoram_route_table
+      *previous_table; /* previous table; null if none */
+  int64_t table_set_at;
   int64_t created_at;
   marjoram_placement *placement;
   marjoram_repeat_budget *budget;
@@ -162,17 +163,17 @@
 marjoram_exchange_last_event (const struct marjoram_exchange *exchange);
 
 /* gateway_cross.c */
-/* Whether a host of another region would answer within MOST_WAIT_MS.  */
+/* Whether a host of another region would answer within MAX_WAIT_MS.  */
 bool marjoram_exchange_may_cross (marjoram_gateway *gateway,
                                   const struct marjoram_exchange *exchange,
                                   const struct marjoram_route_rule *route,
-                                  int64_t now, int64_t most_wait_ms);
+                                  int64_t now, int64_t max_wait_ms);
 /* Forwards the exchange to another region that would answer within
-   MOST_WAIT_MS.  Returns whether it was forwarded.  */
+   MAX_WAIT_MS.  Returns whether it was forwarded.  */
 bool marjoram_exchange_cross (marjoram_gateway *gateway,
                               struct marjoram_exchange *exchange,
                               const struct marjoram_route_rule *route,
-                              int64_t now, int64_t most_wait_ms);
+                              int64_t now, int64_t max_wait_ms);
 /* Forwards the exchange, although CHOSEN is a place in this region, if another
    region is less loaded.  Returns whether it was forwarded.  */
 bool marjoram_exchange_spill (marjoram_gateway *gateway,
@@ -191,9 +192,9 @@
 bool marjoram_exchange_is_its_turn (const marjoram_gateway *gateway,
                                     const struct marjoram_exchange *exchange,
                                     const struct marjoram_place *chosen);
-/* Estimated wait for a place of SERVICE of a request with queue key TURN.  */
+/* Estimated wait for a place of SERVICE of a request with SORT_KEY.  */
 int64_t marjoram_gateway_wait_ms (const marjoram_gateway *gateway,
-                                  const char *service, int64_t turn,
+                                  const char *service, int64_t sort_key,
                                   const struct marjoram_place *place);
 /* Retries placement of queued requests in order.  */
 void marjoram_gateway_try_waiting (marjoram_gateway *gateway, int64_t now);
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -16,13 +16,13 @@
   STATUS_NOT_FOUND = 404,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
-  /* Idle timeout before the first event, in addition to SILENT_FACTOR times
+  /* Idle timeout before the first event, in addition to IDLE_WAIT_FACTOR times
      the estimated wait.  */
-  SILENT_MS = 900,
-  SILENT_FACTOR = 3,
+  IDLE_MS = 900,
+  IDLE_WAIT_FACTOR = 3,
   /* Minimum time left to the latency target; below it the deadline is
      used.  */
-  USEFUL_MIN_MS = 5,
+  TARGET_MIN_MS = 5,
   UNREACHED_MAX = 4, /* attempts without a connection */
   REFUSED_RETRY_MS = 250,
   URGENCY_MAX = 9
@@ -53,7 +53,7 @@
   marjoram_placement_ended (gateway->placement, now, exchange->attempt, how);
   HASH_DELETE (by_attempt, gateway->by_attempt, exchange);
   exchange->attempt = 0;
-  exchange->silent_at = INT64_MAX;
+  exchange->idle_deadline = INT64_MAX;
 }
 
 void
@@ -148,7 +148,7 @@
 /* ---- Sending to an upstream of this region. ---- */
 
 static void
-remember_tried (struct marjoram_exchange *exchange, const char *upstream)
+add_tried (struct marjoram_exchange *exchange, const char *upstream)
 {
   if (exchange->tried_count == MARJORAM_TRIED_MAX)
     return;
@@ -166,7 +166,7 @@
   query->facts = &exchange->facts;
   query->priority = exchange->priority;
   query->useful_ms = exchange->useful_by - now;
-  if (query->useful_ms < USEFUL_MIN_MS)
+  if (query->useful_ms < TARGET_MIN_MS)
     query->useful_ms = marjoram_exchange_patience (exchange, now);
   query->again = true;
   for (size_t i = 0; i < exchange->tried_count; i++)
@@ -183,15 +183,16 @@
   snprintf (exchange->upstream, sizeof exchange->upstream, "%s",
             place->upstream->news.id);
   exchange->host[0] = '\0';
-  exchange->waited_ms = place->wait_ms;
+  exchange->estimated_wait_ms = place->wait_ms;
   marjoram_exchange_start_attempt (gateway, exchange);
   marjoram_placement_started (gateway->placement, now, exchange->attempt,
                               exchange->upstream, query);
-  remember_tried (exchange, exchange->upstream);
+  add_tried (exchange, exchange->upstream);
   exchange->arrivals++;
   exchange->runs++;
   if (exchange->repeatable)
-    exchange->silent_at = now + SILENT_MS + SILENT_FACTOR * place->wait_ms;
+    exchange->idle_deadline
+        = now + IDLE_MS + IDLE_WAIT_FACTOR * place->wait_ms;
   send.attempt = exchange->attempt;
   send.address = place->upstream->news.address;
   send.message = write_message (
@@ -251,8 +252,8 @@
   exchange->objective_ms = route->objective_ms;
   exchange->config = table->version;
   exchange->useful_by
-      = exchange->told_useful_by
-            ? exchange->told_useful_by
+      = exchange->forwarded_target_at
+            ? exchange->forwarded_target_at
             : exchange->received_at
                   + (route->objective_ms > 0 ? route->objective_ms
                                              : route->timeout_ms);
@@ -264,9 +265,9 @@
    deadline if no upstream is left here, otherwise up to the shorter of the
    wait here and the time left to the latency target.  */
 static int64_t
-most_wait_elsewhere (const marjoram_gateway *gateway,
-                     const struct marjoram_exchange *exchange, int64_t now,
-                     const struct marjoram_place *chosen, int64_t useful_ms)
+max_remote_wait (const marjoram_gateway *gateway,
+                 const struct marjoram_exchange *exchange, int64_t now,
+                 const struct marjoram_place *chosen, int64_t useful_ms)
 {
   int64_t here_ms;
 
@@ -290,7 +291,7 @@
   exchange->place = *chosen;
   exchange->place.upstream = NULL;
   exchange->place.copy_from = NULL;
-  exchange->waited_ms = chosen->wait_ms;
+  exchange->estimated_wait_ms = chosen->wait_ms;
   query->expected_ms = chosen->wait_ms;
   query->copied_tokens = chosen->copied_tokens;
 }
@@ -335,10 +336,9 @@
                                   query.useful_ms))
     return;
   if (!found
-      && marjoram_exchange_cross (gateway, exchange, route, now,
-                                  most_wait_elsewhere (gateway, exchange, now,
-                                                       &chosen,
-                                                       query.useful_ms)))
+      && marjoram_exchange_cross (
+          gateway, exchange, route, now,
+          max_remote_wait (gateway, exchange, now, &chosen, query.useful_ms)))
     return;
   if (!found && chosen.candidates == 0)
     found = find_last_resort (gateway, exchange, now, &query, &chosen);
@@ -445,7 +445,7 @@
   take_terms (exchange, table, route, service);
   if (refuse_crashing (gateway, exchange, now))
     return;
-  if (exchange->unreached >= UNREACHED_MAX)
+  if (exchange->failed_connections >= UNREACHED_MAX)
     {
       refuse (gateway, exchange, now, MARJORAM_REASON_NO_UPSTREAM,
               REFUSED_RETRY_MS);
--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -4,20 +4,20 @@
 {
   /* Maximum number of queued requests; limits their memory, and more could not
      be served in time.  */
-  WAITERS_MAX = 400,
+  QUEUE_MAX = 400,
   /* Maximum number of queued requests for which placement is retried per tick,
      since each is compared with all upstreams.  */
-  TRIES_MAX = 16,
+  RETRIES_PER_TICK_MAX = 16,
   /* Period in which an interrupted stream precedes other requests.  After it,
      the stream is ordered by its deadline, so that it cannot starve them.  */
   RESUME_FIRST_MS = 800,
   /* Allowance for one engine batch and the response path, in addition to the
      time to process the prompt.  */
-  ANSWER_MS = 60
+  RESPONSE_OVERHEAD_MS = 60
 };
 
 static int64_t
-read_ms (const struct marjoram_place *place, double tokens_per_ms)
+prompt_ms (const struct marjoram_place *place, double tokens_per_ms)
 {
   return tokens_per_ms > 0
              ? (int64_t)((double)place->unread_tokens / tokens_per_ms)
@@ -26,9 +26,10 @@
 
 int64_t
 marjoram_gateway_wait_ms (const marjoram_gateway *gateway, const char *service,
-                          int64_t turn, const struct marjoram_place *place)
+                          int64_t sort_key, const struct marjoram_place *place)
 {
-  int64_t ahead = marjoram_wait_queue_ahead (gateway->queue, service, turn);
+  int64_t ahead
+      = marjoram_wait_queue_ahead (gateway->queue, service, sort_key);
 
   if (place->tokens_per_ms <= 0)
     return place->over_ms;
@@ -45,24 +46,24 @@
    wait up to its deadline instead of the latency target, since cutting it
    would lose it.  */
 static int64_t
-last_start (const struct marjoram_exchange *exchange,
-            const struct marjoram_place *chosen)
+latest_start (const struct marjoram_exchange *exchange,
+              const struct marjoram_place *chosen)
 {
   const int64_t answer_by
       = is_broken_off (exchange) ? exchange->due_at : exchange->useful_by;
 
-  return answer_by - ANSWER_MS
-         - read_ms (chosen, chosen->engine_tokens_per_ms);
+  return answer_by - RESPONSE_OVERHEAD_MS
+         - prompt_ms (chosen, chosen->engine_tokens_per_ms);
 }
 
 static int64_t
-turn_of (const struct marjoram_exchange *exchange,
-         const struct marjoram_place *chosen)
+sort_key_of (const struct marjoram_exchange *exchange,
+             const struct marjoram_place *chosen)
 {
-  return marjoram_wait_queue_turn (exchange->priority,
-                                   is_broken_off (exchange)
-                                       ? exchange->last_at + RESUME_FIRST_MS
-                                       : last_start (exchange, chosen));
+  return marjoram_wait_queue_turn (
+      exchange->priority, is_broken_off (exchange)
+                              ? exchange->last_event_at + RESUME_FIRST_MS
+                              : latest_start (exchange, chosen));
 }
 
 bool
@@ -70,29 +71,30 @@
                                const struct marjoram_exchange *exchange,
                                const struct marjoram_place *chosen)
 {
-  int64_t turn;
+  int64_t sort_key;
 
-  if (exchange->waiter.waits || chosen->tokens_per_ms <= 0)
+  if (exchange->waiter.queued || chosen->tokens_per_ms <= 0)
     return true;
-  turn = turn_of (exchange, chosen);
-  return marjoram_wait_queue_ahead (gateway->queue, exchange->service, turn)
+  sort_key = sort_key_of (exchange, chosen);
+  return marjoram_wait_queue_ahead (gateway->queue, exchange->service,
+                                    sort_key)
          == 0;
 }
 
 /* Whether a queued exchange may remain queued.  */
 static bool
-wait_on (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-         int64_t now, const struct marjoram_place *chosen)
+keep_waiting (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+              int64_t now, const struct marjoram_place *chosen)
 {
   struct marjoram_waiter *waiter = &exchange->waiter;
   const int64_t later
       = marjoram_wait_queue_turn (exchange->priority, waiter->start_by);
 
-  if (is_broken_off (exchange) && waiter->turn < later
-      && now >= exchange->waits_since + RESUME_FIRST_MS)
+  if (is_broken_off (exchange) && waiter->sort_key < later
+      && now >= exchange->queued_since + RESUME_FIRST_MS)
     {
       marjoram_wait_queue_remove (gateway->queue, waiter);
-      waiter->turn = later;
+      waiter->sort_key = later;
       marjoram_wait_queue_add (gateway->queue, waiter);
     }
   /* Paused upstreams return; a service without any does not recover in
@@ -104,8 +106,8 @@
    are paused their speed is unknown; only interrupted streams wait for
    them.  */
 static bool
-may_come (const struct marjoram_exchange *exchange,
-          const struct marjoram_place *chosen)
+may_get_place (const struct marjoram_exchange *exchange,
+               const struct marjoram_place *chosen)
 {
   if (is_broken_off (exchange) && chosen->outcome == MARJORAM_PLACE_NONE)
     return chosen->candidates > 0;
@@ -121,20 +123,20 @@
 {
   struct marjoram_waiter *waiter = &exchange->waiter;
 
-  if (waiter->waits)
-    return wait_on (gateway, exchange, now, chosen);
-  if (!may_come (exchange, chosen)
-      || marjoram_wait_queue_count (gateway->queue) >= WAITERS_MAX)
+  if (waiter->queued)
+    return keep_waiting (gateway, exchange, now, chosen);
+  if (!may_get_place (exchange, chosen)
+      || marjoram_wait_queue_count (gateway->queue) >= QUEUE_MAX)
     return false;
   waiter->owner = exchange;
   waiter->service = exchange->service;
-  waiter->start_by = last_start (exchange, chosen);
-  waiter->turn = turn_of (exchange, chosen);
-  exchange->waits_since = now;
+  waiter->start_by = latest_start (exchange, chosen);
+  waiter->sort_key = sort_key_of (exchange, chosen);
+  exchange->queued_since = now;
   waiter->tokens = chosen->unread_tokens;
   if (now
-          + marjoram_gateway_wait_ms (gateway, exchange->service, waiter->turn,
-                                      chosen)
+          + marjoram_gateway_wait_ms (gateway, exchange->service,
+                                      waiter->sort_key, chosen)
       >= waiter->start_by)
     return false;
   marjoram_wait_queue_add (gateway->queue, waiter);
@@ -146,7 +148,7 @@
 {
   struct marjoram_waiter *waiter = marjoram_wait_queue_first (gateway->queue);
 
-  for (int i = 0; waiter && i < TRIES_MAX; i++)
+  for (int i = 0; waiter && i < RETRIES_PER_TICK_MAX; i++)
     {
       struct marjoram_waiter *next = marjoram_wait_queue_next (waiter);
 
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -8,12 +8,12 @@
 {
   /* Time by which a request of the next lower priority must be more pressing
      to go first.  Longer than a burst, shorter than the latency targets.  */
-  RANK_MS = 1000
+  PRIORITY_STEP_MS = 1000
 };
 
 struct marjoram_wait_queue
 {
-  TAILQ_HEAD (waiter_list, marjoram_waiter) waiters; /* sorted by turn */
+  TAILQ_HEAD (waiter_list, marjoram_waiter) waiters; /* sorted by sort_key */
   int64_t count;
 };
 
@@ -35,7 +35,7 @@
 int64_t
 marjoram_wait_queue_turn (int priority, int64_t start_by)
 {
-  return start_by + (int64_t)priority * RANK_MS;
+  return start_by + (int64_t)priority * PRIORITY_STEP_MS;
 }
 
 void
@@ -44,10 +44,10 @@
 {
   struct marjoram_waiter *after;
 
-  waiter->waits = true;
+  waiter->queued = true;
   queue->count++;
   TAILQ_FOREACH_REVERSE (after, &queue->waiters, waiter_list, link)
-  if (after->turn <= waiter->turn)
+  if (after->sort_key <= waiter->sort_key)
     {
       TAILQ_INSERT_AFTER (&queue->waiters, after, waiter, link);
       return;
@@ -59,9 +59,9 @@
 marjoram_wait_queue_remove (marjoram_wait_queue *queue,
                             struct marjoram_waiter *waiter)
 {
-  if (!waiter->waits)
+  if (!waiter->queued)
     return;
-  waiter->waits = false;
+  waiter->queued = false;
   queue->count--;
   TAILQ_REMOVE (&queue->waiters, waiter, link);
 }
@@ -86,14 +86,14 @@
 
 int64_t
 marjoram_wait_queue_ahead (const marjoram_wait_queue *queue,
-                           const char *service, int64_t turn)
+                           const char *service, int64_t sort_key)
 {
   const struct marjoram_waiter *waiter;
   int64_t tokens = 0;
 
   TAILQ_FOREACH (waiter, &queue->waiters, link)
   {
-    if (waiter->turn >= turn)
+    if (waiter->sort_key >= sort_key)
       break;
     if (strcmp (waiter->service, service) == 0)
       tokens += waiter->tokens;
--- a/src/wait_queue.h
+++ b/src/wait_queue.h
@@ -2,9 +2,9 @@
    determines their order and the estimated wait of a new request.  A pure data
    structure.
 
-   Requests are ordered by the latest useful start time plus RANK_MS for each
-   priority level.  So more urgent requests go first, unless a less urgent one
-   has RANK_MS less time left; this prevents starvation.  */
+   Requests are ordered by the latest useful start time plus PRIORITY_STEP_MS
+   for each priority level.  So more urgent requests go first, unless a less
+   urgent one has PRIORITY_STEP_MS less time left; this prevents starvation. */
 #ifndef MARJORAM_WAIT_QUEUE_H
 #define MARJORAM_WAIT_QUEUE_H
 
@@ -18,10 +18,10 @@
 struct marjoram_waiter
 {
   TAILQ_ENTRY (marjoram_waiter) link;
-  bool waits;
+  bool queued;
   const char *service; /* borrowed while queued */
   int64_t start_by;    /* ms; latest useful start */
-  int64_t turn;        /* ms; sort key, lowest first */
+  int64_t sort_key;    /* ms; sort key, lowest first */
   int64_t tokens;      /* prompt tokens to be processed */
   void *owner;
 };
@@ -30,7 +30,8 @@
 void marjoram_wait_queue_destroy (marjoram_wait_queue *queue);
 /* Sort key of a request of PRIORITY, 0 being the most urgent.  */
 int64_t marjoram_wait_queue_turn (int priority, int64_t start_by);
-/* The caller has set OWNER, SERVICE, START_BY, TURN and TOKENS of WAITER.  */
+/* The caller has set OWNER, SERVICE, START_BY, SORT_KEY and TOKENS of WAITER.
+ */
 void marjoram_wait_queue_add (marjoram_wait_queue *queue,
                               struct marjoram_waiter *waiter);
 /* Does nothing if WAITER is not queued.  */
@@ -42,8 +43,8 @@
 struct marjoram_waiter *
 marjoram_wait_queue_next (const struct marjoram_waiter *waiter);
 int64_t marjoram_wait_queue_count (const marjoram_wait_queue *queue);
-/* Sum of the tokens queued for SERVICE before sort key TURN.  */
+/* Sum of the tokens queued for SERVICE before SORT_KEY.  */
 int64_t marjoram_wait_queue_ahead (const marjoram_wait_queue *queue,
-                                   const char *service, int64_t turn);
+                                   const char *service, int64_t sort_key);
 
 #endif
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -26,7 +26,7 @@
 
   made.service = service;
   made.start_by = start_by;
-  made.turn = marjoram_wait_queue_turn (priority, start_by);
+  made.sort_key = marjoram_wait_queue_turn (priority, start_by);
   made.tokens = tokens;
   return made;
 }
