--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -19,9 +19,9 @@
   SIGNALS = 3, /* SIGTERM, SIGINT, SIGHUP */
   TICK_MS = 25,
   /* Validity of host state relayed by keepers, which send it every 20 s.  */
-  TOLD_VALID_MS = 27000,
+  RELAYED_VALID_MS = 27000,
   /* Interval at which the settings file is checked for changes.  */
-  SETTINGS_LOOK_MS = 1000,
+  SETTINGS_CHECK_MS = 1000,
   /* Time left before the drain limit for socket buffers to be written.  */
   EXIT_MARGIN_MS = 400,
   STATUS_OK = 200
@@ -37,7 +37,7 @@
   char *settings_path;
   struct marjoram_gateway_settings *settings;
   struct stat settings_stat;
-  int64_t settings_looked_at;
+  int64_t settings_checked_at;
   struct event_base *base;
   struct marjoram_clock *clock;
   marjoram_metrics *metrics;
@@ -192,14 +192,14 @@
 }
 
 static void
-look_at_settings (marjoram_gateway_daemon *daemon, int64_t now)
+check_settings_file (marjoram_gateway_daemon *daemon, int64_t now)
 {
   struct stat is;
   const struct stat *was = &daemon->settings_stat;
 
-  if (now < daemon->settings_looked_at + SETTINGS_LOOK_MS)
+  if (now < daemon->settings_checked_at + SETTINGS_CHECK_MS)
     return;
-  daemon->settings_looked_at = now;
+  daemon->settings_checked_at = now;
   if (stat (daemon->settings_path, &is) == 0
       && (is.st_mtim.tv_sec != was->st_mtim.tv_sec
           || is.st_mtim.tv_nsec != was->st_mtim.tv_nsec
@@ -231,7 +231,7 @@
   (void)what;
   marjoram_host_links_tick (daemon->links, now);
   daemon->role->ops->tick (daemon->role, now);
-  look_at_settings (daemon, now);
+  check_settings_file (daemon, now);
   check_stopped (daemon, now);
   marjoram_event_log_flush ();
 }
@@ -338,7 +338,7 @@
   daemon->metrics = marjoram_metrics_create ();
   daemon->hosts = marjoram_host_list_create ();
   if (settings->role == MARJORAM_ROLE_ENTRY)
-    marjoram_host_list_set_told_valid (daemon->hosts, TOLD_VALID_MS);
+    marjoram_host_list_set_told_valid (daemon->hosts, RELAYED_VALID_MS);
   daemon->asks = marjoram_ask_server_create (daemon->base, &ask_ops, daemon);
   daemon->links = marjoram_host_links_create (
       daemon->base, daemon->clock, settings, new_incarnation (daemon->clock),
