--- a/src/gateway_settings.c
+++ b/src/gateway_settings.c
@@ -16,43 +16,43 @@
   DISK_LOSSES_MAX = 5 /* requires eleven keepers */
 };
 
-#define PLACE(member) offsetof (struct marjoram_gateway_settings, member)
+#define FIELD(member) offsetof (struct marjoram_gateway_settings, member)
 
 static const char *const roles[] = { "entry", "keeper", NULL };
 
 static const struct marjoram_ini_key gateway_keys[] = {
-  { "role", MARJORAM_INI_WORD, PLACE (role), NULL, 0, 0, roles },
-  { "name", MARJORAM_INI_NAME, PLACE (name), NULL, 0, 0, NULL },
-  { "ip", MARJORAM_INI_NAME, PLACE (ip), NULL, 0, 0, NULL },
-  { "zone", MARJORAM_INI_LABEL, PLACE (zone), NULL, 0, 0, NULL },
-  { "region", MARJORAM_INI_LABEL, PLACE (region), NULL, 0, 0, NULL },
-  { "data_folder", MARJORAM_INI_TEXT, PLACE (data_folder), "", 1,
+  { "role", MARJORAM_INI_WORD, FIELD (role), NULL, 0, 0, roles },
+  { "name", MARJORAM_INI_NAME, FIELD (name), NULL, 0, 0, NULL },
+  { "ip", MARJORAM_INI_NAME, FIELD (ip), NULL, 0, 0, NULL },
+  { "zone", MARJORAM_INI_LABEL, FIELD (zone), NULL, 0, 0, NULL },
+  { "region", MARJORAM_INI_LABEL, FIELD (region), NULL, 0, 0, NULL },
+  { "data_folder", MARJORAM_INI_TEXT, FIELD (data_folder), "", 1,
     PATH_TEXT_MAX, NULL },
-  { "first_start", MARJORAM_INI_BOOL, PLACE (first_start), "no", 0, 0, NULL },
+  { "first_start", MARJORAM_INI_BOOL, FIELD (first_start), "no", 0, 0, NULL },
 };
 
 static const struct marjoram_ini_key listen_keys[] = {
-  { "link", MARJORAM_INI_ADDRESS, PLACE (link_address), NULL, 0, 0, NULL },
-  { "metrics", MARJORAM_INI_ADDRESS, PLACE (metrics_address), "", 0, 0, NULL },
-  { "entry", MARJORAM_INI_ADDRESS, PLACE (entry_address), "", 0, 0, NULL },
-  { "ready", MARJORAM_INI_ADDRESS, PLACE (ready_address), "", 0, 0, NULL },
-  { "control", MARJORAM_INI_ADDRESS, PLACE (control_address), "", 0, 0, NULL },
-  { "lookup", MARJORAM_INI_ADDRESS, PLACE (lookup_address), "", 0, 0, NULL },
+  { "link", MARJORAM_INI_ADDRESS, FIELD (link_address), NULL, 0, 0, NULL },
+  { "metrics", MARJORAM_INI_ADDRESS, FIELD (metrics_address), "", 0, 0, NULL },
+  { "entry", MARJORAM_INI_ADDRESS, FIELD (entry_address), "", 0, 0, NULL },
+  { "ready", MARJORAM_INI_ADDRESS, FIELD (ready_address), "", 0, 0, NULL },
+  { "control", MARJORAM_INI_ADDRESS, FIELD (control_address), "", 0, 0, NULL },
+  { "lookup", MARJORAM_INI_ADDRESS, FIELD (lookup_address), "", 0, 0, NULL },
 };
 
 /* Default repeat budget: 20 % of the requests plus 10 in 10 s.  */
 static const struct marjoram_ini_key limit_keys[] = {
-  { "repeat_ratio", MARJORAM_INI_REAL, PLACE (repeat_ratio), "0.2", 0, 1,
+  { "repeat_ratio", MARJORAM_INI_REAL, FIELD (repeat_ratio), "0.2", 0, 1,
     NULL },
-  { "repeat_allowance", MARJORAM_INI_REAL, PLACE (repeat_allowance), "10", 0,
+  { "repeat_allowance", MARJORAM_INI_REAL, FIELD (repeat_allowance), "10", 0,
     ALLOWANCE_MAX, NULL },
-  { "repeat_window_ms", MARJORAM_INI_WHOLE, PLACE (repeat_window_ms), "10000",
+  { "repeat_window_ms", MARJORAM_INI_WHOLE, FIELD (repeat_window_ms), "10000",
     100, HOUR_MS, NULL },
-  { "drain_limit_ms", MARJORAM_INI_WHOLE, PLACE (drain_limit_ms), "8000", 1000,
+  { "drain_limit_ms", MARJORAM_INI_WHOLE, FIELD (drain_limit_ms), "8000", 1000,
     HOUR_MS, NULL },
-  { "lookup_valid_s", MARJORAM_INI_WHOLE, PLACE (lookup_valid_s), "2", 1,
+  { "lookup_valid_s", MARJORAM_INI_WHOLE, FIELD (lookup_valid_s), "2", 1,
     LOOKUP_VALID_MAX_S, NULL },
-  { "disk_losses", MARJORAM_INI_WHOLE, PLACE (disk_losses), "1", 0,
+  { "disk_losses", MARJORAM_INI_WHOLE, FIELD (disk_losses), "1", 0,
     DISK_LOSSES_MAX, NULL },
 };
 
@@ -64,7 +64,7 @@
   const struct marjoram_ini_key *keys; /* null: free-form keys */
   size_t key_count;
   bool required;
-} kinds[] = {
+} section_kinds[] = {
   { "gateway", gateway_keys, COUNT (gateway_keys), true },
   { "listen", listen_keys, COUNT (listen_keys), true },
   { "limits", limit_keys, COUNT (limit_keys), false },
@@ -73,10 +73,10 @@
 };
 
 static bool
-known_kind (const char *name)
+is_known_section (const char *name)
 {
-  for (size_t i = 0; i < COUNT (kinds); i++)
-    if (strcmp (kinds[i].name, name) == 0)
+  for (size_t i = 0; i < COUNT (section_kinds); i++)
+    if (strcmp (section_kinds[i].name, name) == 0)
       return true;
   return false;
 }
@@ -85,7 +85,7 @@
 check_sections (const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
   for (size_t i = 0; i < file->section_count; i++)
-    if (!known_kind (file->sections[i].kind))
+    if (!is_known_section (file->sections[i].kind))
       marjoram_faults_add (faults, file->path, file->sections[i].line,
                            "unknown section [%s]; remove it or use one of: "
                            "gateway listen limits seeds zones",
@@ -155,8 +155,8 @@
 }
 
 static void
-require (const struct marjoram_ini_file *file, marjoram_faults *faults,
-         const char *role, const char *key, const char *value)
+require_address (const struct marjoram_ini_file *file, marjoram_faults *faults,
+                 const char *role, const char *key, const char *value)
 {
   const struct marjoram_ini_section *section
       = marjoram_ini_section (file, "listen");
@@ -174,12 +174,15 @@
 {
   if (settings->role == MARJORAM_ROLE_ENTRY)
     {
-      require (file, faults, "entry", "entry", settings->entry_address);
-      require (file, faults, "entry", "ready", settings->ready_address);
+      require_address (file, faults, "entry", "entry",
+                       settings->entry_address);
+      require_address (file, faults, "entry", "ready",
+                       settings->ready_address);
       return;
     }
-  require (file, faults, "keeper", "control", settings->control_address);
-  require (file, faults, "keeper", "lookup", settings->lookup_address);
+  require_address (file, faults, "keeper", "control",
+                   settings->control_address);
+  require_address (file, faults, "keeper", "lookup", settings->lookup_address);
   if (!settings->data_folder)
     marjoram_faults_add (faults, file->path, 0,
                          "role keeper requires persistent storage; add "
@@ -210,17 +213,19 @@
   static struct marjoram_ini_section absent;
 
   check_sections (file, faults);
-  for (size_t i = 0; i < COUNT (kinds); i++)
+  for (size_t i = 0; i < COUNT (section_kinds); i++)
     {
       const struct marjoram_ini_section *section
-          = marjoram_ini_section (file, kinds[i].name);
+          = marjoram_ini_section (file, section_kinds[i].name);
 
-      if (!section && kinds[i].required)
+      if (!section && section_kinds[i].required)
         marjoram_faults_add (faults, file->path, 0,
-                             "section [%s] is missing; add it", kinds[i].name);
-      else if (kinds[i].keys)
-        marjoram_ini_read (file, section ? section : &absent, kinds[i].keys,
-                           kinds[i].key_count, settings, faults);
+                             "section [%s] is missing; add it",
+                             section_kinds[i].name);
+      else if (section_kinds[i].keys)
+        marjoram_ini_read (file, section ? section : &absent,
+                           section_kinds[i].keys, section_kinds[i].key_count,
+                           settings, faults);
     }
   read_seeds (settings, file, faults);
   read_zones (settings, file, faults);
--- a/test/test_gateway_settings.c
+++ b/test/test_gateway_settings.c
@@ -58,7 +58,7 @@
   static const struct
   {
     const char *text;
-    const char *told;
+    const char *expected;
   } cases[] = {
     { HEAD ("boss") TAIL, "write one of: entry keeper" },
     { HEAD ("entry") TAIL, "section [listen] is missing" },
@@ -92,8 +92,8 @@
       char *faults = NULL;
 
       ck_assert_msg (!load (cases[i].text, &faults, &err), "case %zu", i);
-      ck_assert_msg (faults && strstr (faults, cases[i].told), "case %zu: %s",
-                     i, faults ? faults : "");
+      ck_assert_msg (faults && strstr (faults, cases[i].expected),
+                     "case %zu: %s", i, faults ? faults : "");
       free (faults);
     }
 }
