--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -20,7 +20,7 @@
 #define RESERVE 0.15
 /* Usage, as a share of the host's own bound or of the total bound, above which
    a host requests the sums.  */
-#define ASK_SHARE 0.3
+#define SUMS_REQUEST_SHARE 0.3
 
 struct account
 {
@@ -80,7 +80,7 @@
 }
 
 static struct account *
-open_account (marjoram_repeat_budget *budget, const char *service, int64_t now)
+get_account (marjoram_repeat_budget *budget, const char *service, int64_t now)
 {
   int64_t step = now / (budget->terms.window_ms / STEPS);
   struct account *account;
@@ -109,7 +109,7 @@
 marjoram_repeat_budget_request (marjoram_repeat_budget *budget, int64_t now,
                                 const char *service)
 {
-  struct account *account = open_account (budget, service, now);
+  struct account *account = get_account (budget, service, now);
 
   account->requests[account->step % (STEPS + 1)]++;
 }
@@ -153,7 +153,7 @@
 marjoram_repeat_budget_take (marjoram_repeat_budget *budget, int64_t now,
                              const char *service, size_t hosts)
 {
-  struct account *account = open_account (budget, service, now);
+  struct account *account = get_account (budget, service, now);
 
   account->own_bound
       = budget->terms.allowance / (double)(hosts ? hosts : 1)
@@ -182,13 +182,14 @@
 
     if (count == max)
       break;
-    open_account (budget, account->service, now);
+    get_account (budget, account->service, now);
     use->service = account->service;
     use->requests = count_requests (account);
     use->repeats = count_repeats (account);
-    use->asks = use->repeats > 0
-                && ((double)use->repeats >= ASK_SHARE * account->own_bound
-                    || account->spent_share > ASK_SHARE);
+    use->asks
+        = use->repeats > 0
+          && ((double)use->repeats >= SUMS_REQUEST_SHARE * account->own_bound
+              || account->spent_share > SUMS_REQUEST_SHARE);
     count += use->requests > 0 || use->repeats > 0;
   }
   return count;
--- a/test/test_repeat_budget.c
+++ b/test/test_repeat_budget.c
@@ -61,63 +61,63 @@
   MOVING_RATE = 1000,
   MOVES_AT_MS = 13000,
   FAILS_AT_MS = 8000,
-  DAY_MS = 24000,
+  RUN_MS = 24000,
   STEP_MS = 10,
   BEAT_MS = 300
 };
 
 /* Counts per STEP_MS, summed over the hosts.  */
-struct moving_day
+struct load_shift
 {
   marjoram_repeat_budget *budgets[MOVING_HOSTS];
   marjoram_repeat_sums_list *keeper;
-  int requests[DAY_MS / STEP_MS];
-  int repeats[DAY_MS / STEP_MS];
+  int requests[RUN_MS / STEP_MS];
+  int repeats[RUN_MS / STEP_MS];
 };
 
 static void
-play_request (struct moving_day *day, int64_t now, int number)
+simulate_request (struct load_shift *shift, int64_t now, int number)
 {
   int half = now < MOVES_AT_MS ? 0 : MOVING_HOSTS / 2;
   int host = half + number % (MOVING_HOSTS / 2);
   bool fails = now >= FAILS_AT_MS && number / MOVING_HOSTS % 2 == 0;
-  marjoram_repeat_budget *budget = day->budgets[host];
+  marjoram_repeat_budget *budget = shift->budgets[host];
 
   marjoram_repeat_budget_request (budget, now, "lm");
-  day->requests[now / STEP_MS]++;
+  shift->requests[now / STEP_MS]++;
   if (fails && marjoram_repeat_budget_take (budget, now, "lm", MOVING_HOSTS))
-    day->repeats[now / STEP_MS]++;
+    shift->repeats[now / STEP_MS]++;
 }
 
 static void
-play_beat (struct moving_day *day, int64_t now, int host)
+simulate_beat (struct load_shift *shift, int64_t now, int host)
 {
   struct marjoram_repeat_use uses[MARJORAM_REPEAT_USES_MAX];
   struct marjoram_repeat_use answered[MARJORAM_REPEAT_USES_MAX];
-  struct marjoram_array told = { uses, 0 };
+  struct marjoram_array reported = { uses, 0 };
   struct marjoram_repeat_sums sums = { 0, { answered, 0 } };
   char name[16];
 
-  told.count = marjoram_repeat_budget_uses (day->budgets[host], now, uses,
-                                            MARJORAM_REPEAT_USES_MAX);
+  reported.count = marjoram_repeat_budget_uses (
+      shift->budgets[host], now, uses, MARJORAM_REPEAT_USES_MAX);
   snprintf (name, sizeof name, "h-%d", host);
-  marjoram_repeat_sums_list_hear (day->keeper, now, name, &told);
-  marjoram_repeat_sums_list_answer (day->keeper, &told, &sums);
-  marjoram_repeat_budget_hear (day->budgets[host], now, &sums);
+  marjoram_repeat_sums_list_hear (shift->keeper, now, name, &reported);
+  marjoram_repeat_sums_list_answer (shift->keeper, &reported, &sums);
+  marjoram_repeat_budget_hear (shift->budgets[host], now, &sums);
 }
 
 static void
-play_moving_day (struct moving_day *day)
+simulate_load_shift (struct load_shift *shift)
 {
   int next = 0;
 
-  for (int64_t now = 0; now < DAY_MS; now += STEP_MS)
+  for (int64_t now = 0; now < RUN_MS; now += STEP_MS)
     {
       for (int i = 0; i < MOVING_RATE * STEP_MS / 1000; i++)
-        play_request (day, now, next++);
+        simulate_request (shift, now, next++);
       for (int i = 0; i < MOVING_HOSTS; i++)
         if ((now / STEP_MS + i) % (BEAT_MS / STEP_MS) == 0)
-          play_beat (day, now, i);
+          simulate_beat (shift, now, i);
     }
 }
 
@@ -127,7 +127,7 @@
   int sum = 0;
 
   for (int64_t at = from_ms; at < from_ms + WINDOW_MS; at += STEP_MS)
-    sum += at >= 0 && at < DAY_MS ? counts[at / STEP_MS] : 0;
+    sum += at >= 0 && at < RUN_MS ? counts[at / STEP_MS] : 0;
   return sum;
 }
 
@@ -135,26 +135,26 @@
    groups may spend their shares in one window.  */
 START_TEST (load_that_moves_between_hosts_stays_within_the_bound)
 {
-  struct moving_day *day = marjoram_alloc (sizeof *day);
+  struct load_shift *shift = marjoram_alloc (sizeof *shift);
 
-  day->keeper = marjoram_repeat_sums_list_create ();
+  shift->keeper = marjoram_repeat_sums_list_create ();
   for (int i = 0; i < MOVING_HOSTS; i++)
-    day->budgets[i] = marjoram_repeat_budget_create (&terms);
-  play_moving_day (day);
-  for (int64_t from = 0; from + WINDOW_MS <= DAY_MS; from += STEP_MS)
+    shift->budgets[i] = marjoram_repeat_budget_create (&terms);
+  simulate_load_shift (shift);
+  for (int64_t from = 0; from + WINDOW_MS <= RUN_MS; from += STEP_MS)
     {
-      int repeats = count_window (day->repeats, from);
-      double bound
-          = terms.ratio * count_window (day->requests, from) + terms.allowance;
+      int repeats = count_window (shift->repeats, from);
+      double bound = terms.ratio * count_window (shift->requests, from)
+                     + terms.allowance;
 
       ck_assert_msg (repeats <= bound, "%d repeats from %d ms, allowed %g",
                      repeats, (int)from, bound);
     }
-  ck_assert_int_gt (count_window (day->repeats, FAILS_AT_MS), 1700);
+  ck_assert_int_gt (count_window (shift->repeats, FAILS_AT_MS), 1700);
   for (int i = 0; i < MOVING_HOSTS; i++)
-    marjoram_repeat_budget_destroy (day->budgets[i]);
-  marjoram_repeat_sums_list_destroy (day->keeper);
-  free (day);
+    marjoram_repeat_budget_destroy (shift->budgets[i]);
+  marjoram_repeat_sums_list_destroy (shift->keeper);
+  free (shift);
 }
 END_TEST
 
