--- a/src/repeat_sums.c
+++ b/src/repeat_sums.c
@@ -9,7 +9,7 @@
 enum
 {
   /* Window of the repeat budget, after which a report has no effect.  */
-  FORGET_MS = 10000
+  REPORT_VALID_MS = 10000
 };
 
 struct sum
@@ -31,10 +31,10 @@
 {
   TAILQ_ENTRY (reporter) link;
   char *host;
-  int64_t heard_at;
+  int64_t updated_at;
   struct host_use *uses;
   size_t count;
-  size_t room; /* allocated uses */
+  size_t capacity; /* allocated uses */
   UT_hash_handle hh;
 };
 
@@ -55,7 +55,7 @@
 }
 
 static void
-take_off (struct reporter *reporter)
+subtract_report (struct reporter *reporter)
 {
   for (size_t i = 0; i < reporter->count; i++)
     {
@@ -68,9 +68,9 @@
 }
 
 static void
-forget (marjoram_repeat_sums_list *list, struct reporter *reporter)
+remove_reporter (marjoram_repeat_sums_list *list, struct reporter *reporter)
 {
-  take_off (reporter);
+  subtract_report (reporter);
   /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, list->by_host, reporter);
   TAILQ_REMOVE (&list->by_age, reporter, link);
@@ -89,7 +89,7 @@
     return;
   while (!TAILQ_EMPTY (&list->by_age))
     /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget (list, TAILQ_FIRST (&list->by_age));
+    remove_reporter (list, TAILQ_FIRST (&list->by_age));
   HASH_ITER (hh, list->sums, sum, next)
   {
     /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
@@ -135,34 +135,34 @@
 }
 
 static void
-make_room (struct reporter *reporter, size_t count)
+reserve_uses (struct reporter *reporter, size_t count)
 {
-  if (count <= reporter->room)
+  if (count <= reporter->capacity)
     return;
   free (reporter->uses);
   reporter->uses = marjoram_alloc (count * sizeof *reporter->uses);
-  reporter->room = count;
+  reporter->capacity = count;
 }
 
 static void
-add (struct reporter *reporter, struct sum *sum,
-     const struct marjoram_repeat_use *told)
+add_use (struct reporter *reporter, struct sum *sum,
+         const struct marjoram_repeat_use *reported)
 {
-  sum->requests += told->requests;
-  sum->repeats += told->repeats;
+  sum->requests += reported->requests;
+  sum->repeats += reported->repeats;
   reporter->uses[reporter->count++]
-      = (struct host_use){ sum, told->requests, told->repeats };
+      = (struct host_use){ sum, reported->requests, reported->repeats };
 }
 
 static void
-forget_silent (marjoram_repeat_sums_list *list, int64_t now)
+expire_reporters (marjoram_repeat_sums_list *list, int64_t now)
 {
   struct reporter *oldest;
 
   while ((oldest = TAILQ_FIRST (&list->by_age))
          /* False positive in list macros.  NOLINTNEXTLINE(clang-analyzer-*) */
-         && now - oldest->heard_at > FORGET_MS)
-    forget (list, oldest);
+         && now - oldest->updated_at > REPORT_VALID_MS)
+    remove_reporter (list, oldest);
 }
 
 void
@@ -173,13 +173,13 @@
   const struct marjoram_repeat_use *items = uses->items;
   struct reporter *reporter = find_reporter (list, host);
 
-  reporter->heard_at = now;
-  take_off (reporter);
-  make_room (reporter, uses->count);
+  reporter->updated_at = now;
+  subtract_report (reporter);
+  reserve_uses (reporter, uses->count);
   for (size_t i = 0; i < uses->count; i++)
     if (items[i].service)
-      add (reporter, find_sum (list, items[i].service), &items[i]);
-  forget_silent (list, now);
+      add_use (reporter, find_sum (list, items[i].service), &items[i]);
+  expire_reporters (list, now);
 }
 
 void
