--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -14,7 +14,7 @@
 {
   /* Crashes after which a request is refused.  Above two, since a power loss
      of a region can hit a harmless request and its retry.  */
-  CONVICTING = 3,
+  CRASH_LIMIT = 3,
   /* Covers retries by the caller within seconds and by hand within
      minutes.  */
   KEEP_MS = 10 * 60 * 1000,
@@ -22,13 +22,13 @@
      of 24 slots that crash together, with a margin.  */
   ENTRIES_MAX = 4096,
   /* Slots of the direct-mapped cache of recently answered requests.  */
-  ANSWERED = 1024
+  ANSWERED_SLOTS = 1024
 };
 
 struct entry
 {
   char digest[MARJORAM_DIGEST_TEXT + 1];
-  char lives[CONVICTING][MARJORAM_LIFE_MAX];
+  char instances[CRASH_LIMIT][MARJORAM_LIFE_MAX];
   size_t count;
   int64_t expires;
   UT_hash_handle hh;
@@ -36,20 +36,20 @@
 };
 
 /* One item of the next report.  */
-struct line
+struct report_item
 {
   char digest[MARJORAM_DIGEST_TEXT + 1];
   char life[MARJORAM_LIFE_MAX]; /* "" if it was answered */
-  STAILQ_ENTRY (line) link;
+  STAILQ_ENTRY (report_item) link;
 };
 
 struct marjoram_crash_list
 {
   struct entry *table;
   TAILQ_HEAD (, entry) entries;
-  STAILQ_HEAD (, line) lines;
-  size_t line_count;
-  uint64_t answered[ANSWERED];
+  STAILQ_HEAD (, report_item) report_items;
+  size_t report_item_count;
+  uint64_t answered[ANSWERED_SLOTS];
 };
 
 marjoram_crash_list *
@@ -58,7 +58,7 @@
   marjoram_crash_list *list = marjoram_alloc (sizeof *list);
 
   TAILQ_INIT (&list->entries);
-  STAILQ_INIT (&list->lines);
+  STAILQ_INIT (&list->report_items);
   return list;
 }
 
@@ -74,7 +74,7 @@
 }
 
 static void
-drop (marjoram_crash_list *list, struct entry *entry)
+remove_entry (marjoram_crash_list *list, struct entry *entry)
 {
   HASH_DEL (list->table, entry); /* NOLINT(clang-analyzer-*) */
   TAILQ_REMOVE (&list->entries, entry, link);
@@ -82,13 +82,13 @@
 }
 
 static void
-drop_line (marjoram_crash_list *list)
+remove_report_item (marjoram_crash_list *list)
 {
-  struct line *line = STAILQ_FIRST (&list->lines);
+  struct report_item *report_item = STAILQ_FIRST (&list->report_items);
 
-  STAILQ_REMOVE_HEAD (&list->lines, link);
-  list->line_count--;
-  free (line);
+  STAILQ_REMOVE_HEAD (&list->report_items, link);
+  list->report_item_count--;
+  free (report_item);
 }
 
 void
@@ -97,19 +97,19 @@
   if (!list)
     return;
   while (!TAILQ_EMPTY (&list->entries))
-    drop (list, TAILQ_FIRST (&list->entries));
-  while (!STAILQ_EMPTY (&list->lines))
-    drop_line (list);
+    remove_entry (list, TAILQ_FIRST (&list->entries));
+  while (!STAILQ_EMPTY (&list->report_items))
+    remove_report_item (list);
   free (list);
 }
 
 static struct entry *
-make (marjoram_crash_list *list, const char *digest)
+add_entry (marjoram_crash_list *list, const char *digest)
 {
   struct entry *entry;
 
   if (HASH_COUNT (list->table) >= ENTRIES_MAX)
-    drop (list, TAILQ_FIRST (&list->entries));
+    remove_entry (list, TAILQ_FIRST (&list->entries));
   entry = marjoram_alloc (sizeof *entry);
   snprintf (entry->digest, sizeof entry->digest, "%s", digest);
   HASH_ADD_STR (list->table, digest, entry);
@@ -125,16 +125,16 @@
   struct entry *entry = find (list, digest);
 
   if (!entry)
-    entry = make (list, digest);
+    entry = add_entry (list, digest);
   entry->expires = now + KEEP_MS;
   TAILQ_REMOVE (&list->entries, entry, link);
   TAILQ_INSERT_TAIL (&list->entries, entry, link);
   for (size_t i = 0; i < entry->count; i++)
-    if (strcmp (entry->lives[i], life) == 0)
+    if (strcmp (entry->instances[i], life) == 0)
       return false;
-  if (entry->count == CONVICTING)
+  if (entry->count == CRASH_LIMIT)
     return false;
-  snprintf (entry->lives[entry->count++], MARJORAM_LIFE_MAX, "%s", life);
+  snprintf (entry->instances[entry->count++], MARJORAM_LIFE_MAX, "%s", life);
   return true;
 }
 
@@ -142,7 +142,7 @@
 
 /* First half of the digest as an integer.  */
 static uint64_t
-number_of (const char *digest)
+digest_prefix (const char *digest)
 {
   char start[MARJORAM_DIGEST_TEXT / 2 + 1] = "";
 
@@ -153,9 +153,9 @@
 static bool
 was_answered (const marjoram_crash_list *list, const char *digest)
 {
-  uint64_t number = number_of (digest);
+  uint64_t number = digest_prefix (digest);
 
-  return list->answered[number % ANSWERED] == number;
+  return list->answered[number % ANSWERED_SLOTS] == number;
 }
 
 /* ---- Local events. ---- */
@@ -163,14 +163,14 @@
 static void
 report (marjoram_crash_list *list, const char *digest, const char *life)
 {
-  struct line *line = marjoram_alloc (sizeof *line);
-
-  if (list->line_count == MARJORAM_CRASHES_MAX)
-    drop_line (list);
-  snprintf (line->digest, sizeof line->digest, "%s", digest);
-  snprintf (line->life, sizeof line->life, "%s", life);
-  STAILQ_INSERT_TAIL (&list->lines, line, link);
-  list->line_count++;
+  struct report_item *report_item = marjoram_alloc (sizeof *report_item);
+
+  if (list->report_item_count == MARJORAM_CRASHES_MAX)
+    remove_report_item (list);
+  snprintf (report_item->digest, sizeof report_item->digest, "%s", digest);
+  snprintf (report_item->life, sizeof report_item->life, "%s", life);
+  STAILQ_INSERT_TAIL (&list->report_items, report_item, link);
+  list->report_item_count++;
 }
 
 void
@@ -194,12 +194,12 @@
 marjoram_crash_list_answered (marjoram_crash_list *list, const char *digest)
 {
   struct entry *entry = find (list, digest);
-  uint64_t number = number_of (digest);
+  uint64_t number = digest_prefix (digest);
 
-  list->answered[number % ANSWERED] = number;
+  list->answered[number % ANSWERED_SLOTS] = number;
   if (!entry)
     return;
-  drop (list, entry);
+  remove_entry (list, entry);
   report (list, digest, "");
 }
 
@@ -209,21 +209,21 @@
 {
   const struct entry *entry = find (list, digest);
 
-  return entry && entry->count == CONVICTING && now < entry->expires;
+  return entry && entry->count == CRASH_LIMIT && now < entry->expires;
 }
 
 /* ---- Reports between hosts. ---- */
 
 static void
-hear (marjoram_crash_list *list, int64_t now,
-      const struct marjoram_crash_item *item)
+apply_item (marjoram_crash_list *list, int64_t now,
+            const struct marjoram_crash_item *item)
 {
   struct entry *entry = find (list, item->digest);
 
   if (!item->life || !*item->life)
     {
       if (entry)
-        drop (list, entry);
+        remove_entry (list, entry);
     }
   else if (was_answered (list, item->digest))
     report (list, item->digest, "");
@@ -233,62 +233,62 @@
 
 void
 marjoram_crash_list_hear (marjoram_crash_list *list, int64_t now,
-                          const struct marjoram_crash_report *heard)
+                          const struct marjoram_crash_report *received)
 {
-  const struct marjoram_crash_item *items = heard->items.items;
+  const struct marjoram_crash_item *items = received->items.items;
 
-  for (size_t i = 0; i < heard->items.count; i++)
+  for (size_t i = 0; i < received->items.count; i++)
     if (items[i].digest && strlen (items[i].digest) == MARJORAM_DIGEST_TEXT)
-      hear (list, now, &items[i]);
+      apply_item (list, now, &items[i]);
 }
 
 static void
-add_item (struct marjoram_crash_report *told, const char *digest,
+add_item (struct marjoram_crash_report *out, const char *digest,
           const char *life)
 {
-  struct marjoram_crash_item *items = told->items.items;
+  struct marjoram_crash_item *items = out->items.items;
 
-  if (told->items.count == MARJORAM_CRASHES_MAX)
+  if (out->items.count == MARJORAM_CRASHES_MAX)
     return;
-  items[told->items.count].digest = marjoram_strdup (digest);
-  items[told->items.count].life = marjoram_strdup (life);
-  told->items.count++;
+  items[out->items.count].digest = marjoram_strdup (digest);
+  items[out->items.count].life = marjoram_strdup (life);
+  out->items.count++;
 }
 
 bool
 marjoram_crash_list_take_report (marjoram_crash_list *list,
-                                 struct marjoram_crash_report *told)
+                                 struct marjoram_crash_report *out)
 {
-  const struct line *line;
+  const struct report_item *report_item;
 
-  told->items.count = 0;
-  told->items.items = NULL;
-  if (list->line_count == 0)
+  out->items.count = 0;
+  out->items.items = NULL;
+  if (list->report_item_count == 0)
     return false;
-  told->items.items = marjoram_alloc (list->line_count
-                                      * sizeof (struct marjoram_crash_item));
-  STAILQ_FOREACH (line, &list->lines, link)
-  add_item (told, line->digest, line->life);
-  while (!STAILQ_EMPTY (&list->lines))
-    drop_line (list);
+  out->items.items = marjoram_alloc (list->report_item_count
+                                     * sizeof (struct marjoram_crash_item));
+  STAILQ_FOREACH (report_item, &list->report_items, link)
+  add_item (out, report_item->digest, report_item->life);
+  while (!STAILQ_EMPTY (&list->report_items))
+    remove_report_item (list);
   return true;
 }
 
 void
 marjoram_crash_list_all (const marjoram_crash_list *list,
-                         struct marjoram_crash_report *told)
+                         struct marjoram_crash_report *out)
 {
   const struct entry *entry;
-  size_t room = HASH_COUNT (list->table) * CONVICTING;
+  size_t room = HASH_COUNT (list->table) * CRASH_LIMIT;
 
   if (room > MARJORAM_CRASHES_MAX)
     room = MARJORAM_CRASHES_MAX;
-  told->items.count = 0;
-  told->items.items
+  out->items.count = 0;
+  out->items.items
       = marjoram_alloc (room * sizeof (struct marjoram_crash_item));
   TAILQ_FOREACH (entry, &list->entries, link)
   for (size_t i = 0; i < entry->count; i++)
-    add_item (told, entry->digest, entry->lives[i]);
+    add_item (out, entry->digest, entry->instances[i]);
 }
 
 void
@@ -301,7 +301,7 @@
        entry = next)
     {
       next = TAILQ_NEXT (entry, link);
-      drop (list, entry);
+      remove_entry (list, entry);
     }
 }
 
--- a/src/crash_list.h
+++ b/src/crash_list.h
@@ -33,14 +33,14 @@
 
 /* Applies a report of another host.  */
 void marjoram_crash_list_hear (marjoram_crash_list *list, int64_t now,
-                               const struct marjoram_crash_report *heard);
+                               const struct marjoram_crash_report *received);
 /* Takes the changes since the last call, for the other hosts; returns false if
-   there are none.  TOLD is freed with marjoram_wire_clear.  */
+   there are none.  OUT is freed with marjoram_wire_clear.  */
 bool marjoram_crash_list_take_report (marjoram_crash_list *list,
-                                      struct marjoram_crash_report *told);
+                                      struct marjoram_crash_report *out);
 /* Reports all entries, for a host that has just started.  */
 void marjoram_crash_list_all (const marjoram_crash_list *list,
-                              struct marjoram_crash_report *told);
+                              struct marjoram_crash_report *out);
 /* Expires old entries; to be called several times a minute.  */
 void marjoram_crash_list_tick (marjoram_crash_list *list, int64_t now);
 size_t marjoram_crash_list_count (const marjoram_crash_list *list);
--- a/test/test_crash_list.c
+++ b/test/test_crash_list.c
@@ -5,8 +5,8 @@
 
 #include <stdio.h>
 
-#define KILLER "0123456789abcdef0123456789abcdef"
-#define INNOCENT "fedcba9876543210fedcba9876543210"
+#define CRASHING "0123456789abcdef0123456789abcdef"
+#define HARMLESS "fedcba9876543210fedcba9876543210"
 
 static marjoram_crash_list *list;
 
@@ -30,16 +30,16 @@
 
 /* Sends FROM's report to TO; returns the number of items.  */
 static size_t
-pass_on (marjoram_crash_list *from, marjoram_crash_list *to)
+send_report (marjoram_crash_list *from, marjoram_crash_list *to)
 {
-  struct marjoram_crash_report told;
+  struct marjoram_crash_report report;
   size_t count;
 
-  if (!marjoram_crash_list_take_report (from, &told))
+  if (!marjoram_crash_list_take_report (from, &report))
     return 0;
-  count = told.items.count;
-  marjoram_crash_list_hear (to, 0, &told);
-  marjoram_wire_clear (&marjoram_crash_report_layout, &told);
+  count = report.items.count;
+  marjoram_crash_list_hear (to, 0, &report);
+  marjoram_wire_clear (&marjoram_crash_report_layout, &report);
   return count;
 }
 
@@ -47,14 +47,14 @@
    refusing requests that ran beside it and were answered since.  */
 START_TEST (third_death_convicts)
 {
-  marjoram_crash_list_died (list, 0, KILLER, "u1", 5);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u1", 5);
-  marjoram_crash_list_answered (list, INNOCENT);
-  marjoram_crash_list_died (list, 0, KILLER, "u2", 5);
-  ck_assert (!convicts (KILLER));
-  marjoram_crash_list_died (list, 0, KILLER, "u3", 5);
-  ck_assert (convicts (KILLER));
-  ck_assert (!convicts (INNOCENT));
+  marjoram_crash_list_died (list, 0, CRASHING, "u1", 5);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u1", 5);
+  marjoram_crash_list_answered (list, HARMLESS);
+  marjoram_crash_list_died (list, 0, CRASHING, "u2", 5);
+  ck_assert (!convicts (CRASHING));
+  marjoram_crash_list_died (list, 0, CRASHING, "u3", 5);
+  ck_assert (convicts (CRASHING));
+  ck_assert (!convicts (HARMLESS));
 }
 END_TEST
 
@@ -63,11 +63,11 @@
 START_TEST (one_death_counts_once)
 {
   for (int i = 0; i < 5; i++)
-    marjoram_crash_list_died (list, 0, KILLER, "u1", 5);
-  ck_assert (!convicts (KILLER));
-  marjoram_crash_list_died (list, 0, KILLER, "u1", 6);
-  marjoram_crash_list_died (list, 0, KILLER, "u1", 7);
-  ck_assert (convicts (KILLER));
+    marjoram_crash_list_died (list, 0, CRASHING, "u1", 5);
+  ck_assert (!convicts (CRASHING));
+  marjoram_crash_list_died (list, 0, CRASHING, "u1", 6);
+  marjoram_crash_list_died (list, 0, CRASHING, "u1", 7);
+  ck_assert (convicts (CRASHING));
 }
 END_TEST
 
@@ -75,11 +75,11 @@
    ends it at all upstreams of a region.  */
 START_TEST (what_is_often_answered_is_not_convicted)
 {
-  marjoram_crash_list_answered (list, INNOCENT);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u1", 5);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u2", 5);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u3", 5);
-  ck_assert (!convicts (INNOCENT));
+  marjoram_crash_list_answered (list, HARMLESS);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u1", 5);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u2", 5);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u3", 5);
+  ck_assert (!convicts (HARMLESS));
 }
 END_TEST
 
@@ -88,15 +88,15 @@
 {
   marjoram_crash_list *other = marjoram_crash_list_create ();
 
-  marjoram_crash_list_answered (other, INNOCENT);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u1", 5);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u2", 5);
-  marjoram_crash_list_died (list, 0, INNOCENT, "u3", 5);
-  ck_assert (convicts (INNOCENT));
-  ck_assert_uint_eq (pass_on (list, other), 3);
-  ck_assert (!marjoram_crash_list_convicts (other, 0, INNOCENT));
-  ck_assert_uint_gt (pass_on (other, list), 0);
-  ck_assert (!convicts (INNOCENT));
+  marjoram_crash_list_answered (other, HARMLESS);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u1", 5);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u2", 5);
+  marjoram_crash_list_died (list, 0, HARMLESS, "u3", 5);
+  ck_assert (convicts (HARMLESS));
+  ck_assert_uint_eq (send_report (list, other), 3);
+  ck_assert (!marjoram_crash_list_convicts (other, 0, HARMLESS));
+  ck_assert_uint_gt (send_report (other, list), 0);
+  ck_assert (!convicts (HARMLESS));
   marjoram_crash_list_destroy (other);
 }
 END_TEST
@@ -108,15 +108,15 @@
   marjoram_crash_list *other = marjoram_crash_list_create ();
   struct marjoram_crash_report all;
 
-  marjoram_crash_list_died (list, 0, KILLER, "u1", 5);
-  marjoram_crash_list_died (list, 0, KILLER, "u2", 5);
-  marjoram_crash_list_died (other, 0, KILLER, "u3", 5);
-  ck_assert_uint_eq (pass_on (other, list), 1);
-  ck_assert (convicts (KILLER));
+  marjoram_crash_list_died (list, 0, CRASHING, "u1", 5);
+  marjoram_crash_list_died (list, 0, CRASHING, "u2", 5);
+  marjoram_crash_list_died (other, 0, CRASHING, "u3", 5);
+  ck_assert_uint_eq (send_report (other, list), 1);
+  ck_assert (convicts (CRASHING));
   /* A host that has just started receives all entries.  */
   marjoram_crash_list_all (list, &all);
   marjoram_crash_list_hear (other, 0, &all);
-  ck_assert (marjoram_crash_list_convicts (other, 0, KILLER));
+  ck_assert (marjoram_crash_list_convicts (other, 0, CRASHING));
   marjoram_wire_clear (&marjoram_crash_report_layout, &all);
   marjoram_crash_list_destroy (other);
 }
@@ -126,7 +126,7 @@
 START_TEST (malformed_news_name_nothing)
 {
   struct marjoram_crash_item items[]
-      = { { NULL, "u1/5" }, { "short", "u1/5" }, { KILLER, NULL } };
+      = { { NULL, "u1/5" }, { "short", "u1/5" }, { CRASHING, NULL } };
   const struct marjoram_crash_report heard = { { items, 3 } };
 
   marjoram_crash_list_hear (list, 0, &heard);
@@ -136,7 +136,7 @@
 
 START_TEST (old_deaths_are_forgotten)
 {
-  marjoram_crash_list_died (list, 0, KILLER, "u1", 5);
+  marjoram_crash_list_died (list, 0, CRASHING, "u1", 5);
   marjoram_crash_list_tick (list, 599999);
   ck_assert_uint_eq (marjoram_crash_list_count (list), 1);
   marjoram_crash_list_tick (list, 600000);
