--- a/src/suspect.c
+++ b/src/suspect.c
@@ -14,7 +14,7 @@
   ENTRIES_MAX = 10000,
   /* Timeout after which a suspect no longer counts as running at another host
      that did not report its end, since that host may have died.  */
-  ELSEWHERE_MS = 10 * 60 * 1000
+  REMOTE_RUN_MAX_MS = 10 * 60 * 1000
 };
 
 static const struct marjoram_field suspect_fields[] = {
@@ -50,15 +50,15 @@
 struct run
 {
   char digest[DIGEST_MAX + 1];
-  unsigned here;      /* starts by this host that have not ended */
-  unsigned elsewhere; /* other hosts that run it as a suspect */
-  bool reported;      /* reported to the other hosts as running */
-  uint64_t since;     /* event number of its start */
-  int64_t expires;    /* expiry of ELSEWHERE */
+  unsigned local_runs;  /* starts by this host that have not ended */
+  unsigned remote_runs; /* other hosts that run it as a suspect */
+  bool reported;        /* reported to the other hosts as running */
+  uint64_t since;       /* event number of its start */
+  int64_t expires;      /* expiry of REMOTE_RUNS */
   TAILQ_ENTRY (run) link;
 };
 
-struct place
+struct upstream_entry
 {
   char upstream[MARJORAM_NAME_MAX + 1];
   TAILQ_HEAD (, run) runs;
@@ -70,7 +70,7 @@
   int64_t keep_ms;
   struct entry *table;
   TAILQ_HEAD (, entry) list;
-  struct place *places;
+  struct upstream_entry *upstreams;
   size_t run_count;
   uint64_t events; /* counter of starts and new suspicions */
   marjoram_suspects_report *report;
@@ -104,30 +104,33 @@
 }
 
 static void
-drop_run (marjoram_suspects *suspects, struct place *place, struct run *run)
+drop_run (marjoram_suspects *suspects, struct upstream_entry *upstream_entry,
+          struct run *run)
 {
-  TAILQ_REMOVE (&place->runs, run, link);
+  TAILQ_REMOVE (&upstream_entry->runs, run, link);
   suspects->run_count--;
   free (run);
-  if (!TAILQ_EMPTY (&place->runs))
+  if (!TAILQ_EMPTY (&upstream_entry->runs))
     return;
-  HASH_DEL (suspects->places, place);
-  free (place);
+  HASH_DEL (suspects->upstreams, upstream_entry);
+  free (upstream_entry);
 }
 
-/* Frees PLACE, which has been removed from the table.  */
+/* Frees the runs and UPSTREAM_ENTRY, which has been removed from the
+   table.  */
 static void
-drop_runs (marjoram_suspects *suspects, struct place *place)
+free_upstream_entry (marjoram_suspects *suspects,
+                     struct upstream_entry *upstream_entry)
 {
   struct run *run, *next;
 
-  for (run = TAILQ_FIRST (&place->runs); run; run = next)
+  for (run = TAILQ_FIRST (&upstream_entry->runs); run; run = next)
     {
       next = TAILQ_NEXT (run, link);
       suspects->run_count--;
       free (run);
     }
-  free (place);
+  free (upstream_entry);
 }
 
 static void
@@ -146,15 +149,16 @@
 void
 marjoram_suspects_destroy (marjoram_suspects *suspects)
 {
-  struct place *place, *next;
+  struct upstream_entry *upstream_entry, *next;
 
   if (!suspects)
     return;
-  for (place = suspects->places; place; place = next)
+  for (upstream_entry = suspects->upstreams; upstream_entry;
+       upstream_entry = next)
     {
-      next = place->hh.next;
-      HASH_DEL (suspects->places, place);
-      drop_runs (suspects, place);
+      next = upstream_entry->hh.next;
+      HASH_DEL (suspects->upstreams, upstream_entry);
+      free_upstream_entry (suspects, upstream_entry);
     }
   drop_old_entries (suspects, INT64_MAX);
   free (suspects);
@@ -210,21 +214,21 @@
   return entry->suspicion;
 }
 
-static struct place *
-find_place (const marjoram_suspects *suspects, const char *upstream)
+static struct upstream_entry *
+find_upstream (const marjoram_suspects *suspects, const char *upstream)
 {
-  struct place *place;
+  struct upstream_entry *upstream_entry;
 
-  HASH_FIND_STR (suspects->places, upstream, place);
-  return place;
+  HASH_FIND_STR (suspects->upstreams, upstream, upstream_entry);
+  return upstream_entry;
 }
 
 static struct run *
-find_run (const struct place *place, const char *digest)
+find_run (const struct upstream_entry *upstream_entry, const char *digest)
 {
   struct run *run;
 
-  TAILQ_FOREACH (run, &place->runs, link)
+  TAILQ_FOREACH (run, &upstream_entry->runs, link)
   if (strcmp (run->digest, digest) == 0)
     return run;
   return NULL;
@@ -234,23 +238,24 @@
 make_run (marjoram_suspects *suspects, const char *upstream,
           const char *digest)
 {
-  struct place *place = find_place (suspects, upstream);
+  struct upstream_entry *upstream_entry = find_upstream (suspects, upstream);
   struct run *run;
 
-  if (!place)
+  if (!upstream_entry)
     {
-      place = marjoram_alloc (sizeof *place);
-      copy_text (place->upstream, upstream, sizeof place->upstream);
-      TAILQ_INIT (&place->runs);
-      HASH_ADD_STR (suspects->places, upstream, place);
+      upstream_entry = marjoram_alloc (sizeof *upstream_entry);
+      copy_text (upstream_entry->upstream, upstream,
+                 sizeof upstream_entry->upstream);
+      TAILQ_INIT (&upstream_entry->runs);
+      HASH_ADD_STR (suspects->upstreams, upstream, upstream_entry);
     }
-  run = find_run (place, digest);
+  run = find_run (upstream_entry, digest);
   if (run)
     return run;
   run = marjoram_alloc (sizeof *run);
   copy_text (run->digest, digest, sizeof run->digest);
   run->since = ++suspects->events;
-  TAILQ_INSERT_TAIL (&place->runs, run, link);
+  TAILQ_INSERT_TAIL (&upstream_entry->runs, run, link);
   suspects->run_count++;
   return run;
 }
@@ -264,7 +269,7 @@
   const struct entry *entry = find_entry (suspects, run->digest);
   struct marjoram_suspect_message message = { .digest = run->digest,
                                               .upstream = (char *)upstream,
-                                              .running = run->here > 0 };
+                                              .running = run->local_runs > 0 };
 
   if (entry && entry->expires > now)
     {
@@ -286,14 +291,16 @@
 report_runs (marjoram_suspects *suspects, int64_t now, const char *digest,
              const char *died)
 {
-  const struct place *place;
+  const struct upstream_entry *upstream_entry;
 
-  for (place = suspects->places; place; place = place->hh.next)
+  for (upstream_entry = suspects->upstreams; upstream_entry;
+       upstream_entry = upstream_entry->hh.next)
     {
-      struct run *run = find_run (place, digest);
+      struct run *run = find_run (upstream_entry, digest);
 
-      if (run && run->here > 0 && strcmp (place->upstream, died) != 0)
-        report_run (suspects, now, place->upstream, run);
+      if (run && run->local_runs > 0
+          && strcmp (upstream_entry->upstream, died) != 0)
+        report_run (suspects, now, upstream_entry->upstream, run);
     }
 }
 
@@ -303,7 +310,7 @@
 {
   struct run *run = make_run (suspects, upstream, digest);
 
-  run->here++;
+  run->local_runs++;
   report_run (suspects, now, upstream, run);
 }
 
@@ -311,23 +318,23 @@
 marjoram_suspects_ended (marjoram_suspects *suspects, int64_t now,
                          const char *upstream, const char *digest)
 {
-  struct place *place = find_place (suspects, upstream);
-  struct run *run = place ? find_run (place, digest) : NULL;
+  struct upstream_entry *upstream_entry = find_upstream (suspects, upstream);
+  struct run *run = upstream_entry ? find_run (upstream_entry, digest) : NULL;
 
-  if (!run || run->here == 0)
+  if (!run || run->local_runs == 0)
     return;
-  run->here--;
-  if (run->here > 0)
+  run->local_runs--;
+  if (run->local_runs > 0)
     return;
   report_run (suspects, now, upstream, run);
-  if (run->elsewhere == 0)
-    drop_run (suspects, place, run);
+  if (run->remote_runs == 0)
+    drop_run (suspects, upstream_entry, run);
 }
 
 /* A conviction is not cleared, since a request need not crash at every
    run.  */
 static bool
-clear (marjoram_suspects *suspects, int64_t now, const char *digest)
+clear_entry (marjoram_suspects *suspects, int64_t now, const char *digest)
 {
   struct entry *entry = find_entry (suspects, digest);
 
@@ -347,14 +354,14 @@
 {
   struct marjoram_suspect_message message = { .digest = (char *)digest };
 
-  if (clear (suspects, now, digest) && suspects->report)
+  if (clear_entry (suspects, now, digest) && suspects->report)
     suspects->report (suspects->context, &message);
 }
 
 static bool
 runs_now (const struct run *run, int64_t now)
 {
-  return run->here > 0 || (run->elsewhere > 0 && run->expires > now);
+  return run->local_runs > 0 || (run->remote_runs > 0 && run->expires > now);
 }
 
 /* Guards against a third crash: a suspect running at two upstreams at once
@@ -363,14 +370,15 @@
 runs_somewhere_else (const marjoram_suspects *suspects, int64_t now,
                      const char *upstream, const char *digest)
 {
-  const struct place *place;
+  const struct upstream_entry *upstream_entry;
 
-  for (place = suspects->places; place; place = place->hh.next)
+  for (upstream_entry = suspects->upstreams; upstream_entry;
+       upstream_entry = upstream_entry->hh.next)
     {
-      const struct run *run = find_run (place, digest);
+      const struct run *run = find_run (upstream_entry, digest);
 
       if (run && runs_now (run, now)
-          && strcmp (place->upstream, upstream) != 0)
+          && strcmp (upstream_entry->upstream, upstream) != 0)
         return true;
     }
   return false;
@@ -380,7 +388,8 @@
 marjoram_suspects_may_start (const marjoram_suspects *suspects, int64_t now,
                              const char *upstream, const char *digest)
 {
-  const struct place *place = find_place (suspects, upstream);
+  const struct upstream_entry *upstream_entry
+      = find_upstream (suspects, upstream);
   const struct run *run;
 
   switch (marjoram_suspects_get (suspects, now, digest))
@@ -394,9 +403,9 @@
     }
   if (runs_somewhere_else (suspects, now, upstream, digest))
     return false;
-  if (!place)
+  if (!upstream_entry)
     return true;
-  TAILQ_FOREACH (run, &place->runs, link)
+  TAILQ_FOREACH (run, &upstream_entry->runs, link)
   if (strcmp (run->digest, digest) != 0 && runs_now (run, now)
       && marjoram_suspects_get (suspects, now, run->digest)
              != MARJORAM_SUSPICION_NONE)
@@ -404,30 +413,31 @@
   return true;
 }
 
-/* Whether RUN was suspect before the death of PLACE.  Hosts detect a death at
-   different times, so a suspicion that stems from another host's report of the
-   same death does not count.  */
+/* Whether RUN was suspect before the death of its upstream.  Hosts detect a
+   death at different times, so a suspicion that stems from another host's
+   report of the same death does not count.  */
 static bool
 was_suspect (const marjoram_suspects *suspects, int64_t now,
-             const struct place *place, const struct run *run)
+             const struct upstream_entry *upstream_entry,
+             const struct run *run)
 {
   const struct entry *entry = find_entry (suspects, run->digest);
 
   if (!entry || entry->expires <= now || !runs_now (run, now))
     return false;
   return run->since > entry->since
-         || strcmp (entry->died, place->upstream) != 0;
+         || strcmp (entry->died, upstream_entry->upstream) != 0;
 }
 
 static int
 count_suspects (const marjoram_suspects *suspects, int64_t now,
-                const struct place *place)
+                const struct upstream_entry *upstream_entry)
 {
   const struct run *run;
   int count = 0;
 
-  TAILQ_FOREACH (run, &place->runs, link)
-  if (was_suspect (suspects, now, place, run))
+  TAILQ_FOREACH (run, &upstream_entry->runs, link)
+  if (was_suspect (suspects, now, upstream_entry, run))
     count++;
   return count;
 }
@@ -447,18 +457,19 @@
    is convicted.  */
 static void
 suspect_run (marjoram_suspects *suspects, int64_t now,
-             const struct place *place, const struct run *run, bool alone,
+             const struct upstream_entry *upstream_entry,
+             const struct run *run, bool alone,
              marjoram_suspects_report *report, void *context)
 {
   enum marjoram_suspicion before
       = marjoram_suspects_get (suspects, now, run->digest);
-  bool suspect = was_suspect (suspects, now, place, run);
+  bool suspect = was_suspect (suspects, now, upstream_entry, run);
   struct entry *entry = touch_entry (suspects, now, run->digest);
   struct marjoram_suspect_message message
-      = { .digest = entry->digest, .died = (char *)place->upstream };
+      = { .digest = entry->digest, .died = (char *)upstream_entry->upstream };
 
   if (before == MARJORAM_SUSPICION_NONE)
-    become_suspect (suspects, entry, place->upstream);
+    become_suspect (suspects, entry, upstream_entry->upstream);
   if (before == MARJORAM_SUSPICION_NONE || suspect)
     entry->deaths++;
   if (suspect && alone)
@@ -476,39 +487,41 @@
                         const char *upstream, marjoram_suspects_report *report,
                         void *context)
 {
-  struct place *place = find_place (suspects, upstream);
+  struct upstream_entry *upstream_entry = find_upstream (suspects, upstream);
   const struct run *run;
   bool alone;
 
-  if (!place)
+  if (!upstream_entry)
     return;
-  HASH_DEL (suspects->places, place);
-  alone = count_suspects (suspects, now, place) == 1;
-  TAILQ_FOREACH (run, &place->runs, link)
-  if (run->here > 0)
-    suspect_run (suspects, now, place, run, alone, report, context);
-  drop_runs (suspects, place);
+  HASH_DEL (suspects->upstreams, upstream_entry);
+  alone = count_suspects (suspects, now, upstream_entry) == 1;
+  TAILQ_FOREACH (run, &upstream_entry->runs, link)
+  if (run->local_runs > 0)
+    suspect_run (suspects, now, upstream_entry, run, alone, report, context);
+  free_upstream_entry (suspects, upstream_entry);
 }
 
 static void
 learn_run (marjoram_suspects *suspects, int64_t now,
            const struct marjoram_suspect_message *message)
 {
-  struct place *place = find_place (suspects, message->upstream);
-  struct run *run = place ? find_run (place, message->digest) : NULL;
+  struct upstream_entry *upstream_entry
+      = find_upstream (suspects, message->upstream);
+  struct run *run
+      = upstream_entry ? find_run (upstream_entry, message->digest) : NULL;
 
   if (message->running)
     {
       run = make_run (suspects, message->upstream, message->digest);
-      run->elsewhere++;
-      run->expires = now + ELSEWHERE_MS;
+      run->remote_runs++;
+      run->expires = now + REMOTE_RUN_MAX_MS;
       return;
     }
-  if (!run || run->elsewhere == 0)
+  if (!run || run->remote_runs == 0)
     return;
-  run->elsewhere--;
-  if (run->here == 0 && run->elsewhere == 0)
-    drop_run (suspects, place, run);
+  run->remote_runs--;
+  if (run->local_runs == 0 && run->remote_runs == 0)
+    drop_run (suspects, upstream_entry, run);
 }
 
 static void
@@ -540,20 +553,21 @@
   if (message->suspicion != MARJORAM_SUSPICION_NONE)
     learn_suspicion (suspects, now, message);
   else if (!message->upstream)
-    clear (suspects, now, message->digest);
+    clear_entry (suspects, now, message->digest);
 }
 
 static void
-expire_runs (marjoram_suspects *suspects, struct place *place, int64_t now)
+expire_runs (marjoram_suspects *suspects,
+             struct upstream_entry *upstream_entry, int64_t now)
 {
-  struct run *run = TAILQ_FIRST (&place->runs);
+  struct run *run = TAILQ_FIRST (&upstream_entry->runs);
 
   while (run)
     {
       struct run *next = TAILQ_NEXT (run, link);
 
       if (!runs_now (run, now))
-        drop_run (suspects, place, run);
+        drop_run (suspects, upstream_entry, run);
       run = next;
     }
 }
@@ -561,15 +575,15 @@
 void
 marjoram_suspects_tick (marjoram_suspects *suspects, int64_t now)
 {
-  struct place *place = suspects->places;
+  struct upstream_entry *upstream_entry = suspects->upstreams;
 
   drop_old_entries (suspects, now);
-  while (place)
+  while (upstream_entry)
     {
-      struct place *next = place->hh.next;
+      struct upstream_entry *next = upstream_entry->hh.next;
 
-      expire_runs (suspects, place, now);
-      place = next;
+      expire_runs (suspects, upstream_entry, now);
+      upstream_entry = next;
     }
 }
 
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -16,7 +16,7 @@
   HOSTS = 3,
   UPSTREAMS = 6,
   DIGESTS = 8,
-  KILLER = 0,
+  CRASHING = 0,
   STEPS = 400,
   SEEDS = 300
 };
@@ -26,40 +26,40 @@
   int64_t now;
   marjoram_suspects *hosts[HOSTS];
   int runs[HOSTS][UPSTREAMS][DIGESTS];
-  int killers; /* current runs of the killer */
+  int crashing_runs; /* current runs of the crashing request */
   int deaths;
   int reports;
 };
 
 /* Context of one host's reports.  */
-struct link
+struct report_context
 {
   struct cluster *cluster;
   int host;
 };
 
 static void
-spread (void *context, const struct marjoram_suspect_message *message)
+broadcast (void *context, const struct marjoram_suspect_message *message)
 {
-  const struct link *link = context;
+  const struct report_context *report_context = context;
 
-  link->cluster->reports++;
+  report_context->cluster->reports++;
   for (int i = 0; i < HOSTS; i++)
-    if (i != link->host)
-      marjoram_suspects_learn (link->cluster->hosts[i], link->cluster->now,
-                               message);
+    if (i != report_context->host)
+      marjoram_suspects_learn (report_context->cluster->hosts[i],
+                               report_context->cluster->now, message);
 }
 
 static void
-open_cluster (struct cluster *cluster, struct link *links)
+open_cluster (struct cluster *cluster, struct report_context *links)
 {
   memset (cluster, 0, sizeof *cluster);
   cluster->now = 1;
   for (int i = 0; i < HOSTS; i++)
     {
-      links[i] = (struct link){ cluster, i };
+      links[i] = (struct report_context){ cluster, i };
       cluster->hosts[i] = marjoram_suspects_create (KEEP_MS);
-      marjoram_suspects_set_report (cluster->hosts[i], spread, &links[i]);
+      marjoram_suspects_set_report (cluster->hosts[i], broadcast, &links[i]);
     }
 }
 
@@ -78,8 +78,8 @@
 }
 
 static bool
-may (const struct cluster *cluster, int host, const char *upstream,
-     const char *digest)
+may_start (const struct cluster *cluster, int host, const char *upstream,
+           const char *digest)
 {
   return marjoram_suspects_may_start (cluster->hosts[host], cluster->now,
                                       upstream, digest);
@@ -102,12 +102,13 @@
 }
 
 static void
-die (struct cluster *cluster, struct link *links, const char *upstream)
+kill_upstream (struct cluster *cluster, struct report_context *links,
+               const char *upstream)
 {
   cluster->deaths++;
   for (int i = 0; i < HOSTS; i++)
-    marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream, spread,
-                            &links[i]);
+    marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream,
+                            broadcast, &links[i]);
 }
 
 /* Guards against more than two crashes by one request (K), and against
@@ -115,33 +116,33 @@
 START_TEST (second_death_convicts_exactly_one)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
 
   open_cluster (&c, links);
   start (&c, 0, "u1", "K");
   start (&c, 0, "u1", "A");
   start (&c, 1, "u1", "B");
-  die (&c, links, "u1");
+  kill_upstream (&c, links, "u1");
   ck_assert_int_eq (c.reports, 3);
   for (int i = 0; i < HOSTS; i++)
     ck_assert_int_eq (marjoram_suspects_get (c.hosts[i], c.now, "B"),
                       MARJORAM_SUSPICION_SUSPECT);
-  ck_assert (may (&c, 1, "u2", "A"));
+  ck_assert (may_start (&c, 1, "u2", "A"));
   start (&c, 1, "u2", "A");
-  ck_assert (!may (&c, 1, "u2", "K"));
-  ck_assert (!may (&c, 2, "u2", "K"));
-  ck_assert (may (&c, 2, "u2", "N"));
-  ck_assert (may (&c, 2, "u3", "K"));
+  ck_assert (!may_start (&c, 1, "u2", "K"));
+  ck_assert (!may_start (&c, 2, "u2", "K"));
+  ck_assert (may_start (&c, 2, "u2", "N"));
+  ck_assert (may_start (&c, 2, "u3", "K"));
   start (&c, 2, "u3", "K");
   start (&c, 0, "u3", "N");
-  ck_assert (!may (&c, 0, "u4", "K"));
-  die (&c, links, "u3");
+  ck_assert (!may_start (&c, 0, "u4", "K"));
+  kill_upstream (&c, links, "u3");
   end (&c, 1, "u2", "A");
   marjoram_suspects_cleared (c.hosts[1], c.now, "A");
   for (int i = 0; i < HOSTS; i++)
     {
       ck_assert (convicted (&c, i, "K"));
-      ck_assert (!may (&c, i, "u5", "K"));
+      ck_assert (!may_start (&c, i, "u5", "K"));
       ck_assert (!convicted (&c, i, "A") && !convicted (&c, i, "B"));
       ck_assert_int_eq (marjoram_suspects_get (c.hosts[i], c.now, "N"),
                         MARJORAM_SUSPICION_SUSPECT);
@@ -159,15 +160,15 @@
 START_TEST (two_suspects_at_one_death_are_not_convicted)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
 
   open_cluster (&c, links);
   start (&c, 0, "u1", "K");
   start (&c, 1, "u1", "A");
-  die (&c, links, "u1");
+  kill_upstream (&c, links, "u1");
   start (&c, 0, "u2", "K");
   start (&c, 1, "u2", "A");
-  die (&c, links, "u2");
+  kill_upstream (&c, links, "u2");
   for (int i = 0; i < HOSTS; i++)
     ck_assert (!convicted (&c, i, "K") && !convicted (&c, i, "A"));
   close_cluster (&c);
@@ -177,7 +178,7 @@
 START_TEST (learns_the_worse_and_forgets_in_time)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
   struct marjoram_suspect_message message
       = { .digest = (char *)"K", .suspicion = MARJORAM_SUSPICION_CONVICTED };
 
@@ -245,12 +246,13 @@
 
   snprintf (u, sizeof u, "u%d", upstream);
   snprintf (d, sizeof d, "d%d", digest);
-  /* The killer's caller retries it only after a failure.  */
-  if ((digest == KILLER && c->killers > 0) || !may (c, host, u, d))
+  /* The caller retries the crashing request only after a failure.  */
+  if ((digest == CRASHING && c->crashing_runs > 0)
+      || !may_start (c, host, u, d))
     return;
   start (c, host, u, d);
   c->runs[host][upstream][digest]++;
-  c->killers += digest == KILLER;
+  c->crashing_runs += digest == CRASHING;
 }
 
 static void
@@ -260,7 +262,7 @@
 
   snprintf (u, sizeof u, "u%d", upstream);
   snprintf (d, sizeof d, "d%d", digest);
-  if (digest == KILLER || c->runs[host][upstream][digest] == 0)
+  if (digest == CRASHING || c->runs[host][upstream][digest] == 0)
     return;
   c->runs[host][upstream][digest]--;
   end (c, host, u, d);
@@ -268,18 +270,18 @@
 }
 
 static void
-try_death (struct cluster *c, struct link *links, int upstream)
+try_crash (struct cluster *c, struct report_context *links, int upstream)
 {
   char u[8];
-  int killers = 0;
+  int crashing_runs = 0;
 
   for (int i = 0; i < HOSTS; i++)
-    killers += c->runs[i][upstream][KILLER];
-  if (killers == 0)
+    crashing_runs += c->runs[i][upstream][CRASHING];
+  if (crashing_runs == 0)
     return;
   snprintf (u, sizeof u, "u%d", upstream);
-  die (c, links, u);
-  c->killers -= killers;
+  kill_upstream (c, links, u);
+  c->crashing_runs -= crashing_runs;
   for (int i = 0; i < HOSTS; i++)
     memset (c->runs[i][upstream], 0, sizeof c->runs[i][upstream]);
 }
@@ -292,7 +294,7 @@
     {
       marjoram_random *random = marjoram_random_create (seed);
       struct cluster c;
-      struct link links[HOSTS];
+      struct report_context links[HOSTS];
 
       open_cluster (&c, links);
       for (int i = 0; i < STEPS; i++)
@@ -313,7 +315,7 @@
               try_end (&c, host, upstream, digest);
               break;
             default:
-              try_death (&c, links, upstream);
+              try_crash (&c, links, upstream);
               break;
             }
         }
@@ -325,7 +327,7 @@
 
             snprintf (d, sizeof d, "d%d", j);
             ck_assert_msg (
-                convicted (&c, i, d) == (j == KILLER && c.deaths == 2),
+                convicted (&c, i, d) == (j == CRASHING && c.deaths == 2),
                 "seed %d: host %d, %s after %d deaths", seed, i, d, c.deaths);
           }
       close_cluster (&c);
