--- a/src/replay.c
+++ b/src/replay.c
@@ -5,10 +5,10 @@
 #include <string.h>
 #include <uthash.h>
 
-struct taken
+struct nonce_entry
 {
   char nonce[MARJORAM_NONCE_TEXT];
-  int64_t until;
+  int64_t expires;
   UT_hash_handle hh;
 };
 
@@ -16,7 +16,7 @@
 {
   int64_t started;
   int64_t now;
-  struct taken *taken; /* in insertion order */
+  struct nonce_entry *nonces; /* in insertion order */
 };
 
 marjoram_replays *
@@ -32,16 +32,16 @@
 void
 marjoram_replays_destroy (marjoram_replays *replays)
 {
-  struct taken *taken;
-  struct taken *next;
+  struct nonce_entry *entry;
+  struct nonce_entry *next;
 
   if (!replays)
     return;
-  HASH_ITER (hh, replays->taken, taken, next)
+  HASH_ITER (hh, replays->nonces, entry, next)
   {
     /* False positive in uthash's macros, here and below.  */
-    HASH_DEL (replays->taken, taken); /* NOLINT(clang-analyzer-unix.*) */
-    free (taken);
+    HASH_DEL (replays->nonces, entry); /* NOLINT(clang-analyzer-unix.*) */
+    free (entry);
   }
   free (replays);
 }
@@ -55,17 +55,17 @@
 }
 
 static void
-forget_old (marjoram_replays *replays)
+expire_nonces (marjoram_replays *replays)
 {
-  struct taken *taken;
-  struct taken *next;
+  struct nonce_entry *entry;
+  struct nonce_entry *next;
 
-  HASH_ITER (hh, replays->taken, taken, next)
+  HASH_ITER (hh, replays->nonces, entry, next)
   {
-    if (taken->until >= replays->now)
+    if (entry->expires >= replays->now)
       return;
-    HASH_DEL (replays->taken, taken); /* NOLINT(clang-analyzer-unix.*) */
-    free (taken);
+    HASH_DEL (replays->nonces, entry); /* NOLINT(clang-analyzer-unix.*) */
+    free (entry);
   }
 }
 
@@ -74,7 +74,7 @@
                        const char *nonce)
 {
   int64_t now = marjoram_replays_now (replays, wall);
-  struct taken *taken;
+  struct nonce_entry *entry;
 
   /* Nonces are lost on a restart, so calls signed before the start are refused
      as possible replays.  */
@@ -82,24 +82,24 @@
     return MARJORAM_REPLAY_OLD;
   if (sent > now + MARJORAM_REPLAY_WINDOW_MS)
     return MARJORAM_REPLAY_EARLY;
-  forget_old (replays);
+  expire_nonces (replays);
   /* NOLINTNEXTLINE(clang-analyzer-unix.*) */
-  HASH_FIND (hh, replays->taken, nonce, MARJORAM_NONCE_TEXT, taken);
-  if (taken)
+  HASH_FIND (hh, replays->nonces, nonce, MARJORAM_NONCE_TEXT, entry);
+  if (entry)
     return MARJORAM_REPLAY_AGAIN;
-  if (HASH_COUNT (replays->taken) >= MARJORAM_REPLAYS_MAX)
+  if (HASH_COUNT (replays->nonces) >= MARJORAM_REPLAYS_MAX)
     return MARJORAM_REPLAY_FULL;
-  taken = marjoram_alloc (sizeof *taken);
-  memcpy (taken->nonce, nonce, sizeof taken->nonce);
+  entry = marjoram_alloc (sizeof *entry);
+  memcpy (entry->nonce, nonce, sizeof entry->nonce);
   /* Calls are accepted up to one window ahead of the clock and stay valid for
      one window after that.  */
-  taken->until = now + (int64_t)2 * MARJORAM_REPLAY_WINDOW_MS;
-  HASH_ADD (hh, replays->taken, nonce, sizeof taken->nonce, taken);
+  entry->expires = now + (int64_t)2 * MARJORAM_REPLAY_WINDOW_MS;
+  HASH_ADD (hh, replays->nonces, nonce, sizeof entry->nonce, entry);
   return MARJORAM_REPLAY_FRESH;
 }
 
 size_t
 marjoram_replays_count (const marjoram_replays *replays)
 {
-  return HASH_COUNT (replays->taken);
+  return HASH_COUNT (replays->nonces);
 }
