--- a/src/residency.c
+++ b/src/residency.c
@@ -4,21 +4,21 @@
 
 #include <stdbool.h>
 
-/* A rule for specific callers and specific works.  Rules for all of either are
-   folded into the per-caller and per-work sets.  */
+/* A rule for specific callers and workloads.  Rules for all of either are
+   folded into the per-caller and per-workload sets.  */
 struct rule
 {
   uint64_t regions;
   uint8_t *callers; /* bitmap */
-  uint8_t *works;
+  uint8_t *workloads;
 };
 
 struct marjoram_residency
 {
   size_t caller_count;
-  size_t work_count;
+  size_t workload_count;
   uint64_t *callers;
-  uint64_t *works;
+  uint64_t *workloads;
   struct rule *rules;
   size_t rule_count;
 };
@@ -34,14 +34,14 @@
 }
 
 marjoram_residency *
-marjoram_residency_create (size_t callers, size_t works)
+marjoram_residency_create (size_t callers, size_t workloads)
 {
   marjoram_residency *residency = marjoram_alloc (sizeof *residency);
 
   residency->caller_count = callers;
-  residency->work_count = works;
+  residency->workload_count = workloads;
   residency->callers = all_regions (callers);
-  residency->works = all_regions (works);
+  residency->workloads = all_regions (workloads);
   return residency;
 }
 
@@ -53,11 +53,11 @@
   for (size_t i = 0; i < residency->rule_count; i++)
     {
       free (residency->rules[i].callers);
-      free (residency->rules[i].works);
+      free (residency->rules[i].workloads);
     }
   free (residency->rules);
   free (residency->callers);
-  free (residency->works);
+  free (residency->workloads);
   free (residency);
 }
 
@@ -78,7 +78,7 @@
 }
 
 static bool
-has (const uint8_t *bits, int index)
+has_bit (const uint8_t *bits, int index)
 {
   return bits[index / 8] >> (index % 8) & 1;
 }
@@ -97,7 +97,7 @@
 
 static void
 add_rule (marjoram_residency *residency, struct marjoram_selection callers,
-          struct marjoram_selection works, uint64_t regions)
+          struct marjoram_selection workloads, uint64_t regions)
 {
   size_t n = residency->rule_count++;
 
@@ -107,20 +107,23 @@
     abort ();
   residency->rules[n].regions = regions;
   residency->rules[n].callers = bitmap (callers, residency->caller_count);
-  residency->rules[n].works = bitmap (works, residency->work_count);
+  residency->rules[n].workloads
+      = bitmap (workloads, residency->workload_count);
 }
 
 void
 marjoram_residency_restrict (marjoram_residency *residency,
                              struct marjoram_selection callers,
-                             struct marjoram_selection works, uint64_t regions)
+                             struct marjoram_selection workloads,
+                             uint64_t regions)
 {
-  if (!works.items)
+  if (!workloads.items)
     narrow (residency->callers, residency->caller_count, callers, regions);
   else if (!callers.items)
-    narrow (residency->works, residency->work_count, works, regions);
+    narrow (residency->workloads, residency->workload_count, workloads,
+            regions);
   else
-    add_rule (residency, callers, works, regions);
+    add_rule (residency, callers, workloads, regions);
 }
 
 uint64_t
@@ -130,22 +133,24 @@
 }
 
 uint64_t
-marjoram_residency_work (const marjoram_residency *residency, int work)
+marjoram_residency_work (const marjoram_residency *residency, int workload)
 {
-  return residency->works[work];
+  return residency->workloads[workload];
 }
 
 uint64_t
 marjoram_residency_allowed (const marjoram_residency *residency, int caller,
-                            int work)
+                            int workload)
 {
-  uint64_t regions = residency->callers[caller] & residency->works[work];
+  uint64_t regions
+      = residency->callers[caller] & residency->workloads[workload];
 
   for (size_t i = 0; i < residency->rule_count; i++)
     {
       const struct rule *rule = &residency->rules[i];
 
-      if (has (rule->callers, caller) && has (rule->works, work))
+      if (has_bit (rule->callers, caller)
+          && has_bit (rule->workloads, workload))
         regions &= rule->regions;
     }
   return regions;
@@ -155,10 +160,10 @@
 marjoram_residency_memory (const marjoram_residency *residency)
 {
   size_t rule = sizeof (struct rule) + bitmap_size (residency->caller_count)
-                + bitmap_size (residency->work_count);
+                + bitmap_size (residency->workload_count);
 
   return sizeof *residency
-         + (residency->caller_count + residency->work_count)
+         + (residency->caller_count + residency->workload_count)
                * sizeof (uint64_t)
          + residency->rule_count * rule;
 }
