--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -115,7 +115,7 @@
 {
   const struct gateway_fixture *f = context;
 
-  return f->link_up && strcmp (host, f->unreached) != 0;
+  return f->link_up && strcmp (host, f->unreachable_host) != 0;
 }
 
 static bool
@@ -241,7 +241,7 @@
   f->hosts = marjoram_host_list_create ();
   f->metrics = marjoram_metrics_create ();
   f->link_up = true;
-  f->unreached = "far2";
+  f->unreachable_host = "far2";
   options.metrics = f->metrics;
   options.place = (struct marjoram_placement_options){
     .registry = f->registry,
--- a/test/lib_gateway.h
+++ b/test/lib_gateway.h
@@ -36,11 +36,11 @@
   marjoram_metrics *metrics;
   struct marjoram_route_table *table;
   struct gateway_seen seen;
-  bool link_up;          /* links to other regions work */
-  int64_t lag_ms;        /* processing delay of this host */
-  bool evacuated;        /* the upstreams' zone is being evacuated */
-  bool leaving;          /* the evacuation has just begun */
-  const char *unreached; /* host of r2 without a link */
+  bool link_up;                 /* links to other regions work */
+  int64_t lag_ms;               /* processing delay of this host */
+  bool evacuated;               /* the upstreams' zone is being evacuated */
+  bool leaving;                 /* the evacuation has just begun */
+  const char *unreachable_host; /* host of r2 without a link */
   uint64_t calls;
 };
 
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -686,7 +686,7 @@
 {
   int to_first = 0;
 
-  f.unreached = "";
+  f.unreachable_host = "";
   for (int i = 0; i < 40; i++)
     {
       gateway_fixture_call (&f, 0, "/home/x");
