--- a/src/gateway.c
+++ b/src/gateway.c
@@ -428,7 +428,7 @@
    this time instead of the clock.  The lag is bounded, so dead upstreams are
    still detected.  */
 static int64_t
-heard_until (const marjoram_gateway *gateway, int64_t now)
+input_time (const marjoram_gateway *gateway, int64_t now)
 {
   return now - gateway->ops->lag_ms (gateway->context);
 }
@@ -441,11 +441,11 @@
 should_abandon (marjoram_gateway *gateway,
                 const struct marjoram_exchange *exchange, int64_t now)
 {
-  int64_t heard_at
+  int64_t data_received_at
       = marjoram_placement_heard_at (gateway->placement, exchange->attempt);
 
   return !exchange->forwarded
-         && heard_until (gateway, now) >= heard_at + UPSTREAM_STALL_MS
+         && input_time (gateway, now) >= data_received_at + UPSTREAM_STALL_MS
          && marjoram_exchange_has_other_place (gateway, exchange, now);
 }
 
@@ -455,7 +455,7 @@
 {
   if (!should_abandon (gateway, exchange, now))
     {
-      exchange->idle_deadline = heard_until (gateway, now) + IDLE_CHECK_MS;
+      exchange->idle_deadline = input_time (gateway, now) + IDLE_CHECK_MS;
       return;
     }
   marjoram_exchange_drop_attempt (gateway, exchange, now,
@@ -478,7 +478,7 @@
              && !extend_deadline (gateway, exchange, now))
       time_out (gateway, exchange, now);
     else if (exchange->attempt
-             && heard_until (gateway, now) >= exchange->idle_deadline)
+             && input_time (gateway, now) >= exchange->idle_deadline)
       check_idle (gateway, exchange, now);
   }
   marjoram_gateway_try_waiting (gateway, now);
