--- a/src/gateway_cross.c
+++ b/src/gateway_cross.c
@@ -50,7 +50,7 @@
     {
       snprintf (exchange->host, sizeof exchange->host, "%s", host);
       exchange->upstream[0] = '\0';
-      exchange->was_forwarded = true;
+      exchange->forwarded_out = true;
       exchange->arrivals++;
       exchange->runs++;
       marjoram_metrics_add (gateway->options.metrics,
@@ -165,7 +165,7 @@
 {
   struct marjoram_host_offer offer = { 0 };
 
-  return !exchange->forwarded && !exchange->was_forwarded
+  return !exchange->forwarded && !exchange->forwarded_out
          && choose_remote_host (gateway, exchange, route, now, BY_WAIT, &offer)
          && (int64_t)offer.wait_ms + REGION_RTT_MS <= max_wait_ms;
 }
@@ -179,7 +179,7 @@
   const struct marjoram_listed_host *host;
   struct marjoram_host_offer offer = { 0 };
 
-  if (exchange->forwarded || exchange->was_forwarded)
+  if (exchange->forwarded || exchange->forwarded_out)
     return false;
   host = choose_remote_host (gateway, exchange, route, now, BY_WAIT, &offer);
   if (!host || (int64_t)offer.wait_ms + REGION_RTT_MS > max_wait_ms)
@@ -199,7 +199,7 @@
   struct marjoram_host_offer offer = { 0 };
   struct marjoram_spill_query query = { .id = exchange->facts.id };
 
-  if (exchange->forwarded || exchange->was_forwarded || exchange->runs > 0
+  if (exchange->forwarded || exchange->forwarded_out || exchange->runs > 0
       || chosen->engine_tokens_per_ms <= 0)
     return false;
   host
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -34,20 +34,20 @@
   uint64_t call;
   struct marjoram_http_request *request;
   struct marjoram_call_facts facts;
-  bool forwarded;
+  bool forwarded; /* received from another region */
   enum marjoram_exchange_state state;
   int64_t received_at;
   int64_t due_at;              /* route timeout or caller's deadline */
   int64_t useful_by;           /* latency target for the first event */
   int64_t forwarded_target_at; /* set by the forwarding host; 0 if none */
   struct marjoram_waiter waiter;
-  int64_t queued_since;   /* while queued */
-  int64_t first_event_at; /* first event or answer head; 0: none yet */
-  int64_t last_event_at;  /* last event sent to the caller; 0: none */
-  int64_t longest_gap_ms; /* longest gap between events */
+  int64_t queued_since;
+  int64_t first_event_at; /* or answer head; 0: none yet */
+  int64_t last_event_at;  /* sent to the caller; 0: none */
+  int64_t longest_gap_ms; /* between events */
   int events_sent;
   bool is_caller_deadline;   /* caller's deadline precedes the route timeout */
-  int64_t estimated_wait_ms; /* estimate of the last attempt */
+  int64_t estimated_wait_ms; /* of the last attempt */
   struct marjoram_place place; /* last choice; upstream pointers are cleared */
   char digest[MARJORAM_DIGEST_TEXT + 1]; /* "" until computed */
 
@@ -65,7 +65,7 @@
   uint64_t attempt; /* 0 if none */
   char upstream[MARJORAM_ID_MAX];
   char host[MARJORAM_HOST_NAME_MAX]; /* "" if not forwarded */
-  int64_t idle_deadline; /* idle deadline in input time; INT64_MAX: none */
+  int64_t idle_deadline;             /* in input time; INT64_MAX: none */
   int status;
   struct marjoram_header_list headers; /* of the answer */
   bool is_signed;
@@ -80,7 +80,7 @@
   int arrivals;           /* attempts that may have reached an upstream */
   int runs;               /* attempts that may have run or still run */
   int failed_connections; /* attempts without a connection */
-  bool was_forwarded;     /* forwarded to another region */
+  bool forwarded_out;     /* forwarded to another region */
   UT_hash_handle by_call;
   UT_hash_handle by_attempt;
 };
@@ -92,8 +92,7 @@
   const struct marjoram_gateway_ops *ops;
   void *context;
   const struct marjoram_route_table *table;
-  const struct marjoram_route_table
-      *previous_table; /* previous table; null if none */
+  const struct marjoram_route_table *previous_table; /* null if none */
   int64_t table_set_at;
   int64_t created_at;
   marjoram_placement *placement;
--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  /* The window is divided into buckets.  Repeats are summed over one bucket
-     more, so that no interval of the window's length exceeds the bound.  */
+  /* The window is divided into steps.  Repeats are summed over one step more,
+     so that no interval of the window's length exceeds the bound.  */
   STEPS = 10,
   /* Validity of a keeper's sums, three heartbeats.  After that a host uses
      only its own share.  */
@@ -25,7 +25,7 @@
 struct account
 {
   char *service;
-  int64_t step; /* number of the newest bucket */
+  int64_t step; /* number of the newest step */
   uint32_t requests[STEPS + 1];
   uint32_t repeats[STEPS + 1];
   /* Last sums from a keeper.  */
@@ -114,7 +114,7 @@
   account->requests[account->step % (STEPS + 1)]++;
 }
 
-/* Excludes the oldest bucket, which is only partly in the window.  */
+/* Excludes the oldest step, which is only partly in the window.  */
 static uint64_t
 count_requests (const struct account *account)
 {
--- a/src/wait_queue.h
+++ b/src/wait_queue.h
@@ -4,7 +4,8 @@
 
    Requests are ordered by the latest useful start time plus PRIORITY_STEP_MS
    for each priority level.  So more urgent requests go first, unless a less
-   urgent one has PRIORITY_STEP_MS less time left; this prevents starvation. */
+   urgent one has PRIORITY_STEP_MS less time left, which prevents its
+   starvation.  */
 #ifndef MARJORAM_WAIT_QUEUE_H
 #define MARJORAM_WAIT_QUEUE_H
 
@@ -21,7 +22,7 @@
   bool queued;
   const char *service; /* borrowed while queued */
   int64_t start_by;    /* ms; latest useful start */
-  int64_t sort_key;    /* ms; sort key, lowest first */
+  int64_t sort_key;    /* ms; lowest first */
   int64_t tokens;      /* prompt tokens to be processed */
   void *owner;
 };
@@ -30,8 +31,7 @@
 void marjoram_wait_queue_destroy (marjoram_wait_queue *queue);
 /* Sort key of a request of PRIORITY, 0 being the most urgent.  */
 int64_t marjoram_wait_queue_turn (int priority, int64_t start_by);
-/* The caller has set OWNER, SERVICE, START_BY, SORT_KEY and TOKENS of WAITER.
- */
+/* All members of WAITER but LINK and QUEUED must be set.  */
 void marjoram_wait_queue_add (marjoram_wait_queue *queue,
                               struct marjoram_waiter *waiter);
 /* Does nothing if WAITER is not queued.  */
--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -73,14 +73,14 @@
 }
 
 static void
-op_cut (void *context, uint64_t call)
+op_abort (void *context, uint64_t call)
 {
   (void)call;
   ((struct gateway_fixture *)context)->seen.cuts++;
 }
 
 static void
-op_none (void *context, uint64_t call, const struct marjoram_no_answer *why)
+op_failure (void *context, uint64_t call, const struct marjoram_no_answer *why)
 {
   struct gateway_seen *seen = &((struct gateway_fixture *)context)->seen;
 
@@ -156,8 +156,8 @@
   .reply_head = op_head,
   .reply_data = op_data,
   .reply_end = op_end,
-  .reply_cut = op_cut,
-  .reply_none = op_none,
+  .reply_cut = op_abort,
+  .reply_none = op_failure,
   .send = op_send,
   .cancel = op_cancel,
   .reaches = op_reaches,
@@ -314,7 +314,7 @@
 receive (struct gateway_fixture *f, int64_t now, const char *path,
          bool forwarded, int tokens)
 {
-  const struct marjoram_forwarded told = { FORWARDED_PATIENCE_MS, 0 };
+  const struct marjoram_forwarded limits = { FORWARDED_PATIENCE_MS, 0 };
   struct marjoram_http_request *request = marjoram_alloc (sizeof *request);
   char id[32];
   char usage[64];
@@ -336,7 +336,7 @@
                             "3000");
   marjoram_header_list_add (&request->headers, "Marjoramproxy-Hold", "x");
   marjoram_gateway_receive (f->gateway, now, f->calls, request,
-                            forwarded ? &told : NULL);
+                            forwarded ? &limits : NULL);
   return f->calls;
 }
 
