--- a/src/gateway.c
+++ b/src/gateway.c
@@ -14,23 +14,24 @@
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_GATEWAY_TIMEOUT = 504,
-  /* A host that has no configuration yet gets one within a few round trips. */
+  /* Retry-After of a host that has no configuration yet.  */
   NO_CONFIG_RETRY_MS = 300,
-  /* An answer is handed to the caller by then, ahead of its own deadline.  */
+  /* Safety margin by which the proxy answers before the caller's deadline.  */
   DEADLINE_MARGIN_MS = 20,
-  /* How long after a change the former timeouts count too: well within the
-     three seconds in which a change must be in force.  */
-  CHANGE_MS = 2000,
-  /* A host that has just started knows nothing: its keepers tell it within
-     half a second, and upstreams, if the keepers have just started too, with
-     their next heartbeat.  Requests of its first seconds wait that long.  */
-  YOUNG_MS = 4000,
-  YOUNG_WAIT_MS = 500,
-  /* A batch of an engine takes some 10 ms; one that passes nothing on to any
-     of this host's requests for this long has stopped.  */
-  UPSTREAM_SILENT_MS = 800,
-  /* How long a silent request is left alone before it is looked at again.  */
-  SILENT_AGAIN_MS = 200
+  /* Period after a configuration change in which the previous timeouts still
+     apply.  Must be below the 3 s within which a change has to take
+     effect.  */
+  CONFIG_CHANGE_GRACE_MS = 2000,
+  /* For STARTUP_MS after its start a host may not have its configuration or
+     its upstreams yet.  Requests received in that period wait up to
+     STARTUP_WAIT_MS for them.  */
+  STARTUP_MS = 4000,
+  STARTUP_WAIT_MS = 500,
+  /* An upstream that sends no data for any request of this host for this long
+     is considered stalled.  */
+  UPSTREAM_STALL_MS = 800,
+  /* Interval between checks of an idle attempt that was kept.  */
+  IDLE_CHECK_MS = 200
 };
 
 marjoram_gateway *
@@ -75,9 +76,9 @@
 marjoram_gateway_set_table (marjoram_gateway *gateway, int64_t now,
                             const struct marjoram_route_table *table)
 {
-  gateway->former = gateway->table;
+  gateway->previous_table = gateway->table;
   gateway->table = table;
-  gateway->table_since = now;
+  gateway->table_set_at = now;
 }
 
 size_t
@@ -100,7 +101,7 @@
   return exchange->digest;
 }
 
-/* ---- Ends.  ---- */
+/* ---- Completion. ---- */
 
 static void
 destroy (marjoram_gateway *gateway, struct marjoram_exchange *exchange)
@@ -137,31 +138,32 @@
   free (gateway);
 }
 
-/* The bound that decided the end; "none" where there was none.  */
+/* Name of the limit that ended the request, for the log.  */
 static const char *
 limit_name (const struct marjoram_exchange *exchange,
             enum marjoram_reason reason)
 {
   if (reason == MARJORAM_REASON_DEADLINE)
-    return exchange->is_due_by_caller ? "caller-patience" : "route-timeout";
+    return exchange->is_caller_deadline ? "caller-patience" : "route-timeout";
   if (reason == MARJORAM_REASON_OVERLOAD)
     return marjoram_place_limit_name (exchange->place.limit);
   return "none";
 }
 
-/* Since events last went to the caller; -1 if none did.  */
+/* Time since the last event was sent to the caller; -1 if none was.  */
 static int64_t
-quiet_ms (const struct marjoram_exchange *exchange, int64_t now)
+since_last_event_ms (const struct marjoram_exchange *exchange, int64_t now)
 {
-  return exchange->last_at ? now - exchange->last_at : -1;
+  return exchange->last_event_at ? now - exchange->last_event_at : -1;
 }
 
 static void
 log_end (const struct marjoram_exchange *exchange, int64_t now,
          const char *outcome, enum marjoram_reason reason, int status)
 {
-  int64_t first_ms
-      = exchange->first_at ? exchange->first_at - exchange->received_at : -1;
+  int64_t first_ms = exchange->first_event_at
+                         ? exchange->first_event_at - exchange->received_at
+                         : -1;
 
   marjoram_event (
       MARJORAM_EVENT_REQUEST,
@@ -173,16 +175,16 @@
       " upstream=%s host=%s arrivals=%d unreached=%d forwarded=%d",
       *exchange->facts.id ? exchange->facts.id : "-", outcome,
       marjoram_reason_name (reason), status, now - exchange->received_at,
-      first_ms, exchange->objective_ms, exchange->waited_ms,
+      first_ms, exchange->objective_ms, exchange->estimated_wait_ms,
       exchange->place.backlog_ms, exchange->place.copied_tokens,
       exchange->place.candidates, exchange->place.usable,
       exchange->place.news_age_ms, limit_name (exchange, reason),
-      exchange->events_passed, quiet_ms (exchange, now), exchange->pause_ms,
-      *exchange->route ? exchange->route : "-",
+      exchange->events_sent, since_last_event_ms (exchange, now),
+      exchange->longest_gap_ms, *exchange->route ? exchange->route : "-",
       *exchange->service ? exchange->service : "-", exchange->config,
       *exchange->upstream ? exchange->upstream : "-",
       *exchange->host ? exchange->host : "-", exchange->arrivals,
-      exchange->unreached, exchange->forwarded);
+      exchange->failed_connections, exchange->forwarded);
 }
 
 void
@@ -238,8 +240,7 @@
   return exchange;
 }
 
-/* The upstream is told by the close of its connection, so that it stops work
-   that nobody waits for.  */
+/* Closing the connection tells the upstream to stop work on the request.  */
 void
 marjoram_gateway_gone (marjoram_gateway *gateway, int64_t now, uint64_t call)
 {
@@ -256,7 +257,7 @@
   destroy (gateway, exchange);
 }
 
-/* ---- Arrival.  ---- */
+/* ---- Admission. ---- */
 
 static void
 refuse_at_once (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -269,41 +270,41 @@
   marjoram_exchange_refuse (gateway, exchange, now, &why);
 }
 
-/* A configuration may shorten a timeout while operators still wait for its
-   acknowledgement, and hosts put it in force at slightly different times.  An
-   answer cut by the new timeout would be lost by the change itself, so for a
-   short while the longer of the two counts.  */
+/* Hosts apply a configuration at slightly different times.  For
+   CONFIG_CHANGE_GRACE_MS after a change the longer of the old and the new
+   timeout applies, so that a change does not cut answers in progress.  */
 static int64_t
-timeout_of (const marjoram_gateway *gateway, const char *host,
-            const struct marjoram_exchange *exchange,
-            const struct marjoram_route_rule *route)
+effective_timeout (const marjoram_gateway *gateway, const char *host,
+                   const struct marjoram_exchange *exchange,
+                   const struct marjoram_route_rule *route)
 {
   const struct marjoram_route_rule *before = NULL;
 
-  if (gateway->former
-      && exchange->received_at < gateway->table_since + CHANGE_MS)
-    before = marjoram_route_table_find (gateway->former, host,
+  if (gateway->previous_table
+      && exchange->received_at
+             < gateway->table_set_at + CONFIG_CHANGE_GRACE_MS)
+    before = marjoram_route_table_find (gateway->previous_table, host,
                                         exchange->request->target);
   return before && before->timeout_ms > route->timeout_ms ? before->timeout_ms
                                                           : route->timeout_ms;
 }
 
 static void
-set_due (struct marjoram_exchange *exchange, int64_t timeout_ms)
+set_deadline (struct marjoram_exchange *exchange, int64_t timeout_ms)
 {
   int64_t patience = exchange->facts.patience_ms;
 
   exchange->due_at = exchange->received_at + timeout_ms;
-  exchange->is_due_by_caller
+  exchange->is_caller_deadline
       = patience > 0 && patience - DEADLINE_MARGIN_MS < timeout_ms;
-  if (exchange->is_due_by_caller)
+  if (exchange->is_caller_deadline)
     exchange->due_at = exchange->received_at + patience - DEADLINE_MARGIN_MS;
 }
 
-/* Whether a configuration that came since gives the request more time.  */
+/* Whether the current configuration extends the request's deadline.  */
 static bool
-has_more_time (const marjoram_gateway *gateway,
-               struct marjoram_exchange *exchange, int64_t now)
+extend_deadline (const marjoram_gateway *gateway,
+                 struct marjoram_exchange *exchange, int64_t now)
 {
   const char *host
       = marjoram_header_list_get (&exchange->request->headers, "Host");
@@ -311,7 +312,8 @@
       gateway->table, host ? host : "", exchange->request->target);
 
   if (route)
-    set_due (exchange, timeout_of (gateway, host, exchange, route));
+    set_deadline (exchange,
+                  effective_timeout (gateway, host, exchange, route));
   return now < exchange->due_at;
 }
 
@@ -320,13 +322,13 @@
                             const struct marjoram_exchange *exchange,
                             int64_t now)
 {
-  return now < gateway->created_at + YOUNG_MS && !exchange->forwarded
+  return now < gateway->created_at + STARTUP_MS && !exchange->forwarded
          && exchange->arrivals == 0
-         && now < exchange->received_at + YOUNG_WAIT_MS;
+         && now < exchange->received_at + STARTUP_WAIT_MS;
 }
 
-/* Finds the route and sends the request, or refuses it; or leaves it waiting,
-   where it may.  */
+/* Finds the route and sends or refuses the request, or leaves it waiting where
+   marjoram_exchange_may_wait allows that.  */
 static void
 admit (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
        int64_t now)
@@ -350,7 +352,7 @@
                       STATUS_NOT_FOUND, 0);
       return;
     }
-  set_due (exchange, timeout_of (gateway, host, exchange, route));
+  set_deadline (exchange, effective_timeout (gateway, host, exchange, route));
   marjoram_exchange_send (gateway, exchange, now);
 }
 
@@ -387,14 +389,14 @@
   exchange->forwarded = forwarded != NULL;
   exchange->received_at = now;
   exchange->due_at = INT64_MAX;
-  exchange->silent_at = INT64_MAX;
+  exchange->idle_deadline = INT64_MAX;
   exchange->body = evbuffer_new ();
   gateway->options.dialect->ops->read_call (&request->headers,
                                             &exchange->facts);
   if (forwarded && forwarded->patience_ms > 0)
     exchange->facts.patience_ms = forwarded->patience_ms;
   if (forwarded && forwarded->useful_ms > 0)
-    exchange->told_useful_by = now + forwarded->useful_ms;
+    exchange->forwarded_target_at = now + forwarded->useful_ms;
   HASH_ADD (by_call, gateway->by_call, call, sizeof exchange->call, exchange);
   count_request (gateway, exchange, now);
   if (!*exchange->facts.id)
@@ -406,7 +408,7 @@
   admit (gateway, exchange, now);
 }
 
-/* ---- Time.  ---- */
+/* ---- Timeouts. ---- */
 
 static void
 time_out (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -421,42 +423,39 @@
   marjoram_exchange_refuse (gateway, exchange, now, &why);
 }
 
-/* The time up to which this host has heard what was sent to it.  Where its own
-   link is full, answers of live engines wait there for seconds.  Judged by the
-   clock, these are left one after the other, until there is no place to go on
-   and the callers' streams end without an end.  The lag has a bound, so that
-   upstreams that are dead are found all the same.  */
+/* Time up to which this host has processed its input.  Answers may be delayed
+   on this host's own link for seconds, so idle timeouts are measured against
+   this time instead of the clock.  The lag is bounded, so dead upstreams are
+   still detected.  */
 static int64_t
-heard_until (const marjoram_gateway *gateway, int64_t now)
+input_time (const marjoram_gateway *gateway, int64_t now)
 {
   return now - gateway->ops->lag_ms (gateway->context);
 }
 
-/* An engine under load may put a request off for seconds and go on with it,
-   while it answers others: one that answers anybody is not dead.  And one that
-   is dead is left only for a place that takes the request, as what is cut
-   without one is lost for sure.  Streams were cut so, in the middle, at hosts
-   that stopped in good order.  Where a request came from another host, that
-   one decides.  */
+/* An upstream that sends data for any request is alive, even if it delays this
+   one.  A stalled upstream is abandoned only if another place accepts the
+   request, since a stream that is cut without one is lost.  For a forwarded
+   request the forwarding host decides.  */
 static bool
-is_worth_leaving (marjoram_gateway *gateway,
-                  const struct marjoram_exchange *exchange, int64_t now)
+should_abandon (marjoram_gateway *gateway,
+                const struct marjoram_exchange *exchange, int64_t now)
 {
-  int64_t heard_at
+  int64_t data_received_at
       = marjoram_placement_heard_at (gateway->placement, exchange->attempt);
 
   return !exchange->forwarded
-         && heard_until (gateway, now) >= heard_at + UPSTREAM_SILENT_MS
+         && input_time (gateway, now) >= data_received_at + UPSTREAM_STALL_MS
          && marjoram_exchange_has_other_place (gateway, exchange, now);
 }
 
 static void
-give_up_silent (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
-                int64_t now)
+check_idle (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
+            int64_t now)
 {
-  if (!is_worth_leaving (gateway, exchange, now))
+  if (!should_abandon (gateway, exchange, now))
     {
-      exchange->silent_at = heard_until (gateway, now) + SILENT_AGAIN_MS;
+      exchange->idle_deadline = input_time (gateway, now) + IDLE_CHECK_MS;
       return;
     }
   marjoram_exchange_drop_attempt (gateway, exchange, now,
@@ -473,14 +472,14 @@
 
   HASH_ITER (by_call, gateway->by_call, exchange, next)
   {
-    if (exchange->state == MARJORAM_EXCHANGE_WAITS && !exchange->waiter.waits)
+    if (exchange->state == MARJORAM_EXCHANGE_WAITS && !exchange->waiter.queued)
       admit (gateway, exchange, now);
     else if (now >= exchange->due_at
-             && !has_more_time (gateway, exchange, now))
+             && !extend_deadline (gateway, exchange, now))
       time_out (gateway, exchange, now);
     else if (exchange->attempt
-             && heard_until (gateway, now) >= exchange->silent_at)
-      give_up_silent (gateway, exchange, now);
+             && input_time (gateway, now) >= exchange->idle_deadline)
+      check_idle (gateway, exchange, now);
   }
   marjoram_gateway_try_waiting (gateway, now);
   marjoram_placement_tick (gateway->placement, now);
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -11,18 +11,19 @@
 
 enum
 {
-  /* For a request that crashes upstreams: the caller is not to come again.  */
+  /* For requests that crash upstreams: tells the caller not to retry.  */
   STATUS_BAD_REQUEST = 400,
   STATUS_NOT_FOUND = 404,
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
-  /* An upstream that gives no sign for this long beyond its estimated wait is
-     taken for dead, where another may go on.  */
-  SILENT_MS = 900,
-  SILENT_FACTOR = 3,
-  /* Least time left for which an upstream is given a request.  */
-  USEFUL_MIN_MS = 5,
-  UNREACHED_MAX = 4, /* attempts that reach nobody */
+  /* Idle timeout before the first event, in addition to IDLE_WAIT_FACTOR times
+     the estimated wait.  */
+  IDLE_MS = 900,
+  IDLE_WAIT_FACTOR = 3,
+  /* Minimum time left to the latency target; below it the deadline is
+     used.  */
+  TARGET_MIN_MS = 5,
+  UNREACHED_MAX = 4, /* attempts without a connection */
   REFUSED_RETRY_MS = 250,
   URGENCY_MAX = 9
 };
@@ -52,7 +53,7 @@
   marjoram_placement_ended (gateway->placement, now, exchange->attempt, how);
   HASH_DELETE (by_attempt, gateway->by_attempt, exchange);
   exchange->attempt = 0;
-  exchange->silent_at = INT64_MAX;
+  exchange->idle_deadline = INT64_MAX;
 }
 
 void
@@ -71,7 +72,7 @@
     gateway->ops->cancel (gateway->context, attempt);
 }
 
-/* ---- The message.  ---- */
+/* ---- Request message. ---- */
 
 int64_t
 marjoram_exchange_patience (const struct marjoram_exchange *exchange,
@@ -80,7 +81,6 @@
   return exchange->due_at - now;
 }
 
-/* After which event the next upstream goes on; null: as the caller said.  */
 const char *
 marjoram_exchange_last_event (const struct marjoram_exchange *exchange)
 {
@@ -145,10 +145,10 @@
   return message;
 }
 
-/* ---- To an upstream of this region.  ---- */
+/* ---- Sending to an upstream of this region. ---- */
 
 static void
-remember_tried (struct marjoram_exchange *exchange, const char *upstream)
+add_tried (struct marjoram_exchange *exchange, const char *upstream)
 {
   if (exchange->tried_count == MARJORAM_TRIED_MAX)
     return;
@@ -166,7 +166,7 @@
   query->facts = &exchange->facts;
   query->priority = exchange->priority;
   query->useful_ms = exchange->useful_by - now;
-  if (query->useful_ms < USEFUL_MIN_MS)
+  if (query->useful_ms < TARGET_MIN_MS)
     query->useful_ms = marjoram_exchange_patience (exchange, now);
   query->again = true;
   for (size_t i = 0; i < exchange->tried_count; i++)
@@ -183,15 +183,16 @@
   snprintf (exchange->upstream, sizeof exchange->upstream, "%s",
             place->upstream->news.id);
   exchange->host[0] = '\0';
-  exchange->waited_ms = place->wait_ms;
+  exchange->estimated_wait_ms = place->wait_ms;
   marjoram_exchange_start_attempt (gateway, exchange);
   marjoram_placement_started (gateway->placement, now, exchange->attempt,
                               exchange->upstream, query);
-  remember_tried (exchange, exchange->upstream);
+  add_tried (exchange, exchange->upstream);
   exchange->arrivals++;
   exchange->runs++;
   if (exchange->repeatable)
-    exchange->silent_at = now + SILENT_MS + SILENT_FACTOR * place->wait_ms;
+    exchange->idle_deadline
+        = now + IDLE_MS + IDLE_WAIT_FACTOR * place->wait_ms;
   send.attempt = exchange->attempt;
   send.address = place->upstream->news.address;
   send.message = write_message (
@@ -203,7 +204,7 @@
   marjoram_bytes_release (send.message);
 }
 
-/* ---- The choice.  ---- */
+/* ---- Placement. ---- */
 
 static void
 refuse (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
@@ -251,8 +252,8 @@
   exchange->objective_ms = route->objective_ms;
   exchange->config = table->version;
   exchange->useful_by
-      = exchange->told_useful_by
-            ? exchange->told_useful_by
+      = exchange->forwarded_target_at
+            ? exchange->forwarded_target_at
             : exchange->received_at
                   + (route->objective_ms > 0 ? route->objective_ms
                                              : route->timeout_ms);
@@ -260,13 +261,13 @@
   snprintf (exchange->service, sizeof exchange->service, "%s", service);
 }
 
-/* The longest wait for which it is worth to leave the region: where no
-   upstream is left here, any that the caller bears; else only one that is
-   shorter than the wait here.  */
+/* Longest wait in another region that is preferred to this one: up to the
+   deadline if no upstream is left here, otherwise up to the shorter of the
+   wait here and the time left to the latency target.  */
 static int64_t
-most_wait_elsewhere (const marjoram_gateway *gateway,
-                     const struct marjoram_exchange *exchange, int64_t now,
-                     const struct marjoram_place *chosen, int64_t useful_ms)
+max_remote_wait (const marjoram_gateway *gateway,
+                 const struct marjoram_exchange *exchange, int64_t now,
+                 const struct marjoram_place *chosen, int64_t useful_ms)
 {
   int64_t here_ms;
 
@@ -290,13 +291,13 @@
   exchange->place = *chosen;
   exchange->place.upstream = NULL;
   exchange->place.copy_from = NULL;
-  exchange->waited_ms = chosen->wait_ms;
+  exchange->estimated_wait_ms = chosen->wait_ms;
   query->expected_ms = chosen->wait_ms;
   query->copied_tokens = chosen->copied_tokens;
 }
 
-/* The last zone of a region is evacuated while no other region that may run a
-   request can be reached: for a short while its upstreams still take it.  */
+/* Allows upstreams of a zone that is being evacuated, for requests that no
+   other region can serve.  */
 static bool
 find_last_resort (marjoram_gateway *gateway,
                   struct marjoram_exchange *exchange, int64_t now,
@@ -335,10 +336,9 @@
                                   query.useful_ms))
     return;
   if (!found
-      && marjoram_exchange_cross (gateway, exchange, route, now,
-                                  most_wait_elsewhere (gateway, exchange, now,
-                                                       &chosen,
-                                                       query.useful_ms)))
+      && marjoram_exchange_cross (
+          gateway, exchange, route, now,
+          max_remote_wait (gateway, exchange, now, &chosen, query.useful_ms)))
     return;
   if (!found && chosen.candidates == 0)
     found = find_last_resort (gateway, exchange, now, &query, &chosen);
@@ -348,8 +348,8 @@
     refuse_place (gateway, exchange, now, &chosen);
 }
 
-/* Whether it was refused, as it has taken down one upstream after the other,
-   and would the next one, with all that runs there.  */
+/* Refuses a request that crashed several upstreams.  Returns whether it was
+   refused.  */
 static bool
 refuse_crashing (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
                  int64_t now)
@@ -417,8 +417,8 @@
                                          query.useful_ms);
 }
 
-/* The route is looked up at each sending, so that a request that is sent again
-   goes by the configuration that is in force then.  */
+/* Looks up the route on each attempt, so that a retry follows the current
+   configuration.  */
 void
 marjoram_exchange_send (marjoram_gateway *gateway,
                         struct marjoram_exchange *exchange, int64_t now)
@@ -445,7 +445,7 @@
   take_terms (exchange, table, route, service);
   if (refuse_crashing (gateway, exchange, now))
     return;
-  if (exchange->unreached >= UNREACHED_MAX)
+  if (exchange->failed_connections >= UNREACHED_MAX)
     {
       refuse (gateway, exchange, now, MARJORAM_REASON_NO_UPSTREAM,
               REFUSED_RETRY_MS);
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -1,4 +1,4 @@
-/* Requests that crash upstreams: who is suspected, isolated and convicted.  */
+/* Tests of the suspicion and isolation of requests that crash upstreams.  */
 #include "suite.h"
 
 #include "random.h"
@@ -9,14 +9,14 @@
 
 enum
 {
-  TEST_SECONDS = 60, /* a busy machine is no failure */
+  TEST_SECONDS = 60, /* allows for a busy machine */
   KEEP_MS = 60000,
   HOUR_MS = 3600000,
   DAY_MS = 24 * HOUR_MS,
   HOSTS = 3,
   UPSTREAMS = 6,
   DIGESTS = 8,
-  KILLER = 0,
+  CRASHING = 0,
   STEPS = 400,
   SEEDS = 300
 };
@@ -26,40 +26,40 @@
   int64_t now;
   marjoram_suspects *hosts[HOSTS];
   int runs[HOSTS][UPSTREAMS][DIGESTS];
-  int killers; /* runs of the killer now */
+  int crashing_runs; /* current runs of the crashing request */
   int deaths;
   int reports;
 };
 
-/* What one host reports.  */
-struct link
+/* Context of one host's reports.  */
+struct report_context
 {
   struct cluster *cluster;
   int host;
 };
 
 static void
-spread (void *context, const struct marjoram_suspect_message *message)
+broadcast (void *context, const struct marjoram_suspect_message *message)
 {
-  const struct link *link = context;
+  const struct report_context *report_context = context;
 
-  link->cluster->reports++;
+  report_context->cluster->reports++;
   for (int i = 0; i < HOSTS; i++)
-    if (i != link->host)
-      marjoram_suspects_learn (link->cluster->hosts[i], link->cluster->now,
-                               message);
+    if (i != report_context->host)
+      marjoram_suspects_learn (report_context->cluster->hosts[i],
+                               report_context->cluster->now, message);
 }
 
 static void
-open_cluster (struct cluster *cluster, struct link *links)
+open_cluster (struct cluster *cluster, struct report_context *links)
 {
   memset (cluster, 0, sizeof *cluster);
   cluster->now = 1;
   for (int i = 0; i < HOSTS; i++)
     {
-      links[i] = (struct link){ cluster, i };
+      links[i] = (struct report_context){ cluster, i };
       cluster->hosts[i] = marjoram_suspects_create (KEEP_MS);
-      marjoram_suspects_set_report (cluster->hosts[i], spread, &links[i]);
+      marjoram_suspects_set_report (cluster->hosts[i], broadcast, &links[i]);
     }
 }
 
@@ -78,8 +78,8 @@
 }
 
 static bool
-may (const struct cluster *cluster, int host, const char *upstream,
-     const char *digest)
+may_start (const struct cluster *cluster, int host, const char *upstream,
+           const char *digest)
 {
   return marjoram_suspects_may_start (cluster->hosts[host], cluster->now,
                                       upstream, digest);
@@ -102,47 +102,47 @@
 }
 
 static void
-die (struct cluster *cluster, struct link *links, const char *upstream)
+kill_upstream (struct cluster *cluster, struct report_context *links,
+               const char *upstream)
 {
   cluster->deaths++;
   for (int i = 0; i < HOSTS; i++)
-    marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream, spread,
-                            &links[i]);
+    marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream,
+                            broadcast, &links[i]);
 }
 
-/* K crashes u1, where A and B run as well; their callers send all three again,
-   to other hosts.  K crashes a second upstream, alone there; only K is refused
-   from then on, everywhere, and A and B are answered.  */
+/* Guards against more than two crashes by one request (K), and against
+   refusing requests (A and B) that ran beside it.  */
 START_TEST (second_death_convicts_exactly_one)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
 
   open_cluster (&c, links);
   start (&c, 0, "u1", "K");
   start (&c, 0, "u1", "A");
   start (&c, 1, "u1", "B");
-  die (&c, links, "u1");
+  kill_upstream (&c, links, "u1");
   ck_assert_int_eq (c.reports, 3);
   for (int i = 0; i < HOSTS; i++)
     ck_assert_int_eq (marjoram_suspects_get (c.hosts[i], c.now, "B"),
                       MARJORAM_SUSPICION_SUSPECT);
-  ck_assert (may (&c, 1, "u2", "A"));
+  ck_assert (may_start (&c, 1, "u2", "A"));
   start (&c, 1, "u2", "A");
-  ck_assert (!may (&c, 1, "u2", "K"));
-  ck_assert (!may (&c, 2, "u2", "K"));
-  ck_assert (may (&c, 2, "u2", "N"));
-  ck_assert (may (&c, 2, "u3", "K"));
+  ck_assert (!may_start (&c, 1, "u2", "K"));
+  ck_assert (!may_start (&c, 2, "u2", "K"));
+  ck_assert (may_start (&c, 2, "u2", "N"));
+  ck_assert (may_start (&c, 2, "u3", "K"));
   start (&c, 2, "u3", "K");
   start (&c, 0, "u3", "N");
-  ck_assert (!may (&c, 0, "u4", "K"));
-  die (&c, links, "u3");
+  ck_assert (!may_start (&c, 0, "u4", "K"));
+  kill_upstream (&c, links, "u3");
   end (&c, 1, "u2", "A");
   marjoram_suspects_cleared (c.hosts[1], c.now, "A");
   for (int i = 0; i < HOSTS; i++)
     {
       ck_assert (convicted (&c, i, "K"));
-      ck_assert (!may (&c, i, "u5", "K"));
+      ck_assert (!may_start (&c, i, "u5", "K"));
       ck_assert (!convicted (&c, i, "A") && !convicted (&c, i, "B"));
       ck_assert_int_eq (marjoram_suspects_get (c.hosts[i], c.now, "N"),
                         MARJORAM_SUSPICION_SUSPECT);
@@ -155,21 +155,20 @@
 }
 END_TEST
 
-/* Two hosts start one suspect each at the same upstream before they hear of
-   each other.  It dies: nobody knows by which, so neither is refused for
-   ever.  */
+/* Guards against convicting either of two suspects that two hosts started at
+   the same upstream at the same time.  */
 START_TEST (two_suspects_at_one_death_are_not_convicted)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
 
   open_cluster (&c, links);
   start (&c, 0, "u1", "K");
   start (&c, 1, "u1", "A");
-  die (&c, links, "u1");
+  kill_upstream (&c, links, "u1");
   start (&c, 0, "u2", "K");
   start (&c, 1, "u2", "A");
-  die (&c, links, "u2");
+  kill_upstream (&c, links, "u2");
   for (int i = 0; i < HOSTS; i++)
     ck_assert (!convicted (&c, i, "K") && !convicted (&c, i, "A"));
   close_cluster (&c);
@@ -179,7 +178,7 @@
 START_TEST (learns_the_worse_and_forgets_in_time)
 {
   struct cluster c;
-  struct link links[HOSTS];
+  struct report_context links[HOSTS];
   struct marjoram_suspect_message message
       = { .digest = (char *)"K", .suspicion = MARJORAM_SUSPICION_CONVICTED };
 
@@ -203,8 +202,7 @@
 }
 END_TEST
 
-/* A host dies while a suspect of its runs, so that nobody says when it ends.
-   Its mark must not keep other suspects from that upstream for good.  */
+/* Guards against a dead host's suspect blocking an upstream forever.  */
 START_TEST (mark_of_a_dead_host_expires)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (DAY_MS);
@@ -222,7 +220,7 @@
 }
 END_TEST
 
-/* Upstreams die all day and each takes new requests with it.  */
+/* Guards against unbounded memory use by repeated deaths.  */
 START_TEST (memory_is_bounded)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (KEEP_MS);
@@ -248,12 +246,13 @@
 
   snprintf (u, sizeof u, "u%d", upstream);
   snprintf (d, sizeof d, "d%d", digest);
-  /* The killer's caller sends it again after it failed, not before.  */
-  if ((digest == KILLER && c->killers > 0) || !may (c, host, u, d))
+  /* The caller retries the crashing request only after a failure.  */
+  if ((digest == CRASHING && c->crashing_runs > 0)
+      || !may_start (c, host, u, d))
     return;
   start (c, host, u, d);
   c->runs[host][upstream][digest]++;
-  c->killers += digest == KILLER;
+  c->crashing_runs += digest == CRASHING;
 }
 
 static void
@@ -263,7 +262,7 @@
 
   snprintf (u, sizeof u, "u%d", upstream);
   snprintf (d, sizeof d, "d%d", digest);
-  if (digest == KILLER || c->runs[host][upstream][digest] == 0)
+  if (digest == CRASHING || c->runs[host][upstream][digest] == 0)
     return;
   c->runs[host][upstream][digest]--;
   end (c, host, u, d);
@@ -271,32 +270,31 @@
 }
 
 static void
-try_death (struct cluster *c, struct link *links, int upstream)
+try_crash (struct cluster *c, struct report_context *links, int upstream)
 {
   char u[8];
-  int killers = 0;
+  int crashing_runs = 0;
 
   for (int i = 0; i < HOSTS; i++)
-    killers += c->runs[i][upstream][KILLER];
-  if (killers == 0)
+    crashing_runs += c->runs[i][upstream][CRASHING];
+  if (crashing_runs == 0)
     return;
   snprintf (u, sizeof u, "u%d", upstream);
-  die (c, links, u);
-  c->killers -= killers;
+  kill_upstream (c, links, u);
+  c->crashing_runs -= crashing_runs;
   for (int i = 0; i < HOSTS; i++)
     memset (c->runs[i][upstream], 0, sizeof c->runs[i][upstream]);
 }
 
-/* Many callers send the same few requests to all hosts, also at once, and one
-   of these requests kills each upstream that runs it.  Whatever the order, two
-   upstreams die at most, and no other request is refused for ever.  */
+/* Property test: whatever the order of events, a request that crashes each
+   upstream is convicted after two crashes, and no other request is.  */
 START_TEST (killer_is_found_in_two_deaths)
 {
   for (int seed = 1; seed <= SEEDS; seed++)
     {
       marjoram_random *random = marjoram_random_create (seed);
       struct cluster c;
-      struct link links[HOSTS];
+      struct report_context links[HOSTS];
 
       open_cluster (&c, links);
       for (int i = 0; i < STEPS; i++)
@@ -317,7 +315,7 @@
               try_end (&c, host, upstream, digest);
               break;
             default:
-              try_death (&c, links, upstream);
+              try_crash (&c, links, upstream);
               break;
             }
         }
@@ -329,7 +327,7 @@
 
             snprintf (d, sizeof d, "d%d", j);
             ck_assert_msg (
-                convicted (&c, i, d) == (j == KILLER && c.deaths == 2),
+                convicted (&c, i, d) == (j == CRASHING && c.deaths == 2),
                 "seed %d: host %d, %s after %d deaths", seed, i, d, c.deaths);
           }
       close_cluster (&c);
