--- a/src/choose.c
+++ b/src/choose.c
@@ -8,27 +8,27 @@
 
 enum
 {
-  PREFIXES = 16384, /* remembered */
-  DRAWN = 2,        /* candidates at random */
-  DRAWN_MORE = 6,   /* if those would make it wait */
+  PREFIX_INDEX_CAPACITY = 16384,
+  SAMPLE_SIZE = 2,       /* random candidates */
+  EXTRA_SAMPLE_SIZE = 6, /* if those would queue */
   SLOW_START_MS = 10000,
-  ROOM_AGE_MS = 50,
-  OTHERS_AGE_MS = 1000,
-  SLOW_SAMPLES = 8,
-  SLOW_CHECK = 16 /* measurements between two looks at one upstream */
+  CAPACITY_CACHE_MS = 50,
+  PEER_WEIGHT_CACHE_MS = 1000,
+  OUTLIER_MIN_SAMPLES = 8,
+  OUTLIER_CHECK_INTERVAL = 16 /* in samples */
 };
 
-/* How much slower a full batch decodes than a single stream.  */
+/* Relative slowdown of decoding in a full batch over a single stream.  */
 #define BATCH_SLOWDOWN 0.5
-/* Part of the prompt that a cached prefix is taken to spare.  */
-#define CACHED_PART 0.6
-/* Prefill holds up the decoding of the whole batch: how much its time counts
-   for each request there.  */
+/* Fraction of the prefill time that a cached prefix saves.  */
+#define CACHED_PREFIX_SAVING 0.6
+/* Prefill stalls the decoding of the whole batch; weight of its duration for
+   each request in the batch.  */
 #define PREFILL_WEIGHT 4.0
-/* What one request of this host stands for where there are other hosts.  */
-#define OTHERS 2.0
-#define EWMA 0.1
-#define SLOW_FACTOR 3.0
+/* Weight of a request of this host when the zone has other hosts.  */
+#define PEER_LOAD_WEIGHT 2.0
+#define EWMA_WEIGHT 0.1
+#define OUTLIER_FACTOR 3.0
 
 struct marjoram_chooser
 {
@@ -38,8 +38,8 @@
   marjoram_config *config;
   marjoram_pools *pools;
   marjoram_cache_index *cache;
-  double others; /* what one request of this host stands for */
-  int64_t others_at;
+  double peer_weight; /* weight of a request of this host */
+  int64_t peer_weight_updated;
 };
 
 marjoram_chooser *
@@ -52,7 +52,7 @@
   chooser->suspects = suspects;
   chooser->random = random;
   chooser->pools = marjoram_pools_create (members);
-  chooser->cache = marjoram_cache_index_create (PREFIXES);
+  chooser->cache = marjoram_cache_index_create (PREFIX_INDEX_CAPACITY);
   return chooser;
 }
 
@@ -76,34 +76,34 @@
   chooser->config = config;
 }
 
-/* Requests there now.  The report is old, so what this host started and ended
-   since is added, and more than once if the zone has other hosts: they have
-   the same old report and will have chosen alike, which would overload the
-   upstream that looked free in it.  */
+/* Estimated number of requests at the upstream.  The last report is stale, so
+   requests that this host started or finished since are added.  They are
+   weighted if the zone has other hosts, which select from the same report and
+   would otherwise overload the upstream that looked idle in it.  */
 static double
-load_of (const marjoram_chooser *chooser,
-         const struct marjoram_upstream *upstream)
+estimate_load (const marjoram_chooser *chooser,
+               const struct marjoram_upstream *upstream)
 {
   double since = (double)upstream->started - (double)upstream->finished;
   double reported = (double)(upstream->announcement->running
                              + upstream->announcement->waiting);
 
-  return fmax (reported + since * chooser->others, upstream->in_flight);
+  return fmax (reported + since * chooser->peer_weight, upstream->in_flight);
 }
 
 static double
-slots_of (const struct marjoram_upstream *upstream)
+slot_count (const struct marjoram_upstream *upstream)
 {
   return upstream->announcement->slots ? (double)upstream->announcement->slots
                                        : 1;
 }
 
-/* Stops a returning upstream, whose cache is cold and whose load is zero, from
-   drawing the whole zone's requests at once: it counts as partly loaded for
-   its first seconds.  It is a matter of preference only, so that nothing is
-   refused when all upstreams have just started.  */
+/* Keeps a restarted upstream, with an empty cache and no load, from attracting
+   all new requests of the zone: its cost is raised during the first seconds.
+   This affects only the ranking, so that requests are not refused when all
+   upstreams have just started.  */
 static double
-slow_start (const struct marjoram_upstream *upstream, int64_t now)
+slow_start_penalty (const struct marjoram_upstream *upstream, int64_t now)
 {
   int64_t age = now - upstream->since;
 
@@ -120,7 +120,8 @@
 
   if (work->prefill_rate <= 0)
     return 0;
-  return tokens * (cached ? 1 - CACHED_PART : 1) / work->prefill_rate * 1000;
+  return tokens * (cached ? 1 - CACHED_PREFIX_SAVING : 1) / work->prefill_rate
+         * 1000;
 }
 
 static double
@@ -133,8 +134,8 @@
 }
 
 static double
-alone_ms (const marjoram_chooser *chooser, const struct marjoram_pool *pool,
-          const struct marjoram_query *query, bool cached)
+unloaded_ms (const marjoram_chooser *chooser, const struct marjoram_pool *pool,
+             const struct marjoram_query *query, bool cached)
 {
   const struct marjoram_work *work
       = marjoram_config_work (chooser->config, query->work);
@@ -148,21 +149,22 @@
 marjoram_chooser_alone_ms (const marjoram_chooser *chooser,
                            const struct marjoram_query *query)
 {
-  return alone_ms (chooser, marjoram_pools_get (chooser->pools, query->work),
-                   query, false);
+  return unloaded_ms (
+      chooser, marjoram_pools_get (chooser->pools, query->work), query, false);
 }
 
 static void
-estimate (const marjoram_chooser *chooser, const struct marjoram_pool *pool,
-          const struct marjoram_candidate *candidate,
-          const struct marjoram_query *query, bool cached,
-          struct marjoram_pick *pick)
+estimate_candidate (const marjoram_chooser *chooser,
+                    const struct marjoram_pool *pool,
+                    const struct marjoram_candidate *candidate,
+                    const struct marjoram_query *query, bool cached,
+                    struct marjoram_pick *pick)
 {
   const struct marjoram_upstream *upstream = candidate->upstream;
   const struct marjoram_work *work
       = marjoram_config_work (chooser->config, query->work);
-  double slots = slots_of (upstream);
-  double load = load_of (chooser, upstream);
+  double slots = slot_count (upstream);
+  double load = estimate_load (chooser, upstream);
   double fill = fmin (1, load / slots);
   double factor = candidate->speed->factor;
 
@@ -172,7 +174,7 @@
   pick->wait_ms
       = pick->room ? 0 : (load - slots + 1) / slots * pool->mean_ms * factor;
   pick->total_ms = pick->wait_ms
-                   + alone_ms (chooser, pool, query, cached)
+                   + unloaded_ms (chooser, pool, query, cached)
                          * (1 + BATCH_SLOWDOWN * fill) * factor;
   pick->cost = pick->total_ms
                + PREFILL_WEIGHT * fmin (load, slots)
@@ -188,8 +190,8 @@
   return false;
 }
 
-/* What holds for all candidates of one choice.  */
-struct search
+/* State of one selection.  */
+struct selection
 {
   marjoram_chooser *chooser;
   struct marjoram_pool *pool;
@@ -201,63 +203,66 @@
 };
 
 static bool
-usable (const struct search *search, const struct marjoram_upstream *upstream)
+is_usable (const struct selection *selection,
+           const struct marjoram_upstream *upstream)
 {
   const char *name = upstream->announcement->name;
 
-  if (!marjoram_upstream_usable (upstream, search->now)
-      || was_tried (search->query, name))
+  if (!marjoram_upstream_usable (upstream, selection->now)
+      || was_tried (selection->query, name))
     return false;
-  return !search->suspect
-         || marjoram_suspects_may_start (search->chooser->suspects,
-                                         search->now, name,
-                                         search->query->digest);
+  return !selection->suspect
+         || marjoram_suspects_may_start (selection->chooser->suspects,
+                                         selection->now, name,
+                                         selection->query->digest);
 }
 
-/* Overnight work may only fill free slots, so one that has some goes first;
-   interactive work may also wait a little for the replica that has its
-   prefix.  */
+/* Overnight work may only use free slots, so an upstream with free slots ranks
+   first.  Interactive work may also queue at the replica that has its prefix
+   cached.  */
 static bool
-is_better (const struct search *search, const struct marjoram_pick *pick,
+is_better (const struct selection *selection, const struct marjoram_pick *pick,
            double cost)
 {
-  const struct marjoram_pick *best = search->best;
+  const struct marjoram_pick *best = selection->best;
 
   if (!best->upstream)
     return true;
-  if (search->query->class == MARJORAM_CLASS_OVERNIGHT
+  if (selection->query->class == MARJORAM_CLASS_OVERNIGHT
       && best->room != pick->room)
     return pick->room;
-  return cost < search->best_cost;
+  return cost < selection->best_cost;
 }
 
 static void
-consider (struct search *search, int index, bool cached)
+evaluate (struct selection *selection, int index, bool cached)
 {
   const struct marjoram_candidate *candidate
-      = &search->pool->candidates[index];
+      = &selection->pool->candidates[index];
   struct marjoram_pick pick;
   double cost;
 
-  if (!usable (search, candidate->upstream))
+  if (!is_usable (selection, candidate->upstream))
     return;
-  estimate (search->chooser, search->pool, candidate, search->query, cached,
-            &pick);
-  cost = pick.cost * (1 + slow_start (candidate->upstream, search->now));
-  if (!is_better (search, &pick, cost))
+  estimate_candidate (selection->chooser, selection->pool, candidate,
+                      selection->query, cached, &pick);
+  cost = pick.cost
+         * (1 + slow_start_penalty (candidate->upstream, selection->now));
+  if (!is_better (selection, &pick, cost))
     return;
-  search->best_cost = cost;
-  *search->best = pick;
+  selection->best_cost = cost;
+  *selection->best = pick;
 }
 
-/* All hosts find the same replica for a prefix, without a word between
-   them.  */
+/* Hashing maps a prefix to the same replica on all hosts without
+   coordination.  */
 static void
-consider_preferred (struct search *search)
+evaluate_preferred (struct selection *selection)
 {
-  consider (search,
-            marjoram_pool_nearest (search->pool, search->query->prefix_hash),
-            true);
+  evaluate (
+      selection,
+      marjoram_pool_nearest (selection->pool, selection->query->prefix_hash),
+      true);
 }
 
 static uint64_t
@@ -266,13 +271,14 @@
   return query->prefix_hash + (uint64_t)query->work;
 }
 
-/* An upstream that came back since has an empty cache.  */
+/* An upstream that restarted after the entry was recorded has an empty
+   cache.  */
 static void
-consider_holders (struct search *search)
+evaluate_cache_holders (struct selection *selection)
 {
-  const struct marjoram_pool *pool = search->pool;
+  const struct marjoram_pool *pool = selection->pool;
   const struct marjoram_cache_holder *holders = marjoram_cache_index_find (
-      search->chooser->cache, search->now, cache_key (search->query));
+      selection->chooser->cache, selection->now, cache_key (selection->query));
 
   for (int i = 0; holders && i < MARJORAM_CACHE_HOLDERS; i++)
     {
@@ -280,41 +286,44 @@
 
       if (index >= 0
           && holders[i].seen >= pool->candidates[index].upstream->since)
-        consider (search, index, true);
+        evaluate (selection, index, true);
     }
 }
 
 static void
-draw (struct search *search, int count)
+evaluate_sample (struct selection *selection, int count)
 {
   for (int i = 0; i < count; i++)
-    consider (search,
-              (int)marjoram_random_below (search->chooser->random,
-                                          (uint32_t)search->pool->count),
+    evaluate (selection,
+              (int)marjoram_random_below (selection->chooser->random,
+                                          (uint32_t)selection->pool->count),
               false);
 }
 
-/* Only when chance has found none that may be used at all.  */
+/* Fallback if the sample holds no usable upstream.  */
 static void
-consider_all (struct search *search)
+evaluate_all (struct selection *selection)
 {
-  uint32_t start = marjoram_random_below (search->chooser->random,
-                                          (uint32_t)search->pool->count);
+  uint32_t start = marjoram_random_below (selection->chooser->random,
+                                          (uint32_t)selection->pool->count);
 
-  for (int i = 0; i < search->pool->count; i++)
-    consider (search, (int)(start + (uint32_t)i) % search->pool->count, false);
+  for (int i = 0; i < selection->pool->count; i++)
+    evaluate (selection, (int)(start + (uint32_t)i) % selection->pool->count,
+              false);
 }
 
-/* The other hosts are counted now and then only: it takes longer than the
-   rest of a choice.  */
+/* Recomputed periodically, since counting hosts costs more than the rest of a
+   selection.  */
 static void
-count_others (marjoram_chooser *chooser, int64_t now)
+update_peer_weight (marjoram_chooser *chooser, int64_t now)
 {
-  if (now < chooser->others_at + OTHERS_AGE_MS && chooser->others > 0)
+  if (now < chooser->peer_weight_updated + PEER_WEIGHT_CACHE_MS
+      && chooser->peer_weight > 0)
     return;
-  chooser->others_at = now;
-  chooser->others
-      = marjoram_members_hosts (chooser->members, now) > 1 ? OTHERS : 1;
+  chooser->peer_weight_updated = now;
+  chooser->peer_weight = marjoram_members_hosts (chooser->members, now) > 1
+                             ? PEER_LOAD_WEIGHT
+                             : 1;
 }
 
 static bool
@@ -333,27 +342,29 @@
 {
   struct marjoram_pool *pool
       = marjoram_pools_get (chooser->pools, query->work);
-  struct search search = { chooser, pool, query, now, false, HUGE_VAL, pick };
-  double alone = alone_ms (chooser, pool, query, false);
+  struct selection selection
+      = { chooser, pool, query, now, false, HUGE_VAL, pick };
+  double unloaded = unloaded_ms (chooser, pool, query, false);
 
   *pick = (struct marjoram_pick){ 0 };
-  pool->mean_ms = pool->mean_ms > 0
-                      ? pool->mean_ms + EWMA * (alone - pool->mean_ms)
-                      : alone;
+  pool->mean_ms
+      = pool->mean_ms > 0
+            ? pool->mean_ms + EWMA_WEIGHT * (unloaded - pool->mean_ms)
+            : unloaded;
   if (pool->count == 0)
     return;
-  count_others (chooser, now);
-  search.suspect = is_suspect (chooser, now, query);
+  update_peer_weight (chooser, now);
+  selection.suspect = is_suspect (chooser, now, query);
   if (query->prefix_hash)
     {
-      consider_holders (&search);
-      consider_preferred (&search);
+      evaluate_cache_holders (&selection);
+      evaluate_preferred (&selection);
     }
-  draw (&search, DRAWN);
+  evaluate_sample (&selection, SAMPLE_SIZE);
   if (!pick->upstream || !pick->room)
-    draw (&search, DRAWN_MORE);
+    evaluate_sample (&selection, EXTRA_SAMPLE_SIZE);
   if (!pick->upstream)
-    consider_all (&search);
+    evaluate_all (&selection);
   if (pick->upstream && query->prefix_hash)
     marjoram_cache_index_add (
         chooser->cache, now, cache_key (query),
@@ -366,7 +377,7 @@
   struct marjoram_pool *pool = marjoram_pools_get (chooser->pools, work);
   struct marjoram_room *room = &pool->room;
 
-  if (now < pool->room_at + ROOM_AGE_MS)
+  if (now < pool->room_at + CAPACITY_CACHE_MS)
     return room;
   *room = (struct marjoram_room){ 0 };
   pool->room_at = now;
@@ -374,8 +385,8 @@
   for (int i = 0; i < pool->count; i++)
     {
       const struct marjoram_candidate *candidate = &pool->candidates[i];
-      double slots = slots_of (candidate->upstream);
-      double load = load_of (chooser, candidate->upstream);
+      double slots = slot_count (candidate->upstream);
+      double load = estimate_load (chooser, candidate->upstream);
 
       if (!marjoram_upstream_usable (candidate->upstream, now))
         continue;
@@ -392,9 +403,8 @@
   return room;
 }
 
-/* Stops an upstream that announces itself well but works slowly (a failing
-   accelerator, a busy neighbour) from holding its share of the requests: its
-   time is compared with that of its peers.  */
+/* Ejects an upstream that reports itself healthy but is much slower than its
+   peers, for example because of a failing accelerator.  */
 static void
 eject_if_slow (marjoram_chooser *chooser, const struct marjoram_pool *pool,
                int64_t now, struct marjoram_speed *speed)
@@ -406,12 +416,12 @@
     {
       const struct marjoram_speed *peer = pool->candidates[i].speed;
 
-      if (peer == speed || peer->samples < SLOW_SAMPLES)
+      if (peer == speed || peer->samples < OUTLIER_MIN_SAMPLES)
         continue;
       sum += peer->factor;
       peers++;
     }
-  if (peers > 0 && speed->factor > SLOW_FACTOR * sum / peers
+  if (peers > 0 && speed->factor > OUTLIER_FACTOR * sum / peers
       && marjoram_members_eject (chooser->members, now, speed->name))
     {
       speed->samples = 0;
@@ -429,7 +439,7 @@
       = marjoram_pools_get (chooser->pools, query->work);
   struct marjoram_query measured = *query;
   struct marjoram_speed *speed;
-  double alone;
+  double unloaded;
 
   (void)first_ms;
   speed = marjoram_pools_speed (chooser->pools, upstream);
@@ -437,13 +447,14 @@
     return;
   if (marjoram_config_work (chooser->config, query->work)->kind
       == MARJORAM_WORK_SERVICE)
-    pool->service_ms += EWMA * ((double)whole_ms - pool->service_ms);
+    pool->service_ms += EWMA_WEIGHT * ((double)whole_ms - pool->service_ms);
   if (tokens)
     measured.answer_tokens = tokens;
-  alone = fmax (1, alone_ms (chooser, pool, &measured, false));
-  speed->factor += EWMA * ((double)whole_ms / alone - speed->factor);
+  unloaded = fmax (1, unloaded_ms (chooser, pool, &measured, false));
+  speed->factor += EWMA_WEIGHT * ((double)whole_ms / unloaded - speed->factor);
   speed->samples++;
-  if (speed->samples >= SLOW_SAMPLES && speed->samples % SLOW_CHECK == 0)
+  if (speed->samples >= OUTLIER_MIN_SAMPLES
+      && speed->samples % OUTLIER_CHECK_INTERVAL == 0)
     eject_if_slow (chooser, pool, now, speed);
 }
 
@@ -457,13 +468,14 @@
 {
   struct marjoram_pool *pool
       = marjoram_pools_get (chooser->pools, query->work);
-  struct search search = { chooser, pool, query, now, false, 0, NULL };
+  struct selection selection = { chooser, pool, query, now, false, 0, NULL };
   struct marjoram_pick pick;
 
-  search.suspect = is_suspect (chooser, now, query);
+  selection.suspect = is_suspect (chooser, now, query);
   for (int i = 0; i < pool->count; i++)
     {
-      estimate (chooser, pool, &pool->candidates[i], query, false, &pick);
-      visit (context, &pick, usable (&search, pick.upstream));
+      estimate_candidate (chooser, pool, &pool->candidates[i], query, false,
+                          &pick);
+      visit (context, &pick, is_usable (&selection, pick.upstream));
     }
 }
--- a/src/choose.h
+++ b/src/choose.h
@@ -1,7 +1,7 @@
-/* Choice of an upstream inside the zone: expected time to the end is the wait,
-   the prefill less the cached prefix, and the decode.  Several hosts choose at
-   once on old reports, so only a few candidates are looked at, two of them
-   drawn at random.  Pure decisions.  */
+/* Upstream selection within the zone.  The estimated completion time is the
+   queueing delay, the prefill time less the cached prefix, and the decode
+   time.  Hosts select concurrently from stale load reports, so only a small
+   random sample of candidates is compared.  Performs no I/O.  */
 #ifndef MARJORAM_CHOOSE_H
 #define MARJORAM_CHOOSE_H
 
@@ -14,15 +14,15 @@
 
 typedef struct marjoram_chooser marjoram_chooser;
 
-/* The best upstream that was found.  */
+/* The selected upstream and its estimates.  */
 struct marjoram_pick
 {
-  const struct marjoram_upstream *upstream; /* null if none may be used */
+  const struct marjoram_upstream *upstream; /* NULL if none is usable */
   double wait_ms;
-  double total_ms; /* the wait included */
-  double cost;     /* to be compared: others' delay included */
-  bool cached;     /* the prompt's prefix is thought to be there */
-  bool room;       /* it would start at once */
+  double total_ms; /* including wait_ms */
+  double cost;     /* total_ms plus the delay imposed on other requests */
+  bool cached;     /* the prompt prefix is expected to be cached */
+  bool room;       /* has a free slot */
 };
 
 marjoram_chooser *marjoram_chooser_create (marjoram_members *members,
@@ -34,10 +34,10 @@
 void marjoram_chooser_pick (marjoram_chooser *chooser, int64_t now,
                             const struct marjoram_query *query,
                             struct marjoram_pick *pick);
-/* At most some 100 ms old.  */
+/* The result is cached for a short time.  */
 const struct marjoram_room *marjoram_chooser_room (marjoram_chooser *chooser,
                                                    int64_t now, int work);
-/* Time of QUERY at an upstream without load or cache.  */
+/* Estimated time of QUERY at an idle upstream with a cold cache.  */
 double marjoram_chooser_alone_ms (const marjoram_chooser *chooser,
                                   const struct marjoram_query *query);
 void marjoram_chooser_measured (marjoram_chooser *chooser, int64_t now,
@@ -45,7 +45,7 @@
                                 const struct marjoram_query *query,
                                 int64_t first_ms, int64_t whole_ms,
                                 uint64_t tokens);
-/* Calls VISIT for each upstream that runs QUERY's work, with its estimate.  */
+/* Calls VISIT with the estimate of each upstream that runs QUERY's work.  */
 void marjoram_chooser_visit (marjoram_chooser *chooser, int64_t now,
                              const struct marjoram_query *query,
                              void (*visit) (void *context,
