--- a/src/route.c
+++ b/src/route.c
@@ -18,15 +18,17 @@
   EXPLAIN_MAX = 16384
 };
 
-/* Another zone of the region must win by this part of the time here.  */
-#define NEAR_GAIN 0.2
-/* And another region by this part, if the request would wait here.  */
-#define FAR_GAIN 0.3
-/* Overnight work leaves the region if this many times its expected time there
-   would pass the deadline.  */
-#define URGENT 3
-/* Part of the slots that is never lent.  */
-#define KEPT_PART 0.1
+/* Minimum relative gain in completion time for forwarding to another zone of
+   the region.  */
+#define SAME_REGION_MIN_GAIN 0.2
+/* Minimum relative gain for forwarding to another region, if the request would
+   queue here.  */
+#define REMOTE_REGION_MIN_GAIN 0.3
+/* Overnight work leaves the region only if its estimated time there,
+   multiplied by this, exceeds the time to the deadline.  */
+#define OVERNIGHT_URGENCY_FACTOR 3
+/* Fraction of the slots that is never offered to other zones.  */
+#define RESERVED_FRACTION 0.1
 
 static const struct marjoram_field offers_fields[] = {
   { MARJORAM_WIRE_STRING (struct marjoram_offers, zone, MARJORAM_NAME_MAX) },
@@ -44,7 +46,7 @@
 struct marjoram_router
 {
   char *zone_name;
-  int zone; /* index, -1 if the configuration has no such zone */
+  int zone; /* index, or -1 if not in the configuration */
   marjoram_members *members;
   marjoram_suspects *suspects;
   marjoram_random *random;
@@ -108,7 +110,7 @@
 }
 
 static bool
-ready (const marjoram_router *router)
+is_configured (const marjoram_router *router)
 {
   return router->config && router->zone >= 0;
 }
@@ -118,7 +120,7 @@
                        int64_t *retry_ms)
 {
   *retry_ms = RETRY_UNKNOWN_MS;
-  if (!ready (router))
+  if (!is_configured (router))
     return MARJORAM_REASON_NO_CONFIG;
   if (caller < 0 || caller >= marjoram_config_caller_count (router->config))
     return MARJORAM_REASON_UNKNOWN_CALLER;
@@ -148,81 +150,83 @@
          << marjoram_config_zone (router->config, router->zone)->region;
 }
 
-/* What a choice is made from.  */
-struct view
+/* Inputs of a routing decision.  */
+struct route_inputs
 {
-  uint64_t allowed; /* regions */
-  bool here;        /* this zone is allowed */
-  bool homeless;    /* no upstream of this zone runs the work */
-  double slack_ms;  /* until the deadline */
-  double excess;    /* the caller's use by its fair share, at least 1 */
+  uint64_t allowed;  /* bit mask of regions */
+  bool zone_allowed; /* residency allows this zone */
+  bool homeless;     /* no upstream in this zone runs the work */
+  double slack_ms;   /* time to the deadline */
+  double excess;     /* caller usage over its fair share, at least 1 */
   double alone_ms;
   struct marjoram_pick pick;
-  struct marjoram_loan near_by;  /* another zone of this region */
-  struct marjoram_loan far_away; /* another region */
+  struct marjoram_loan same_region;   /* another zone of this region */
+  struct marjoram_loan remote_region; /* another region */
 };
 
 static bool
-fits (const struct view *view, const struct marjoram_query *query)
+can_run_locally (const struct route_inputs *inputs,
+                 const struct marjoram_query *query)
 {
-  const struct marjoram_pick *pick = &view->pick;
+  const struct marjoram_pick *pick = &inputs->pick;
 
   if (!pick->upstream)
     return false;
   if (pick->room)
     return true;
-  /* A zone lends free slots, not places in a queue, but to work that has no
-     other place; and overnight work takes only what interactive work leaves.
-   */
+  /* A zone offers free slots, not queue positions, except to work that cannot
+     run elsewhere.  Overnight work uses only slots that interactive work
+     leaves free.  */
   if ((query->forwarded && !query->homeless)
       || query->class == MARJORAM_CLASS_OVERNIGHT)
     return false;
-  /* Stops a caller that asks for much from filling the queue and thereby
-     having the others refused, too: the more it is over its share, the less it
-     may wait.  */
-  return pick->total_ms * view->excess <= view->slack_ms;
+  /* Keeps one busy caller from filling the queue at the expense of others: the
+     further it exceeds its fair share, the shorter it may queue.  */
+  return pick->total_ms * inputs->excess <= inputs->slack_ms;
 }
 
-/* Residency is read from the configuration in force at every choice, so that
-   no earlier decision or offer can carry a request past it.  */
+/* Residency is evaluated against the active configuration on every decision,
+   so that an earlier decision or offer cannot override it.  */
 static void
-look (marjoram_router *router, int64_t now, const struct marjoram_query *query,
-      struct view *view)
+gather_inputs (marjoram_router *router, int64_t now,
+               const struct marjoram_query *query, struct route_inputs *inputs)
 {
   const struct marjoram_loan none = { -1, HUGE_VAL };
 
-  *view = (struct view){ 0 };
-  view->allowed
+  *inputs = (struct route_inputs){ 0 };
+  inputs->allowed
       = marjoram_config_allowed (router->config, query->caller, query->work);
-  view->here = region_allowed (router, view->allowed, router->zone);
-  view->slack_ms = (double)(query->deadline - now);
-  view->alone_ms
+  inputs->zone_allowed
+      = region_allowed (router, inputs->allowed, router->zone);
+  inputs->slack_ms = (double)(query->deadline - now);
+  inputs->alone_ms
       = marjoram_chooser_alone_ms (router->chooser, query)
         * marjoram_chooser_room (router->chooser, now, query->work)->factor;
-  view->excess = marjoram_fair_excess (router->fair, now, query->caller);
-  view->near_by = none;
-  view->far_away = none;
-  if (view->here)
-    marjoram_chooser_pick (router->chooser, now, query, &view->pick);
-  view->homeless
-      = !view->here
+  inputs->excess = marjoram_fair_excess (router->fair, now, query->caller);
+  inputs->same_region = none;
+  inputs->remote_region = none;
+  if (inputs->zone_allowed)
+    marjoram_chooser_pick (router->chooser, now, query, &inputs->pick);
+  inputs->homeless
+      = !inputs->zone_allowed
         || marjoram_chooser_room (router->chooser, now, query->work)->upstreams
                == 0;
-  /* Stops loops: a request that has crossed once is run here or refused back
-     to the first host, which alone decides what next.  */
+  /* Prevents forwarding loops: a request that was forwarded once either runs
+     here or is refused back to the first host, which decides how to
+     proceed.  */
   if (query->forwarded || query->bound)
     return;
   marjoram_loans_best (router->loans, now, query,
-                       view->allowed & own_region (router), view->alone_ms,
-                       view->homeless, &view->near_by);
-  marjoram_loans_best (router->loans, now, query,
-                       view->allowed & ~own_region (router), view->alone_ms,
-                       view->homeless, &view->far_away);
+                       inputs->allowed & own_region (router), inputs->alone_ms,
+                       inputs->homeless, &inputs->same_region);
+  marjoram_loans_best (
+      router->loans, now, query, inputs->allowed & ~own_region (router),
+      inputs->alone_ms, inputs->homeless, &inputs->remote_region);
 }
 
 static void
-go_on (const struct marjoram_loan *loan, bool homeless,
-       struct marjoram_choice *choice)
+choose_forward (const struct marjoram_loan *loan, bool homeless,
+                struct marjoram_choice *choice)
 {
   choice->verdict = MARJORAM_VERDICT_FORWARD;
   choice->homeless = homeless;
@@ -231,8 +235,8 @@
 }
 
 static void
-stay (const marjoram_router *router, const struct marjoram_pick *pick,
-      struct marjoram_choice *choice)
+choose_local (const marjoram_router *router, const struct marjoram_pick *pick,
+              struct marjoram_choice *choice)
 {
   choice->verdict = MARJORAM_VERDICT_LOCAL;
   choice->zone = router->zone;
@@ -242,89 +246,93 @@
 }
 
 static enum marjoram_reason
-refusal (marjoram_router *router, int64_t now,
-         const struct marjoram_query *query, const struct view *view)
+refusal_reason (marjoram_router *router, int64_t now,
+                const struct marjoram_query *query,
+                const struct route_inputs *inputs)
 {
   uint64_t reach = query->forwarded || query->bound ? 0 : UINT64_MAX;
-  bool known = view->pick.upstream
+  bool known = inputs->pick.upstream
                || marjoram_loans_known (router->loans, now, query->work,
-                                        view->allowed & reach);
+                                        inputs->allowed & reach);
   bool forbidden
-      = (!view->here
+      = (!inputs->zone_allowed
          && marjoram_chooser_room (router->chooser, now, query->work)->free
                 >= 1)
         || marjoram_loans_room (router->loans, now, query->work,
-                                ~view->allowed & reach);
+                                ~inputs->allowed & reach);
 
   if (forbidden)
     return MARJORAM_REASON_RESIDENCY;
   return known ? MARJORAM_REASON_OVERLOAD : MARJORAM_REASON_NO_UPSTREAM;
 }
 
-/* The time after which the wait will have shrunk enough, if nothing else
-   comes: a caller that comes earlier is refused again.  */
+/* The time until the queue has drained enough to admit the request, if no
+   further requests arrive.  */
 static int64_t
-honest_retry (marjoram_router *router, const struct view *view,
-              const struct marjoram_query *query)
+estimate_retry_ms (marjoram_router *router, const struct route_inputs *inputs,
+                   const struct marjoram_query *query)
 {
   double retry = RETRY_UNKNOWN_MS;
 
-  if (view->pick.upstream)
+  if (inputs->pick.upstream)
     {
-      retry = view->pick.total_ms * view->excess - view->slack_ms;
+      retry = inputs->pick.total_ms * inputs->excess - inputs->slack_ms;
       if (query->forwarded || query->class == MARJORAM_CLASS_OVERNIGHT
           || retry <= 0)
-        retry = fmax (view->pick.wait_ms, RETRY_UNKNOWN_MS);
+        retry = fmax (inputs->pick.wait_ms, RETRY_UNKNOWN_MS);
     }
-  /* Those that are refused together must not come back together.  */
+  /* Jitter spreads the retries of requests refused at the same time.  */
   retry *= 1 + marjoram_random_unit (router->random) / 4;
   return (int64_t)fmin (fmax (retry, RETRY_MIN_MS), RETRY_MAX_MS);
 }
 
-/* Another region has a cold cache and a slow link, and the caller's home is
-   here.  Interactive work goes there if it would wait much longer here;
-   overnight work only if it would else miss its deadline, as the cost of a
-   cold cache is all that counts for it.  */
+/* Another region has a cold cache and a higher latency.  Interactive work is
+   forwarded there if it would wait much longer here; overnight work only if it
+   would otherwise miss its deadline.  */
 static bool
-pays_far_away (const struct view *view, const struct marjoram_query *query,
-               bool home)
+should_leave_region (const struct route_inputs *inputs,
+                     const struct marjoram_query *query, bool local_fits)
 {
-  double there = view->far_away.total_ms;
+  double remote_ms = inputs->remote_region.total_ms;
 
-  if (view->far_away.zone < 0 || there > view->slack_ms)
+  if (inputs->remote_region.zone < 0 || remote_ms > inputs->slack_ms)
     return false;
   if (query->class == MARJORAM_CLASS_OVERNIGHT)
-    return !home && there * URGENT > view->slack_ms;
-  return !home
-         || (!view->pick.room && there < view->pick.total_ms * (1 - FAR_GAIN));
+    return !local_fits
+           && remote_ms * OVERNIGHT_URGENCY_FACTOR > inputs->slack_ms;
+  return !local_fits
+         || (!inputs->pick.room
+             && remote_ms
+                    < inputs->pick.total_ms * (1 - REMOTE_REGION_MIN_GAIN));
 }
 
 static void
 decide (marjoram_router *router, int64_t now,
-        const struct marjoram_query *query, const struct view *view,
+        const struct marjoram_query *query, const struct route_inputs *inputs,
         struct marjoram_choice *choice)
 {
-  bool home = fits (view, query);
+  bool local_fits = can_run_locally (inputs, query);
 
-  if (view->near_by.zone >= 0
-      && (!home
-          || view->near_by.total_ms < view->pick.total_ms * (1 - NEAR_GAIN)))
+  if (inputs->same_region.zone >= 0
+      && (!local_fits
+          || inputs->same_region.total_ms
+                 < inputs->pick.total_ms * (1 - SAME_REGION_MIN_GAIN)))
     {
-      go_on (&view->near_by, view->homeless, choice);
+      choose_forward (&inputs->same_region, inputs->homeless, choice);
       return;
     }
-  if (pays_far_away (view, query, home))
+  if (should_leave_region (inputs, query, local_fits))
     {
-      go_on (&view->far_away, view->homeless, choice);
+      choose_forward (&inputs->remote_region, inputs->homeless, choice);
       return;
     }
-  if (home)
+  if (local_fits)
     {
-      stay (router, &view->pick, choice);
+      choose_local (router, &inputs->pick, choice);
       return;
     }
-  choice->reason = refusal (router, now, query, view);
-  choice->retry_ms = honest_retry (router, view, query);
+  choice->reason = refusal_reason (router, now, query, inputs);
+  choice->retry_ms = estimate_retry_ms (router, inputs, query);
 }
 
 static bool
@@ -337,7 +345,8 @@
 }
 
 static bool
-is_known (const marjoram_router *router, const struct marjoram_query *query)
+is_valid_query (const marjoram_router *router,
+                const struct marjoram_query *query)
 {
   return query->caller >= 0
          && query->caller < marjoram_config_caller_count (router->config)
@@ -345,18 +354,19 @@
          && query->work < marjoram_config_work_count (router->config);
 }
 
-/* Fills VIEW, unless the request is refused without one.  */
+/* Returns false, with INPUTS unset, if the request is refused before
+   evaluation.  */
 static bool
 choose (marjoram_router *router, int64_t now,
         const struct marjoram_query *query, struct marjoram_choice *choice,
-        struct view *view)
+        struct route_inputs *inputs)
 {
   *choice = (struct marjoram_choice){ .verdict = MARJORAM_VERDICT_REFUSE,
                                       .zone = -1,
                                       .retry_ms = RETRY_UNKNOWN_MS };
-  if (!ready (router))
+  if (!is_configured (router))
     choice->reason = MARJORAM_REASON_NO_CONFIG;
-  else if (!is_known (router, query))
+  else if (!is_valid_query (router, query))
     choice->reason = MARJORAM_REASON_CONFIG_CHANGED;
   else if (is_convicted (router, now, query))
     choice->reason = MARJORAM_REASON_CONVICTED;
@@ -364,10 +374,10 @@
     choice->reason = MARJORAM_REASON_DEADLINE;
   if (choice->reason != MARJORAM_REASON_NONE)
     return false;
-  look (router, now, query, view);
-  decide (router, now, query, view, choice);
+  gather_inputs (router, now, query, inputs);
+  decide (router, now, query, inputs, choice);
   if (choice->verdict != MARJORAM_VERDICT_REFUSE)
-    marjoram_fair_used (router->fair, now, query->caller, view->alone_ms);
+    marjoram_fair_used (router->fair, now, query->caller, inputs->alone_ms);
   return true;
 }
 
@@ -376,15 +386,15 @@
                         const struct marjoram_query *query,
                         struct marjoram_choice *choice)
 {
-  struct view view;
+  struct route_inputs inputs;
 
-  choose (router, now, query, choice, &view);
+  choose (router, now, query, choice, &inputs);
 }
 
 static bool
 in_range (const marjoram_router *router, int zone, int work)
 {
-  return ready (router) && zone >= 0
+  return is_configured (router) && zone >= 0
          && zone < marjoram_config_zone_count (router->config) && work >= 0
          && work < marjoram_config_work_count (router->config);
 }
@@ -410,7 +420,7 @@
                           const struct marjoram_query *query, int64_t first_ms,
                           int64_t whole_ms, uint64_t tokens)
 {
-  if (ready (router) && is_known (router, query))
+  if (is_configured (router) && is_valid_query (router, query))
     marjoram_chooser_measured (router->chooser, now, upstream, query, first_ms,
                                whole_ms, tokens);
 }
@@ -419,7 +429,7 @@
 marjoram_router_learn (marjoram_router *router, int64_t now,
                        const struct marjoram_offers *offers, int64_t link_ms)
 {
-  int zone = ready (router) && offers->zone
+  int zone = is_configured (router) && offers->zone
                  ? marjoram_config_find_zone (router->config, offers->zone)
                  : -1;
 
@@ -440,7 +450,7 @@
 
   *offers = (struct marjoram_offers){ 0 };
   offers->zone = marjoram_strdup (router->zone_name);
-  if (!ready (router) || zone < 0
+  if (!is_configured (router) || zone < 0
       || zone >= marjoram_config_zone_count (router->config))
     return;
   offers->config_number = marjoram_config_number (router->config);
@@ -462,23 +472,24 @@
         continue;
       item->work
           = marjoram_strdup (marjoram_config_work (router->config, i)->name);
-      item->room = marjoram_loans_split (router->loans, now, zone, i,
-                                         room->free - room->slots * KEPT_PART);
+      item->room = marjoram_loans_split (
+          router->loans, now, zone, i,
+          room->free - room->slots * RESERVED_FRACTION);
       item->wait_ms = room->free >= 1 ? 0 : (int64_t)fmax (1, room->wait_ms);
       item->upstreams = room->upstreams;
       offers->offers.count++;
     }
 }
 
-/* Text that grows up to a limit.  */
-struct text
+/* Bounded text buffer.  */
+struct text_buffer
 {
   char *data;
   size_t size;
 };
 
 static void __attribute__ ((format (printf, 2, 3)))
-print (struct text *text, const char *format, ...)
+append (struct text_buffer *text, const char *format, ...)
 {
   va_list arguments;
   int size;
@@ -494,28 +505,28 @@
 }
 
 static void
-print_candidate (void *context, const struct marjoram_pick *pick, bool usable)
+append_candidate (void *context, const struct marjoram_pick *pick, bool usable)
 {
   const struct marjoram_upstream *upstream = pick->upstream;
 
-  print (context,
-         "upstream %s: %s, load %u of %u here, wait %.0f ms, total "
-         "%.0f ms\n",
-         upstream->announcement->name, usable ? "usable" : "not usable",
-         upstream->in_flight, (unsigned)upstream->announcement->slots,
-         pick->wait_ms, pick->total_ms);
+  append (context,
+          "upstream %s: %s, load %u of %u here, wait %.0f ms, total "
+          "%.0f ms\n",
+          upstream->announcement->name, usable ? "usable" : "not usable",
+          upstream->in_flight, (unsigned)upstream->announcement->slots,
+          pick->wait_ms, pick->total_ms);
 }
 
 static void
-print_loan (struct text *text, const marjoram_router *router,
-            const struct marjoram_loan *loan, const char *where)
+append_offer (struct text_buffer *text, const marjoram_router *router,
+              const struct marjoram_loan *loan, const char *label)
 {
   if (loan->zone < 0)
-    print (text, "%s: no allowed zone lends room\n", where);
+    append (text, "%s: no allowed zone offers capacity\n", label);
   else
-    print (text, "%s: zone %s lends room, total %.0f ms\n", where,
-           marjoram_config_zone (router->config, loan->zone)->name,
-           loan->total_ms);
+    append (text, "%s: zone %s offers capacity, total %.0f ms\n", label,
+            marjoram_config_zone (router->config, loan->zone)->name,
+            loan->total_ms);
 }
 
 char *
@@ -523,34 +534,35 @@
                          const struct marjoram_query *query,
                          struct marjoram_choice *choice)
 {
-  struct text text = { marjoram_alloc (EXPLAIN_MAX), 0 };
-  struct view view;
+  struct text_buffer text = { marjoram_alloc (EXPLAIN_MAX), 0 };
+  struct route_inputs inputs;
 
-  if (!choose (router, now, query, choice, &view))
+  if (!choose (router, now, query, choice, &inputs))
     {
-      print (&text, "refused: %s\n", marjoram_reason_name (choice->reason));
+      append (&text, "refused: %s\n", marjoram_reason_name (choice->reason));
       return text.data;
     }
-  print (&text, "zone %s: residency %s it\n", router->zone_name,
-         view.here ? "allows" : "forbids");
-  marjoram_chooser_visit (router->chooser, now, query, print_candidate, &text);
-  print_loan (&text, router, &view.near_by, "this region");
-  print_loan (&text, router, &view.far_away, "other regions");
+  append (&text, "zone %s: residency %s it\n", router->zone_name,
+          inputs.zone_allowed ? "allows" : "forbids");
+  marjoram_chooser_visit (router->chooser, now, query, append_candidate,
+                          &text);
+  append_offer (&text, router, &inputs.same_region, "this region");
+  append_offer (&text, router, &inputs.remote_region, "other regions");
   switch (choice->verdict)
     {
     case MARJORAM_VERDICT_LOCAL:
-      print (&text, "chosen: upstream %s, expected %lld ms\n",
-             choice->upstream, (long long)choice->expected_ms);
+      append (&text, "chosen: upstream %s, expected %lld ms\n",
+              choice->upstream, (long long)choice->expected_ms);
       break;
     case MARJORAM_VERDICT_FORWARD:
-      print (&text, "chosen: zone %s, expected %lld ms\n",
-             marjoram_config_zone (router->config, choice->zone)->name,
-             (long long)choice->expected_ms);
+      append (&text, "chosen: zone %s, expected %lld ms\n",
+              marjoram_config_zone (router->config, choice->zone)->name,
+              (long long)choice->expected_ms);
       break;
     case MARJORAM_VERDICT_REFUSE:
-      print (&text, "refused: %s, retry after %lld ms\n",
-             marjoram_reason_name (choice->reason),
-             (long long)choice->retry_ms);
+      append (&text, "refused: %s, retry after %lld ms\n",
+              marjoram_reason_name (choice->reason),
+              (long long)choice->retry_ms);
       break;
     }
   return text.data;
--- a/src/route.h
+++ b/src/route.h
@@ -1,6 +1,6 @@
-/* Admission and choice: whether a request may run now, and where.  Pure
-   decisions over the configuration, the zone's members and the offers of other
-   zones.  */
+/* Admission control and routing: whether a request may run now, and where.
+   Decides from the configuration, the members of the zone and the capacity
+   offers of other zones.  Performs no I/O.  */
 #ifndef MARJORAM_ROUTE_H
 #define MARJORAM_ROUTE_H
 
@@ -19,7 +19,7 @@
 {
   MARJORAM_VERDICT_LOCAL,   /* run at UPSTREAM */
   MARJORAM_VERDICT_FORWARD, /* send to a host of ZONE */
-  MARJORAM_VERDICT_REFUSE   /* REASON, come back after RETRY_MS */
+  MARJORAM_VERDICT_REFUSE   /* refuse for REASON; retry after RETRY_MS */
 };
 
 struct marjoram_choice
@@ -27,19 +27,20 @@
   enum marjoram_verdict verdict;
   char upstream[MARJORAM_NAME_MAX + 1];
   int zone;
-  bool homeless; /* to be told to ZONE, see struct marjoram_query */
+  bool homeless; /* passed on to ZONE, see struct marjoram_query */
   enum marjoram_reason reason;
   int64_t retry_ms;
-  int64_t expected_ms; /* estimated time to the end */
+  int64_t expected_ms; /* estimated completion time */
 };
 
-/* Offers and use of one zone, as one of its hosts tells them.  */
+/* Capacity offers and caller usage of one zone, as sent by one of its
+   hosts.  */
 struct marjoram_offers
 {
   char *zone;
   uint64_t config_number;
   struct marjoram_array offers; /* of struct marjoram_offer */
-  uint64_t ordinal;             /* of the host that sends it, in its zone */
+  uint64_t ordinal;             /* of the sending host within its zone */
   struct marjoram_array usages; /* of struct marjoram_usage */
 };
 extern const struct marjoram_layout marjoram_offers_layout;
@@ -49,44 +50,46 @@
                                          marjoram_suspects *suspects,
                                          marjoram_random *random);
 void marjoram_router_destroy (marjoram_router *router);
-/* The router retains CONFIG.  */
+/* Retains CONFIG.  */
 void marjoram_router_configure (marjoram_router *router, int64_t now,
                                 marjoram_config *config);
-/* A request of a caller is taken in: checks the caller's limit.  Returns
-   MARJORAM_REASON_NONE, or a reason with *RETRY_MS.  Once for each request of
-   a caller, not for forwarded ones, and not for retries.  */
+/* Applies the rate limit of CALLER to a new request.  Returns
+   MARJORAM_REASON_NONE, or the reason for refusal and sets *RETRY_MS.  Call
+   once for each request of a caller, but not for forwarded requests or
+   retries.  */
 enum marjoram_reason marjoram_router_admit (marjoram_router *router,
                                             int64_t now, int caller,
                                             int64_t *retry_ms);
 void marjoram_router_choose (marjoram_router *router, int64_t now,
                              const struct marjoram_query *query,
                              struct marjoram_choice *choice);
-/* Whether the budget allows one more retry; counts it if so.  */
+/* Takes one retry from the budget.  Returns false if it is exhausted.  */
 bool marjoram_router_retry (marjoram_router *router, int64_t now);
-/* The request that was chosen for ZONE was started, or ended.  */
+/* A request forwarded to ZONE was sent, or has ended.  */
 void marjoram_router_sent (marjoram_router *router, int64_t now, int zone,
                            int work);
 void marjoram_router_returned (marjoram_router *router, int64_t now, int zone,
                                int work, bool failed);
-/* Time to the first byte and whole time of a request that ended here, for
-   estimates.  */
+/* Records the time to first byte and the total time of a completed local
+   request for the estimates.  */
 void marjoram_router_measured (marjoram_router *router, int64_t now,
                                const char *upstream,
                                const struct marjoram_query *query,
                                int64_t first_ms, int64_t whole_ms,
                                uint64_t tokens);
-/* Offers of another zone, which live a few seconds.  LINK_MS is the measured
-   one-way time to it.  */
+/* Processes the offers of another zone, which expire after a few seconds.
+   LINK_MS is the measured one-way latency to it.  */
 void marjoram_router_learn (marjoram_router *router, int64_t now,
                             const struct marjoram_offers *offers,
                             int64_t link_ms);
-/* What this zone offers to a host of ZONE now, to be sent every second; to be
-   cleared with the layout.  To the other hosts of the own zone it carries no
-   offers but what callers use here: without it a caller's limit is split
-   equally between the zone's hosts.  */
+/* Fills OFFERS with what to send to a host of ZONE; to be called every
+   second.  For hosts of the own zone it holds only caller usage, from which
+   the zone's share of each rate limit is divided.  The caller clears OFFERS by
+   its layout.  */
 void marjoram_router_offer (marjoram_router *router, int64_t now, int zone,
                             struct marjoram_offers *offers);
-/* How CHOICE came about, one line for each candidate, malloc'd.  */
+/* Returns a description of how CHOICE was made, one line for each candidate.
+   The caller frees it.  */
 char *marjoram_router_explain (marjoram_router *router, int64_t now,
                                const struct marjoram_query *query,
                                struct marjoram_choice *choice);
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -1,5 +1,5 @@
-/* Admission and choice: residency, loops, old views, dead and returning
-   upstreams, retries.  */
+/* Admission and routing: residency, forwarding loops, stale offers and
+   reports, dead and restarted upstreams, retries.  */
 #include "suite.h"
 
 #include "config_spec.h"
@@ -10,16 +10,16 @@
 enum
 {
   SLOTS = 4,
-  QUEUE = 5 * SLOTS,
-  SHORT_QUEUE = 2 * SLOTS,
-  IDLE = 9, /* engines */
-  IDLE_SLOTS = IDLE * SLOTS,
+  QUEUE_LENGTH = 5 * SLOTS,
+  SHORT_QUEUE_LENGTH = 2 * SLOTS,
+  IDLE_ENGINES = 9, /* number of engines */
+  IDLE_SLOTS = IDLE_ENGINES * SLOTS,
   LINK_MS = 52,
   HOST_MAX = 12,
   SEEDS = 50
 };
 
-/* A host: what it knows, and its router.  */
+/* A host with its router.  */
 struct node
 {
   marjoram_members *members;
@@ -33,7 +33,7 @@
 static int node_count;
 
 static struct config_spec
-plain_spec (void)
+default_spec (void)
 {
   return (struct config_spec){ .regions = 3,
                                .zones = 1,
@@ -72,7 +72,7 @@
 static void
 setup (void)
 {
-  struct config_spec spec = plain_spec ();
+  struct config_spec spec = default_spec ();
 
   config = NULL;
   use_config (&spec);
@@ -92,7 +92,7 @@
   marjoram_config_release (config);
 }
 
-/* An engine with RUNNING requests announces itself.  */
+/* Announces an engine with RUNNING requests.  */
 static void
 announce (struct node *node, int64_t now, const char *name, uint64_t sequence,
           uint64_t running)
@@ -114,9 +114,9 @@
                     MARJORAM_ANNOUNCE_WRONG_ZONE);
 }
 
-/* Region REGION lends ROOM.  */
+/* Offers capacity for ROOM requests in ZONE.  */
 static void
-lend (struct node *node, int64_t now, int zone, uint64_t room)
+offer_capacity (struct node *node, int64_t now, int zone, uint64_t room)
 {
   struct marjoram_offer offer = { (char *)"w00", room, 0, 3 };
   struct marjoram_offers offers = {
@@ -155,12 +155,11 @@
     }                                                                         \
   while (0)
 
-/* The hotel's data may stay in region 0 only.  Its engines are full, both
-   other regions stand idle and offer room.  The caller is refused at once and
-   told that only forbidden regions have room; nothing leaves.  */
+/* Guards against forwarding to a forbidden region with free capacity when the
+   allowed region is full.  */
 START_TEST (residency_under_overload)
 {
-  struct config_spec spec = plain_spec ();
+  struct config_spec spec = default_spec ();
   struct node *node;
 
   spec.allowed = 1;
@@ -173,23 +172,22 @@
 
       if (now % 1000 == 0)
         {
-          lend (node, now, 1, 100);
-          lend (node, now, 2, 100);
+          offer_capacity (node, now, 1, 100);
+          offer_capacity (node, now, 2, 100);
         }
       assert_refused (choose (node, now, &q), MARJORAM_REASON_RESIDENCY);
     }
 }
 END_TEST
 
-/* The operators narrow a caller to region 0 while room of region 1 has already
-   been offered.  The next request must obey the newer rule.  */
+/* Guards against using offers that a newer configuration forbids.  */
 START_TEST (residency_of_the_newest_configuration)
 {
-  struct config_spec spec = plain_spec ();
+  struct config_spec spec = default_spec ();
   struct node *node = add_node (0, 0, 1);
   struct marjoram_query q = query (3000);
 
-  lend (node, 0, 1, 100);
+  offer_capacity (node, 0, 1, 100);
   ck_assert_int_eq (choose (node, 0, &q).verdict, MARJORAM_VERDICT_FORWARD);
   spec.allowed = 1;
   use_config (&spec);
@@ -198,11 +196,11 @@
 }
 END_TEST
 
-/* A host of region 0 with an older configuration sends a request to region 1,
-   which knows that it may not run there, and is idle.  */
+/* Guards against running a request that a host with an older configuration
+   forwarded to a forbidden region.  */
 START_TEST (residency_at_receipt)
 {
-  struct config_spec spec = plain_spec ();
+  struct config_spec spec = default_spec ();
   struct marjoram_query q = query (3000);
   struct node *node;
 
@@ -215,8 +213,8 @@
 }
 END_TEST
 
-/* Each of two zones is full and has an outdated offer of the other.  A request
-   would go to and fro between them until its deadline.  */
+/* Guards against a forwarding loop between two full zones with stale
+   offers.  */
 START_TEST (two_outdated_views)
 {
   struct node *a = add_node (0, 0, 1);
@@ -228,8 +226,8 @@
   announce (b, 0, "lm-2", 1, 100);
   for (int64_t now = 0; now < 3000; now += 1000)
     {
-      lend (a, now, 1, 100);
-      lend (b, now, 0, 100);
+      offer_capacity (a, now, 1, 100);
+      offer_capacity (b, now, 0, 100);
     }
   first = choose (a, 2500, &q);
   ck_assert_int_eq (first.verdict, MARJORAM_VERDICT_FORWARD);
@@ -239,34 +237,33 @@
   q.forwarded = false;
   q.zones_tried[q.zones_tried_count++] = 1;
   assert_refused (choose (a, 2620, &q), MARJORAM_REASON_OVERLOAD);
-  /* Neither does one that must run in this zone leave it.  */
+  /* A bound request is not forwarded either.  */
   q.zones_tried_count = 0;
   q.bound = true;
   assert_refused (choose (a, 2630, &q), MARJORAM_REASON_OVERLOAD);
 }
 END_TEST
 
-/* A zone that was refused by another one leaves it alone for a while; the
-   others would else knock there with each request.  */
+/* Guards against repeated forwarding to a zone that refuses requests.  */
 START_TEST (refusing_zone_is_left_alone)
 {
   struct node *a = add_node (0, 0, 1);
   struct marjoram_query q = query (100000);
 
-  lend (a, 0, 1, 100);
+  offer_capacity (a, 0, 1, 100);
   ck_assert_int_eq (choose (a, 0, &q).verdict, MARJORAM_VERDICT_FORWARD);
   marjoram_router_sent (a->router, 0, 1, 0);
   marjoram_router_returned (a->router, 100, 1, 0, true);
-  lend (a, 200, 1, 100);
+  offer_capacity (a, 200, 1, 100);
   ck_assert_int_eq (choose (a, 200, &q).verdict, MARJORAM_VERDICT_REFUSE);
-  lend (a, 3000, 1, 100);
+  offer_capacity (a, 3000, 1, 100);
   ck_assert_int_eq (choose (a, 3000, &q).verdict, MARJORAM_VERDICT_FORWARD);
 }
 END_TEST
 
-/* How many requests NODE would send to ZONE now.  */
+/* Number of requests that NODE forwards to ZONE until it stops.  */
 static int
-send_all (struct node *node, int64_t now, int zone)
+forward_until_refused (struct node *node, int64_t now, int zone)
 {
   int sent = 0;
 
@@ -282,10 +279,8 @@
   return sent;
 }
 
-/* A link heals.  Six hosts of two full zones hear again of a zone with nine
-   idle engines and send it all they have: it breaks down, and its own callers
-   wait.  The first round must bring no more than the start of the ramp from
-   each, and no round more than the room.  */
+/* Guards against overload of an idle zone by many hosts after a partition
+   heals.  */
 START_TEST (no_stampede_after_heal)
 {
   struct node *idle = add_node (2, 0, (uint64_t)_i + 100);
@@ -293,17 +288,17 @@
 
   for (int i = 0; i < 6; i++)
     full[i] = add_node (i / 3, i % 3, (uint64_t)_i * 10 + (uint64_t)i);
-  for (int i = 0; i < IDLE; i++)
+  for (int i = 0; i < IDLE_ENGINES; i++)
     {
       char name[16];
 
       snprintf (name, sizeof name, "lm-%d", i);
       announce (idle, 59000, name, 1, 0);
     }
-  /* The link was up before: ramps had grown.  */
+  /* Grows the limits on concurrent requests before the partition.  */
   for (int64_t now = 0; now < 5000; now += 1000)
     for (int i = 0; i < 6; i++)
-      lend (full[i], now, 2, 100);
+      offer_capacity (full[i], now, 2, 100);
   for (int round = 0; round < 6; round++)
     {
       int64_t now = 60000 - 1 + round * 1000;
@@ -312,15 +307,15 @@
       for (int i = 0; i < 6; i++)
         {
           struct marjoram_offers offers;
-          int mine;
+          int forwarded_count;
 
           marjoram_router_offer (idle->router, now - LINK_MS, i / 3, &offers);
           marjoram_router_learn (full[i]->router, now, &offers, LINK_MS);
           marjoram_wire_clear (&marjoram_offers_layout, &offers);
-          mine = send_all (full[i], now, 2);
+          forwarded_count = forward_until_refused (full[i], now, 2);
           if (round == 0)
-            ck_assert_int_le (mine, MARJORAM_OFFER_RAMP_START);
-          sent += mine;
+            ck_assert_int_le (forwarded_count, MARJORAM_OFFER_RAMP_START);
+          sent += forwarded_count;
         }
       ck_assert_int_le (sent, IDLE_SLOTS);
     }
@@ -332,7 +327,7 @@
   struct node *node = add_node (0, 0, 1);
   struct marjoram_query q = query (100000);
 
-  lend (node, 0, 1, 5);
+  offer_capacity (node, 0, 1, 5);
   ck_assert_int_eq (choose (node, MARJORAM_OFFER_LIFE_MS - 1, &q).verdict,
                     MARJORAM_VERDICT_FORWARD);
   assert_refused (choose (node, MARJORAM_OFFER_LIFE_MS, &q),
@@ -340,8 +335,8 @@
 }
 END_TEST
 
-/* An upstream dies, or leaves, while the other one is full.  A request must
-   not be sent to it because it is the one with room.  */
+/* Guards against selecting a dead or failed upstream because it has free
+   slots.  */
 START_TEST (gone_upstream_gets_nothing)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
@@ -360,10 +355,8 @@
 }
 END_TEST
 
-/* A caller is refused since the wait would pass its deadline.  If it comes
-   back after the time that it was told, and the load has gone down as
-   expected, it must be taken; if it is told a shorter time it comes in vain.
- */
+/* Guards against a Retry-After that is too short for the request to be
+   admitted.  */
 START_TEST (retry_after_is_honest)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
@@ -371,23 +364,22 @@
   struct marjoram_choice choice;
   double drained;
 
-  announce (node, 0, "lm-1", 1, QUEUE);
+  announce (node, 0, "lm-1", 1, QUEUE_LENGTH);
   choice = choose (node, 0, &q);
   assert_refused (choice, MARJORAM_REASON_OVERLOAD);
-  /* 60 tokens at 30 a second and 400 of prefill: 2.2 s a request.  */
+  /* 60 tokens at 30 per second and 400 of prefill: 2.2 s per request.  */
   drained = (double)choice.retry_ms / 2200 * SLOTS;
   ck_assert_double_gt (drained, 3 * SLOTS);
   q.deadline = choice.retry_ms + 4000;
   announce (node, choice.retry_ms, "lm-1", 2,
-            drained < QUEUE ? (uint64_t)(QUEUE - drained) : 0);
+            drained < QUEUE_LENGTH ? (uint64_t)(QUEUE_LENGTH - drained) : 0);
   ck_assert_int_eq (choose (node, choice.retry_ms, &q).verdict,
                     MARJORAM_VERDICT_LOCAL);
 }
 END_TEST
 
-/* One caller asks twenty times as much as another, both within their limits,
-   and the queue grows.  Without fair shares it is the greedy one that fills
-   the queue, and the other is refused as often.  */
+/* Guards against one busy caller filling the queue at the expense of
+   others.  */
 START_TEST (overload_refuses_the_greedy_first)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
@@ -400,7 +392,7 @@
       q.caller = now % 200 == 0 ? 1 : 0;
       choose (node, now, &q);
     }
-  announce (node, 5000, "lm-1", 2, SHORT_QUEUE);
+  announce (node, 5000, "lm-1", 2, SHORT_QUEUE_LENGTH);
   q = query (5000 + 8000);
   q.caller = 0;
   assert_refused (choose (node, 5000, &q), MARJORAM_REASON_OVERLOAD);
@@ -409,8 +401,8 @@
 }
 END_TEST
 
-/* All slots are taken.  A desk clerk's question may wait its turn; a review
-   that has all night is told to come later and leaves the turn to it.  */
+/* Guards against overnight work taking queue positions from interactive
+   work.  */
 START_TEST (overnight_gives_way)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
@@ -421,20 +413,19 @@
   q.class = MARJORAM_CLASS_OVERNIGHT;
   q.deadline = 36000000;
   assert_refused (choose (node, 1, &q), MARJORAM_REASON_OVERLOAD);
-  /* Nor does it go to another region, to a cold cache, before it must.  */
-  lend (node, 1, 1, 100);
+  /* It is not forwarded to another region before its deadline requires it.  */
+  offer_capacity (node, 1, 1, 100);
   assert_refused (choose (node, 2, &q), MARJORAM_REASON_OVERLOAD);
   q.deadline = 6000;
   ck_assert_int_eq (choose (node, 3, &q).verdict, MARJORAM_VERDICT_FORWARD);
 }
 END_TEST
 
-/* Three hosts hold the same old report: one engine of six is idle, the others
-   half full.  If each sent its requests to the one that looks best, it would
-   get nearly all of them until the next report.  */
+/* Guards against all hosts selecting the upstream that is idle in a stale
+   report.  */
 START_TEST (old_report_draws_no_herd)
 {
-  int there = 0;
+  int sent_to_idle = 0;
   char name[16];
 
   for (uint64_t seed = 0; seed < SEEDS; seed++)
@@ -460,16 +451,16 @@
           struct marjoram_choice choice = choose (node, 20001, &q);
 
           ck_assert_int_eq (choice.verdict, MARJORAM_VERDICT_LOCAL);
-          there += strcmp (choice.upstream, "lm-0") == 0;
+          sent_to_idle += strcmp (choice.upstream, "lm-0") == 0;
           marjoram_members_started (node->members, choice.upstream);
         }
     }
-  ck_assert_int_le (there, SEEDS * 9 / 2);
+  ck_assert_int_le (sent_to_idle, SEEDS * 9 / 2);
 }
 END_TEST
 
-/* Requests with the same start go to one replica, whichever host they come to,
-   as long as it isn't loaded more than the others.  */
+/* Requests with the same prefix go to the same replica from every host, unless
+   it is overloaded.  */
 START_TEST (prefix_finds_one_replica)
 {
   struct marjoram_query q = query (50000);
@@ -485,7 +476,7 @@
 
       for (int j = 0; j < 6; j++)
         {
-          /* Hosts may have heard of them in different orders.  */
+          /* Hosts may learn of the upstreams in any order.  */
           snprintf (name, sizeof name, "lm-%d", (j + i) % 6);
           announce (node, 0, name, 1, 0);
         }
@@ -494,15 +485,15 @@
         snprintf (first, sizeof first, "%s", choice.upstream);
       ck_assert_str_eq (choice.upstream, first);
     }
-  announce (&nodes[0], 20010, first, 2, QUEUE);
+  announce (&nodes[0], 20010, first, 2, QUEUE_LENGTH);
   choice = choose (&nodes[0], 20020, &q);
   ck_assert_str_ne (choice.upstream, first);
   ck_assert_int_eq (choice.verdict, MARJORAM_VERDICT_LOCAL);
 }
 END_TEST
 
-/* An engine comes back with an empty cache, at load zero, while two others
-   work at half load.  All new requests would go to it at once.  */
+/* Guards against a restarted engine, idle and with an empty cache, receiving
+   all new requests.  */
 START_TEST (returning_upstream_starts_slowly)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
@@ -532,14 +523,13 @@
                             whole_ms, q.answer_tokens);
 }
 
-/* One replica announces itself well but takes ten times as long as the others:
-   its requests would be late for as long as nobody takes it out.  If all are
-   as slow, it is not the replica's fault and none is taken out.  */
+/* Ejects a replica that is much slower than its peers, but none if all are
+   slow.  */
 START_TEST (slow_replica_is_ejected)
 {
   struct node *node = add_node (0, 0, 1);
   bool all_slow = _i == 1;
-  int out = 0;
+  int ejected = 0;
   char name[16];
 
   for (int j = 0; j < 4; j++)
@@ -554,14 +544,13 @@
         measure (node, name, 20000 + i, j == 0 || all_slow ? 22000 : 2200);
       }
   for (size_t j = 0; j < marjoram_members_count (node->members); j++)
-    out += !marjoram_upstream_usable (marjoram_members_at (node->members, j),
-                                      20070);
-  ck_assert_int_eq (out, all_slow ? 0 : 1);
+    ejected += !marjoram_upstream_usable (
+        marjoram_members_at (node->members, j), 20070);
+  ck_assert_int_eq (ejected, all_slow ? 0 : 1);
 }
 END_TEST
 
-/* Upstreams fail half of the requests.  Were each failure retried, and each
-   retry again, the load would double and bring down the rest.  */
+/* Guards against retries multiplying the load while upstreams fail.  */
 START_TEST (retries_have_a_budget)
 {
   struct node *node = add_node (0, 0, 1);
@@ -643,11 +632,11 @@
   char *text;
 
   announce (node, 0, "lm-1", 1, 0);
-  lend (node, 0, 1, 3);
+  offer_capacity (node, 0, 1, 3);
   text = marjoram_router_explain (node->router, 1, &q, &choice);
   ck_assert_int_eq (choice.verdict, MARJORAM_VERDICT_LOCAL);
   ck_assert_ptr_nonnull (strstr (text, "upstream lm-1: usable"));
-  ck_assert_ptr_nonnull (strstr (text, "zone r01-z00 lends room"));
+  ck_assert_ptr_nonnull (strstr (text, "zone r01-z00 offers capacity"));
   ck_assert_ptr_nonnull (strstr (text, "chosen: upstream lm-1"));
   free (text);
 }
