--- a/src/route_file.c
+++ b/src/route_file.c
@@ -12,9 +12,9 @@
   HOUR_MS = 3600 * 1000,
   MEGABYTE = 1024 * 1024,
   PATH_TEXT_MAX = 1024,
-  HOST_TEXT_MAX = 255, /* of a name in the DNS */
+  HOST_TEXT_MAX = 255, /* maximum length of a DNS name */
   PRIORITY_MAX = 9,
-  UPSTREAMS_MAX = 8, /* of one request */
+  UPSTREAMS_MAX = 8, /* per request */
   TOKENS_MAX = 1000 * 1000 * 1000,
   SLOTS_MAX = 100000,
   DECIMAL = 10
@@ -28,10 +28,10 @@
   KIND_RESUMABLE
 };
 
-static const char *const kinds[]
+static const char *const kind_names[]
     = { "idempotent", "non-idempotent", "stream", "resumable-stream", NULL };
 
-/* A route as it stands in the file.  */
+/* The keys of a [route] section.  */
 struct route_section
 {
   char *host;
@@ -46,71 +46,75 @@
   struct marjoram_names homes;
 };
 
-struct head_section
+struct routes_section
 {
   int64_t version;
 };
 
-#define ROUTE(member) offsetof (struct route_section, member)
-#define SERVICE(member) offsetof (struct marjoram_service_rule, member)
-#define CALLERS(member) offsetof (struct marjoram_caller_rule, member)
+#define ROUTE_OFFSET(member) offsetof (struct route_section, member)
+#define SERVICE_OFFSET(member) offsetof (struct marjoram_service_rule, member)
+#define CALLERS_OFFSET(member) offsetof (struct marjoram_caller_rule, member)
 #define COUNT(array) (sizeof (array) / sizeof *(array))
 
-static const struct marjoram_ini_key head_keys[] = {
-  { "version", MARJORAM_INI_WHOLE, offsetof (struct head_section, version),
+static const struct marjoram_ini_key routes_keys[] = {
+  { "version", MARJORAM_INI_WHOLE, offsetof (struct routes_section, version),
     NULL, 1, 9e15, NULL },
 };
 
-/* By default an objective is the timeout, and a request has one upstream.  */
+/* The objective defaults to the timeout, and a request to one upstream.  */
 static const struct marjoram_ini_key route_keys[] = {
-  { "host", MARJORAM_INI_TEXT, ROUTE (host), NULL, 1, HOST_TEXT_MAX, NULL },
-  { "prefix", MARJORAM_INI_TEXT, ROUTE (prefix), NULL, 1, PATH_TEXT_MAX,
+  { "host", MARJORAM_INI_TEXT, ROUTE_OFFSET (host), NULL, 1, HOST_TEXT_MAX,
     NULL },
-  { "kind", MARJORAM_INI_WORD, ROUTE (kind), NULL, 0, 0, kinds },
-  { "timeout_ms", MARJORAM_INI_WHOLE, ROUTE (timeout_ms), NULL, 1, HOUR_MS,
+  { "prefix", MARJORAM_INI_TEXT, ROUTE_OFFSET (prefix), NULL, 1, PATH_TEXT_MAX,
     NULL },
-  { "objective_ms", MARJORAM_INI_WHOLE, ROUTE (objective_ms), "0", 0, HOUR_MS,
+  { "kind", MARJORAM_INI_WORD, ROUTE_OFFSET (kind), NULL, 0, 0, kind_names },
+  { "timeout_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (timeout_ms), NULL, 1,
+    HOUR_MS, NULL },
+  { "objective_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (objective_ms), "0", 0,
+    HOUR_MS, NULL },
+  { "gap_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (gap_ms), "0", 0, HOUR_MS,
     NULL },
-  { "gap_ms", MARJORAM_INI_WHOLE, ROUTE (gap_ms), "0", 0, HOUR_MS, NULL },
-  { "priority", MARJORAM_INI_COUNT, ROUTE (priority), "0", 0, PRIORITY_MAX,
-    NULL },
-  { "max_upstreams", MARJORAM_INI_COUNT, ROUTE (max_upstreams), "1", 1,
+  { "priority", MARJORAM_INI_COUNT, ROUTE_OFFSET (priority), "0", 0,
+    PRIORITY_MAX, NULL },
+  { "max_upstreams", MARJORAM_INI_COUNT, ROUTE_OFFSET (max_upstreams), "1", 1,
     UPSTREAMS_MAX, NULL },
-  { "services", MARJORAM_INI_TEXT, ROUTE (services), NULL, 1, PATH_TEXT_MAX,
-    NULL },
-  { "homes", MARJORAM_INI_NAMES, ROUTE (homes), "", 0, 0, NULL },
+  { "services", MARJORAM_INI_TEXT, ROUTE_OFFSET (services), NULL, 1,
+    PATH_TEXT_MAX, NULL },
+  { "homes", MARJORAM_INI_NAMES, ROUTE_OFFSET (homes), "", 0, 0, NULL },
 };
 
 static const struct marjoram_ini_key service_keys[] = {
-  { "health_path", MARJORAM_INI_TEXT, SERVICE (health_path), "/health", 1,
-    PATH_TEXT_MAX, NULL },
-  { "max_connections", MARJORAM_INI_WHOLE, SERVICE (max_connections), "0", 0,
+  { "health_path", MARJORAM_INI_TEXT, SERVICE_OFFSET (health_path), "/health",
+    1, PATH_TEXT_MAX, NULL },
+  { "max_connections", MARJORAM_INI_WHOLE, SERVICE_OFFSET (max_connections),
+    "0", 0, SLOTS_MAX, NULL },
+  { "cold_ms", MARJORAM_INI_WHOLE, SERVICE_OFFSET (cold_ms), "0", 0, HOUR_MS,
+    NULL },
+  { "cold_per_s", MARJORAM_INI_REAL, SERVICE_OFFSET (cold_per_s), "0", 0,
     SLOTS_MAX, NULL },
-  { "cold_ms", MARJORAM_INI_WHOLE, SERVICE (cold_ms), "0", 0, HOUR_MS, NULL },
-  { "cold_per_s", MARJORAM_INI_REAL, SERVICE (cold_per_s), "0", 0, SLOTS_MAX,
+  { "engine", MARJORAM_INI_BOOL, SERVICE_OFFSET (has_engine), "no", 0, 0,
     NULL },
-  { "engine", MARJORAM_INI_BOOL, SERVICE (has_engine), "no", 0, 0, NULL },
-  { "engine_slots", MARJORAM_INI_WHOLE, SERVICE (engine.slots), "0", 0,
+  { "engine_slots", MARJORAM_INI_WHOLE, SERVICE_OFFSET (engine.slots), "0", 0,
     SLOTS_MAX, NULL },
-  { "engine_tokens", MARJORAM_INI_WHOLE, SERVICE (engine.kv_capacity), "0", 0,
-    TOKENS_MAX, NULL },
-  { "copied_per_ms", MARJORAM_INI_REAL, SERVICE (engine.copied_per_ms), "0", 0,
-    TOKENS_MAX, NULL },
+  { "engine_tokens", MARJORAM_INI_WHOLE, SERVICE_OFFSET (engine.kv_capacity),
+    "0", 0, TOKENS_MAX, NULL },
+  { "copied_per_ms", MARJORAM_INI_REAL, SERVICE_OFFSET (engine.copied_per_ms),
+    "0", 0, TOKENS_MAX, NULL },
 };
 
 static const struct marjoram_ini_key caller_keys[] = {
-  { "head_bytes", MARJORAM_INI_WHOLE, CALLERS (head_bytes), "16384", 1024,
-    MEGABYTE, NULL },
-  { "body_bytes", MARJORAM_INI_WHOLE, CALLERS (body_bytes), "4194304", 0,
-    64.0 * MEGABYTE, NULL },
-  { "head_timeout_ms", MARJORAM_INI_WHOLE, CALLERS (head_timeout_ms), "3000",
-    100, HOUR_MS, NULL },
-  { "idle_timeout_ms", MARJORAM_INI_WHOLE, CALLERS (idle_timeout_ms), "15000",
-    100, HOUR_MS, NULL },
+  { "head_bytes", MARJORAM_INI_WHOLE, CALLERS_OFFSET (head_bytes), "16384",
+    1024, MEGABYTE, NULL },
+  { "body_bytes", MARJORAM_INI_WHOLE, CALLERS_OFFSET (body_bytes), "4194304",
+    0, 64.0 * MEGABYTE, NULL },
+  { "head_timeout_ms", MARJORAM_INI_WHOLE, CALLERS_OFFSET (head_timeout_ms),
+    "3000", 100, HOUR_MS, NULL },
+  { "idle_timeout_ms", MARJORAM_INI_WHOLE, CALLERS_OFFSET (idle_timeout_ms),
+    "15000", 100, HOUR_MS, NULL },
 };
 
-/* One reading of a file.  */
-struct reading
+/* State of one parse.  */
+struct parse_context
 {
   const struct marjoram_ini_file *file;
   marjoram_faults *faults;
@@ -127,11 +131,9 @@
   return i < size && (text[i] == '[' || text[i] == ';' || text[i] == '#');
 }
 
-/* ---- Routes.  ---- */
-
-/* SERVICE or SERVICE:WEIGHT.  */
+/* Parses SERVICE or SERVICE:WEIGHT.  */
 static void
-read_target (const struct reading *reading,
+read_target (const struct parse_context *context,
              const struct marjoram_ini_section *section, const char *text,
              struct marjoram_route_target *target)
 {
@@ -144,14 +146,14 @@
     abort ();
   target->weight = colon ? strtoll (colon + 1, &end, DECIMAL) : 1;
   if (colon && (end == colon + 1 || *end || target->weight < 0))
-    marjoram_faults_add (reading->faults, reading->file->path,
+    marjoram_faults_add (context->faults, context->file->path,
                          marjoram_ini_line (section, "services"),
                          "\"%.80s\" has no weight; write NAME or NAME:NUMBER",
                          text);
 }
 
 static void
-read_targets (const struct reading *reading,
+read_targets (const struct parse_context *context,
               const struct marjoram_ini_section *section,
               struct marjoram_route_rule *route)
 {
@@ -165,88 +167,86 @@
   route->targets.items = targets
       = marjoram_alloc (names.count * sizeof *targets);
   for (size_t i = 0; i < names.count; i++)
-    read_target (reading, section, names.items[i],
+    read_target (context, section, names.items[i],
                  &targets[route->targets.count++]);
   marjoram_names_clear (&names);
 }
 
 static void
-read_route (const struct reading *reading,
+read_route (const struct parse_context *context,
             const struct marjoram_ini_section *section,
             struct marjoram_route_rule *route)
 {
-  struct route_section read = { 0 };
+  struct route_section values = { 0 };
 
-  marjoram_ini_read (reading->file, section, route_keys, COUNT (route_keys),
-                     &read, reading->faults);
+  marjoram_ini_read (context->file, section, route_keys, COUNT (route_keys),
+                     &values, context->faults);
   route->name = marjoram_strdup (section->name);
-  route->host = marjoram_strdup (read.host ? read.host : "");
-  route->prefix = marjoram_strdup (read.prefix ? read.prefix : "");
-  route->idempotent = read.kind == KIND_IDEMPOTENT;
-  route->stream = read.kind >= KIND_STREAM;
-  route->resumable = read.kind == KIND_RESUMABLE;
-  route->timeout_ms = read.timeout_ms;
-  route->objective_ms = read.objective_ms;
-  route->gap_ms = read.gap_ms;
-  route->priority = read.priority;
-  route->max_upstreams = read.max_upstreams;
-  route->homes = read.homes;
-  memset (&read.homes, 0, sizeof read.homes);
-  read_targets (reading, section, route);
-  marjoram_ini_clear (route_keys, COUNT (route_keys), &read);
+  route->host = marjoram_strdup (values.host ? values.host : "");
+  route->prefix = marjoram_strdup (values.prefix ? values.prefix : "");
+  route->idempotent = values.kind == KIND_IDEMPOTENT;
+  route->stream = values.kind >= KIND_STREAM;
+  route->resumable = values.kind == KIND_RESUMABLE;
+  route->timeout_ms = values.timeout_ms;
+  route->objective_ms = values.objective_ms;
+  route->gap_ms = values.gap_ms;
+  route->priority = values.priority;
+  route->max_upstreams = values.max_upstreams;
+  route->homes = values.homes;
+  memset (&values.homes, 0, sizeof values.homes);
+  read_targets (context, section, route);
+  marjoram_ini_clear (route_keys, COUNT (route_keys), &values);
 }
 
 static void
-read_service (const struct reading *reading,
+read_service (const struct parse_context *context,
               const struct marjoram_ini_section *section,
               struct marjoram_service_rule *service)
 {
-  marjoram_ini_read (reading->file, section, service_keys,
-                     COUNT (service_keys), service, reading->faults);
+  marjoram_ini_read (context->file, section, service_keys,
+                     COUNT (service_keys), service, context->faults);
   service->name = marjoram_strdup (section->name);
 }
 
-/* ---- The file.  ---- */
-
 static void
-read_head (const struct reading *reading)
+read_global_sections (const struct parse_context *context)
 {
   static const struct marjoram_ini_section nothing
       = { .kind = (char *)"callers", .name = (char *)"" };
   const struct marjoram_ini_section *head
-      = marjoram_ini_section (reading->file, "routes");
+      = marjoram_ini_section (context->file, "routes");
   const struct marjoram_ini_section *callers
-      = marjoram_ini_section (reading->file, "callers");
-  struct head_section read = { 0 };
+      = marjoram_ini_section (context->file, "callers");
+  struct routes_section values = { 0 };
 
-  marjoram_ini_read (reading->file, callers ? callers : &nothing, caller_keys,
-                     COUNT (caller_keys), &reading->table->callers,
-                     reading->faults);
+  marjoram_ini_read (context->file, callers ? callers : &nothing, caller_keys,
+                     COUNT (caller_keys), &context->table->callers,
+                     context->faults);
   if (head)
-    marjoram_ini_read (reading->file, head, head_keys, COUNT (head_keys),
-                       &read, reading->faults);
+    marjoram_ini_read (context->file, head, routes_keys, COUNT (routes_keys),
+                       &values, context->faults);
   else
-    marjoram_faults_add (reading->faults, reading->file->path, 0,
+    marjoram_faults_add (context->faults, context->file->path, 0,
                          "no version; add a section [routes] with version = "
                          "NUMBER, higher than the one in force");
-  reading->table->version = (uint64_t)read.version;
+  context->table->version = (uint64_t)values.version;
 }
 
 static void
-read_section (const struct reading *reading,
+read_section (const struct parse_context *context,
               const struct marjoram_ini_section *section)
 {
-  struct marjoram_route_table *table = reading->table;
+  struct marjoram_route_table *table = context->table;
   struct marjoram_route_rule *routes = table->routes.items;
   struct marjoram_service_rule *services = table->services.items;
 
   if (strcmp (section->kind, "route") == 0)
-    read_route (reading, section, &routes[table->routes.count++]);
+    read_route (context, section, &routes[table->routes.count++]);
   else if (strcmp (section->kind, "service") == 0)
-    read_service (reading, section, &services[table->services.count++]);
+    read_service (context, section, &services[table->services.count++]);
   else if (strcmp (section->kind, "routes") != 0
            && strcmp (section->kind, "callers") != 0)
-    marjoram_faults_add (reading->faults, reading->file->path, section->line,
+    marjoram_faults_add (context->faults, context->file->path, section->line,
                          "unknown section [%s]; remove it or use one of: "
                          "routes callers service route",
                          section->kind);
@@ -256,15 +256,15 @@
 read_file (const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
   struct marjoram_route_table *table = marjoram_alloc (sizeof *table);
-  const struct reading reading = { file, faults, table };
+  const struct parse_context context = { file, faults, table };
 
   table->routes.items = marjoram_alloc (file->section_count
                                         * sizeof (struct marjoram_route_rule));
   table->services.items = marjoram_alloc (
       file->section_count * sizeof (struct marjoram_service_rule));
-  read_head (&reading);
+  read_global_sections (&context);
   for (size_t i = 0; i < file->section_count; i++)
-    read_section (&reading, &file->sections[i]);
+    read_section (&context, &file->sections[i]);
   return table;
 }
 
--- a/src/route_file.h
+++ b/src/route_file.h
@@ -17,9 +17,9 @@
 
 #include "route_table.h"
 
-/* Whether TEXT is in this form: it begins with a section or a comment.  */
+/* Whether TEXT starts like an INI file, with a section or a comment.  */
 bool marjoram_route_file_is (const char *text, size_t size);
-/* Null with ERR set, which names the first fault's line and its remedy.  */
+/* Returns NULL and sets ERR to the first fault, with its line and remedy.  */
 struct marjoram_route_table *
 marjoram_route_file_read (const char *text, size_t size,
                           struct marjoram_error *err);
--- a/test/test_route_file.c
+++ b/test/test_route_file.c
@@ -1,4 +1,4 @@
-/* The operators' own form of the routes, and how keepers are asked for it. */
+/* Routes in the INI format, and the administrative requests for them.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -8,14 +8,14 @@
 
 #include <string.h>
 
-#define HEAD "[routes]\nversion = 12\n"
-#define APP "[service app]\nhealth_path = /health\n"
-#define ROUTE(kind, services)                                                 \
+#define ROUTES_SECTION "[routes]\nversion = 12\n"
+#define APP_SECTION "[service app]\nhealth_path = /health\n"
+#define ROUTE_SECTION(kind, services)                                         \
   "[route status]\nhost = boards.example\nprefix = /status/\nkind = " kind    \
   "\ntimeout_ms = 4000\nservices = " services "\n"
 
 static struct marjoram_route_table *
-read (const char *text, struct marjoram_error *err)
+read_table (const char *text, struct marjoram_error *err)
 {
   struct marjoram_route_table *table
       = marjoram_route_file_read (text, strlen (text), err);
@@ -29,15 +29,16 @@
 START_TEST (routes_are_read)
 {
   struct marjoram_error err = { 0 };
-  struct marjoram_route_table *table = read (
-      HEAD
-      "[callers]\nbody_bytes = 1000\n" APP
+  struct marjoram_route_table *table = read_table (
+      ROUTES_SECTION
+      "[callers]\nbody_bytes = 1000\n" APP_SECTION
       "[service lm]\nengine = yes\nengine_slots = 64\nengine_tokens = 250000\n"
       "copied_per_ms = 404.5\ncold_ms = 3000\ncold_per_s = 2.5\n"
       "[route ask]\nhost = boards.example\nprefix = /ask/\n"
       "kind = resumable-stream\ntimeout_ms = 9000\nobjective_ms = 800\n"
       "gap_ms = 600\npriority = 1\nmax_upstreams = 2\n"
-      "services = lm:9, app:1\nhomes = r1, r2\n" ROUTE ("idempotent", "app"),
+      "services = lm:9, app:1\nhomes = r1, r2\n" ROUTE_SECTION ("idempotent",
+                                                                "app"),
       &err);
   const struct marjoram_route_rule *route;
   const struct marjoram_route_target *targets;
@@ -78,16 +79,23 @@
   static const struct
   {
     const char *text;
-    const char *told;
+    const char *expected;
   } cases[] = {
-    { APP ROUTE ("idempotent", "app"), "add a section [routes]" },
-    { HEAD APP ROUTE ("sometimes", "app"), "routes:8" },
-    { HEAD APP ROUTE ("idempotent", "app:x"), "write NAME or NAME:NUMBER" },
-    { HEAD APP ROUTE ("idempotent", "nobody"), "nobody" },
-    { HEAD APP ROUTE ("idempotent", "app:0"), "weight" },
-    { HEAD APP "[engine e]\nslots = 1\n", "unknown section [engine]" },
-    { HEAD "[service app]\nhealth = /h\n", "routes:4" },
-    { HEAD APP ROUTE ("idempotent", "app") ROUTE ("idempotent", "app"),
+    { APP_SECTION ROUTE_SECTION ("idempotent", "app"),
+      "add a section [routes]" },
+    { ROUTES_SECTION APP_SECTION ROUTE_SECTION ("sometimes", "app"),
+      "routes:8" },
+    { ROUTES_SECTION APP_SECTION ROUTE_SECTION ("idempotent", "app:x"),
+      "write NAME or NAME:NUMBER" },
+    { ROUTES_SECTION APP_SECTION ROUTE_SECTION ("idempotent", "nobody"),
+      "nobody" },
+    { ROUTES_SECTION APP_SECTION ROUTE_SECTION ("idempotent", "app:0"),
+      "weight" },
+    { ROUTES_SECTION APP_SECTION "[engine e]\nslots = 1\n",
+      "unknown section [engine]" },
+    { ROUTES_SECTION "[service app]\nhealth = /h\n", "routes:4" },
+    { ROUTES_SECTION APP_SECTION ROUTE_SECTION ("idempotent", "app")
+          ROUTE_SECTION ("idempotent", "app"),
       "status" },
     { "[routes]\nversion = 0\n", "routes:2" },
     { "[routes", "routes:1" },
@@ -97,49 +105,53 @@
     {
       struct marjoram_error err = { 0 };
 
-      ck_assert_msg (!read (cases[i].text, &err), "accepted: %s",
+      ck_assert_msg (!read_table (cases[i].text, &err), "accepted: %s",
                      cases[i].text);
-      ck_assert_msg (strstr (err.message, cases[i].told) != NULL,
+      ck_assert_msg (strstr (err.message, cases[i].expected) != NULL,
                      "%s: told %s", cases[i].text, err.message);
     }
 }
 END_TEST
 
-/* Hosts are compared without regard to case, prefixes with it, wherever in the
-   file the routes stand; the message names them in the file's order.  */
+/* Hosts are compared case-insensitively, prefixes case-sensitively; the
+   message names the routes in file order.  */
 START_TEST (two_routes_of_one_place_are_refused)
 {
-#define PLACE(name, host, prefix)                                             \
+#define ROUTE_AT(name, host, prefix)                                          \
   "[route " name "]\nhost = " host "\nprefix = " prefix "\n"                  \
   "kind = idempotent\ntimeout_ms = 4000\nservices = app\n"
-  static const char same[] = HEAD APP PLACE ("z", "b.example", "/x/")
-      PLACE ("m", "c.example", "/x/") PLACE ("a", "B.example", "/x/");
-  static const char apart[] = HEAD APP PLACE ("z", "b.example", "/x/")
-      PLACE ("m", "c.example", "/x/") PLACE ("a", "B.example", "/X/");
+  static const char same[]
+      = ROUTES_SECTION APP_SECTION ROUTE_AT ("z", "b.example", "/x/")
+          ROUTE_AT ("m", "c.example", "/x/")
+              ROUTE_AT ("a", "B.example", "/x/");
+  static const char apart[]
+      = ROUTES_SECTION APP_SECTION ROUTE_AT ("z", "b.example", "/x/")
+          ROUTE_AT ("m", "c.example", "/x/")
+              ROUTE_AT ("a", "B.example", "/X/");
   struct marjoram_error err = { 0 };
-  struct marjoram_route_table *table = read (apart, &err);
+  struct marjoram_route_table *table = read_table (apart, &err);
 
   ck_assert_msg (table != NULL, "%s", err.message);
   marjoram_route_table_destroy (table);
-  ck_assert (!read (same, &err));
+  ck_assert (!read_table (same, &err));
   ck_assert_msg (strstr (err.message, "routes z and a have the same host"),
                  "%s", err.message);
 }
 END_TEST
 
-/* Keepers take both forms; what is neither is told to be no configuration. */
+/* Keepers accept both formats and reject other input.  */
 START_TEST (both_forms_are_taken)
 {
   static const char json[]
       = "{\"version\":3,\"routes\":[],\"services\":[],\"limits\":{"
         "\"max_header_bytes\":1,\"max_body_bytes\":1,"
         "\"header_timeout_ms\":1,\"idle_timeout_ms\":1}}";
-  static const char own[] = "\n; Ours.\n" HEAD APP;
+  static const char ini_text[] = "\n; Ours.\n" ROUTES_SECTION APP_SECTION;
   const struct marjoram_dialect *dialect
       = marjoram_own_dialect (marjoram_platform_dialect ());
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table
-      = dialect->ops->read_config (own, strlen (own), &err);
+      = dialect->ops->read_config (ini_text, strlen (ini_text), &err);
 
   ck_assert_uint_eq (table->version, 12);
   marjoram_route_table_destroy (table);
