--- a/src/route_table.c
+++ b/src/route_table.c
@@ -99,13 +99,13 @@
       || route->prefix[length - 1] != '/')
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
                                "the prefix of route %s must begin and end "
-                               "with a slash; mend it",
+                               "with a slash; fix it",
                                route->name);
   return true;
 }
 
 static int
-compare_place (const void *a, const void *b)
+compare_match (const void *a, const void *b)
 {
   const struct marjoram_route_rule *one
       = *(const struct marjoram_route_rule *const *)a;
@@ -115,7 +115,7 @@
 
   if (order == 0)
     order = strcmp (one->prefix, other->prefix);
-  /* As they stand in the file, for the message.  */
+  /* Keeps file order, so that the error message names the routes in it.  */
   return order != 0 ? order : (one > other) - (one < other);
 }
 
@@ -129,7 +129,7 @@
 
   for (size_t i = 0; i < count; i++)
     sorted[i] = &ROUTES (table)[i];
-  qsort ((void *)sorted, count, sizeof (void *), compare_place);
+  qsort ((void *)sorted, count, sizeof (void *), compare_match);
   for (size_t i = 1; i < count; i++)
     if (strcasecmp (sorted[i - 1]->host, sorted[i]->host) == 0
         && strcmp (sorted[i - 1]->prefix, sorted[i]->prefix) == 0)
--- a/src/route_table.h
+++ b/src/route_table.h
@@ -1,5 +1,5 @@
-/* The routes that operators configure: which requests go to which services, on
-   which terms.  One immutable table for each version of the configuration.  */
+/* Configured routes: which requests go to which services, with which limits.
+   Each configuration version has one immutable table.  */
 #ifndef MARJORAM_ROUTE_TABLE_H
 #define MARJORAM_ROUTE_TABLE_H
 
@@ -11,11 +11,11 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* One of the services among which a route's requests are split.  */
+/* One of the services among which the requests of a route are split.  */
 struct marjoram_route_target
 {
   char *service;
-  int64_t weight; /* its share, against the sum of the route's weights */
+  int64_t weight; /* relative to the sum of the route's weights */
 };
 
 struct marjoram_route_rule
@@ -23,27 +23,27 @@
   char *name;
   char *host;
   char *prefix; /* begins and ends with a slash */
-  bool stream;  /* answers are series of events */
+  bool stream;  /* responses are event streams */
   bool idempotent;
-  bool resumable; /* a stream may go on at another upstream */
+  bool resumable; /* a broken stream may continue on another upstream */
   int64_t timeout_ms;
-  int64_t
-      objective_ms;  /* to the whole answer; of a stream, to its first event */
-  int64_t gap_ms;    /* longest pause between events that is in time */
-  int priority;      /* 0 is the most urgent */
-  int max_upstreams; /* that one request may be sent to */
+  int64_t objective_ms; /* for the whole response, or the first event of a
+                           stream */
+  int64_t gap_ms;       /* maximum interval between events */
+  int priority;         /* 0 is the highest */
+  int max_upstreams;    /* upstreams that one request may be sent to */
   struct marjoram_array targets; /* of struct marjoram_route_target */
-  struct marjoram_names homes;   /* regions; empty: all */
+  struct marjoram_names homes;   /* regions; empty means all */
 };
 
-/* What model engines of a service can do; zero for a plain service.  */
+/* Capabilities of a service's model engines; zero for a plain service.  */
 struct marjoram_engine_rule
 {
-  int64_t slots; /* requests in one batch */
+  int64_t slots; /* maximum batch size */
   int64_t
-      kv_capacity; /* tokens that running requests and cached parts share */
-  /* Tokens of a prompt, read by another engine, that one copies from there in
-     a ms instead of reading them; 0 if it can't.  */
+      kv_capacity; /* tokens shared by running requests and cached prefixes */
+  /* Prompt tokens per ms that an engine can copy from another engine's cache
+     instead of prefilling them; 0 if it cannot.  */
   double copied_per_ms;
 };
 
@@ -51,9 +51,10 @@
 {
   char *name;
   char *health_path;
-  int64_t max_connections; /* of one upstream, from all hosts */
-  int64_t cold_ms;         /* how long an upstream is cold after its start */
-  double cold_per_s; /* requests that a cold one bears; 0: is never cold */
+  int64_t max_connections; /* of one upstream, over all hosts */
+  int64_t cold_ms;         /* warm-up period after the start of an upstream */
+  double cold_per_s;       /* request rate of an upstream that is warming up; 0
+                              disables */
   bool has_engine;
   struct marjoram_engine_rule engine;
 };
@@ -75,34 +76,34 @@
 };
 
 void marjoram_route_table_destroy (struct marjoram_route_table *table);
-/* Whether operators may put TABLE in force: each route leads to services that
-   are there, no two routes claim one place, weights don't add up to 0, times
-   are above 0.  */
+/* Validates TABLE: all referenced services exist, no two routes have the same
+   host and prefix, weights do not add up to 0, and timeouts are positive.  */
 bool marjoram_route_table_check (const struct marjoram_route_table *table,
                                  struct marjoram_error *err);
-/* The route of HOST, port or none, whose prefix is the longest that begins
-   TARGET's path; null if there is none.  */
+/* The route of HOST, with or without a port, with the longest prefix of
+   TARGET's path; NULL if there is none.  */
 const struct marjoram_route_rule *
 marjoram_route_table_find (const struct marjoram_route_table *table,
                            const char *host, const char *target);
 const struct marjoram_service_rule *
 marjoram_route_table_service (const struct marjoram_route_table *table,
                               const char *name);
-/* The service that serves the request KEY: the same one for the same key, each
-   with its share of all keys.  */
+/* Selects a service by weight.  The same KEY always yields the same
+   service.  */
 const char *
 marjoram_route_pick_service (const struct marjoram_route_rule *route,
                              const char *key);
-/* Whether REGION may run a request of ROUTE.  */
+/* Whether REGION may run requests of ROUTE.  */
 bool marjoram_route_allows (const struct marjoram_route_rule *route,
                             const char *region);
-/* How many routes of HOST that are bound to homes have REGION among them.  */
+/* Number of routes of HOST restricted to home regions that include REGION.  */
 size_t marjoram_route_table_homes (const struct marjoram_route_table *table,
                                    const char *host, const char *region);
-/* Whether any route of HOST is bound to homes.  */
+/* Whether any route of HOST is restricted to home regions.  */
 bool marjoram_route_table_has_homes (const struct marjoram_route_table *table,
                                      const char *host);
-/* Whether a second upstream may run it after a first one may have.  */
+/* Whether a request may be repeated at another upstream after the first may
+   have executed it.  */
 bool marjoram_route_may_repeat (const struct marjoram_route_rule *route);
 
 #endif
