--- a/src/offer.c
+++ b/src/offer.c
@@ -8,12 +8,13 @@
 enum
 {
   BACKOFF_MS = 500,
-  BACKOFF_DOUBLINGS = 4
+  MAX_BACKOFF_DOUBLINGS = 4
 };
 
-/* Part of the spare room that goes to zones in need; the rest is split between
-   all, so that one that falls into need can go somewhere at once.  */
-#define NEED_PART 0.75
+/* Fraction of the free capacity for zones without any; the rest is split
+   evenly among all, so that a zone that becomes overloaded can forward at
+   once.  */
+#define OVERLOADED_ZONES_FRACTION 0.75
 
 static const struct marjoram_field offer_fields[] = {
   { MARJORAM_WIRE_STRING (struct marjoram_offer, work, MARJORAM_NAME_MAX) },
@@ -25,18 +26,18 @@
     = { "offer", sizeof (struct marjoram_offer), offer_fields,
         sizeof offer_fields / sizeof *offer_fields };
 
-/* The last offer of one zone for one work.  */
+/* The last offer of one zone for one model or service.  */
 struct entry
 {
   uint64_t room;
-  uint64_t ramp; /* most that is under way at once */
-  uint64_t under_way;
-  int64_t taken; /* started since the offer, less ended ones */
+  uint64_t max_in_flight; /* maximum number of concurrent requests */
+  uint64_t in_flight;
+  int64_t sent_since_offer; /* less those ended since */
   int64_t wait_ms;
   int64_t link_ms;
-  int64_t expires; /* 0 if never heard */
+  int64_t expires; /* 0 if none was received */
   int64_t last_sent;
-  int64_t barred_until;
+  int64_t backoff_until;
   uint32_t upstreams;
   uint32_t failures;
 };
@@ -45,7 +46,7 @@
 {
   marjoram_random *random;
   marjoram_config *config;
-  struct entry *entries; /* of zone * work_count + work */
+  struct entry *entries; /* indexed by zone * work_count + work */
   int zone;
   int zone_count;
   int work_count;
@@ -71,7 +72,7 @@
 }
 
 static struct entry *
-entry_of (const marjoram_loans *loans, int zone, int work)
+get_entry (const marjoram_loans *loans, int zone, int work)
 {
   return &loans->entries[zone * loans->work_count + work];
 }
@@ -87,7 +88,7 @@
 
   if (old_zone >= 0 && old_work >= 0)
     entries[zone * marjoram_config_work_count (config) + work]
-        = *entry_of (loans, old_zone, old_work);
+        = *get_entry (loans, old_zone, old_work);
 }
 
 void
@@ -113,19 +114,19 @@
 }
 
 static void
-learn_one (struct entry *entry, int64_t now,
-           const struct marjoram_offer *offer, int64_t link_ms)
+update_entry (struct entry *entry, int64_t now,
+              const struct marjoram_offer *offer, int64_t link_ms)
 {
-  /* Stops the stampede after a link heals: a zone that was silent gets a few
-     requests at once at first, and twice as many with each offer that follows
-     and each few that end well.  */
+  /* Prevents a burst of requests after a partition heals: the number of
+     concurrent requests starts low and grows with each further offer and each
+     success.  */
   if (now >= entry->expires)
-    entry->ramp = MARJORAM_OFFER_RAMP_START;
-  else if (entry->ramp < offer->room)
-    entry->ramp *= 2;
-  /* What was sent within the last round trip is not yet seen in the offer.  */
+    entry->max_in_flight = MARJORAM_OFFER_RAMP_START;
+  else if (entry->max_in_flight < offer->room)
+    entry->max_in_flight *= 2;
+  /* The offer does not reflect requests sent within the last round trip.  */
   if (now >= entry->last_sent + 2 * link_ms)
-    entry->taken = 0;
+    entry->sent_since_offer = 0;
   entry->room = offer->room;
   entry->wait_ms = offer->wait_ms > 0 ? offer->wait_ms : 0;
   entry->link_ms = link_ms > 0 ? link_ms : 0;
@@ -146,7 +147,7 @@
                      : -1;
 
       if (work >= 0)
-        learn_one (entry_of (loans, zone, work), now, &items[i], link_ms);
+        update_entry (get_entry (loans, zone, work), now, &items[i], link_ms);
     }
 }
 
@@ -156,26 +157,26 @@
   return regions >> marjoram_config_zone (loans->config, zone)->region & 1;
 }
 
-/* Whether one more may be sent there.  Work that has no other place may wait
-   beyond the room that is lent; the ramp holds for it too.  */
+/* Whether one more request may be sent there.  Work without a local upstream
+   may exceed the offered capacity, but not max_in_flight.  */
 static bool
-lends (const struct entry *entry, int64_t now, bool homeless)
+accepts_request (const struct entry *entry, int64_t now, bool homeless)
 {
-  bool room
-      = homeless ? entry->upstreams > 0 : entry->taken < (int64_t)entry->room;
+  bool room = homeless ? entry->upstreams > 0
+                       : entry->sent_since_offer < (int64_t)entry->room;
 
-  return now < entry->expires && now >= entry->barred_until
-         && entry->under_way < entry->ramp && room;
+  return now < entry->expires && now >= entry->backoff_until
+         && entry->in_flight < entry->max_in_flight && room;
 }
 
-/* The wait that requests of this host beyond the lent room add.  */
+/* Queueing delay from this host's requests beyond the offered capacity.  */
 static double
-own_queue_ms (const struct entry *entry, double alone_ms)
+excess_queue_ms (const struct entry *entry, double alone_ms)
 {
-  int64_t over = entry->taken - (int64_t)entry->room;
+  int64_t excess_requests = entry->sent_since_offer - (int64_t)entry->room;
 
-  return over > 0 && entry->upstreams > 0
-             ? alone_ms * (double)over / entry->upstreams
+  return excess_requests > 0 && entry->upstreams > 0
+             ? alone_ms * (double)excess_requests / entry->upstreams
              : 0;
 }
 
@@ -201,14 +202,15 @@
   for (int i = 0; i < loans->zone_count; i++)
     {
       int zone = (start + i) % loans->zone_count;
-      const struct entry *entry = entry_of (loans, zone, query->work);
+      const struct entry *entry = get_entry (loans, zone, query->work);
       double total;
 
       if (zone == loans->zone || !in_regions (loans, zone, regions)
-          || zone_tried (query, zone) || !lends (entry, now, homeless))
+          || zone_tried (query, zone)
+          || !accepts_request (entry, now, homeless))
         continue;
       total = 2 * (double)entry->link_ms + (double)entry->wait_ms + alone_ms
-              + own_queue_ms (entry, alone_ms);
+              + excess_queue_ms (entry, alone_ms);
       if (total < best->total_ms)
         *best = (struct marjoram_loan){ zone, total };
     }
@@ -220,7 +222,7 @@
 {
   for (int i = 0; i < loans->zone_count; i++)
     {
-      const struct entry *entry = entry_of (loans, i, work);
+      const struct entry *entry = get_entry (loans, i, work);
 
       if (i != loans->zone && in_regions (loans, i, regions)
           && now < entry->expires && entry->upstreams > 0)
@@ -235,7 +237,7 @@
 {
   for (int i = 0; i < loans->zone_count; i++)
     if (i != loans->zone && in_regions (loans, i, regions)
-        && lends (entry_of (loans, i, work), now, false))
+        && accepts_request (get_entry (loans, i, work), now, false))
       return true;
   return false;
 }
@@ -243,45 +245,46 @@
 void
 marjoram_loans_sent (marjoram_loans *loans, int64_t now, int zone, int work)
 {
-  struct entry *entry = entry_of (loans, zone, work);
+  struct entry *entry = get_entry (loans, zone, work);
 
-  entry->taken++;
-  entry->under_way++;
+  entry->sent_since_offer++;
+  entry->in_flight++;
   entry->last_sent = now;
 }
 
-/* Stops the repeated sending to a zone whose offers are wrong or whose
-   requests fail: it is left alone for a time that doubles.  */
+/* Exponential backoff from a zone whose offers are wrong or whose requests
+   fail.  */
 void
 marjoram_loans_returned (marjoram_loans *loans, int64_t now, int zone,
                          int work, bool failed)
 {
-  struct entry *entry = entry_of (loans, zone, work);
-  uint32_t doublings = entry->failures < BACKOFF_DOUBLINGS ? entry->failures
-                                                           : BACKOFF_DOUBLINGS;
-  uint32_t span = (uint32_t)BACKOFF_MS << doublings;
-
-  entry->taken--;
-  entry->under_way -= entry->under_way > 0;
+  struct entry *entry = get_entry (loans, zone, work);
+  uint32_t doublings = entry->failures < MAX_BACKOFF_DOUBLINGS
+                           ? entry->failures
+                           : MAX_BACKOFF_DOUBLINGS;
+  uint32_t backoff_ms = (uint32_t)BACKOFF_MS << doublings;
+
+  entry->sent_since_offer--;
+  entry->in_flight -= entry->in_flight > 0;
   if (!failed)
     {
       entry->failures = 0;
-      entry->ramp++;
+      entry->max_in_flight++;
       return;
     }
-  /* Requests that were under way together fail together.  */
-  if (now < entry->barred_until)
+  /* Failures of concurrent requests count once.  */
+  if (now < entry->backoff_until)
     return;
   entry->failures++;
-  entry->ramp = MARJORAM_OFFER_RAMP_START;
-  entry->barred_until
-      = now + span + marjoram_random_below (loans->random, span);
+  entry->max_in_flight = MARJORAM_OFFER_RAMP_START;
+  entry->backoff_until
+      = now + backoff_ms + marjoram_random_below (loans->random, backoff_ms);
 }
 
 static bool
-needs (const marjoram_loans *loans, int64_t now, int zone, int work)
+is_overloaded (const marjoram_loans *loans, int64_t now, int zone, int work)
 {
-  const struct entry *entry = entry_of (loans, zone, work);
+  const struct entry *entry = get_entry (loans, zone, work);
 
   return now < entry->expires && (entry->wait_ms > 0 || entry->upstreams == 0);
 }
@@ -291,22 +294,27 @@
                       double free)
 {
   int slots = marjoram_config_zone (loans->config, zone)->slot_count;
-  int others = loans->zone_count - 1;
-  int needy = 0;
-  double part;
-  uint64_t whole;
+  int other_zones = loans->zone_count - 1;
+  int overloaded_zones = 0;
+  double share;
+  uint64_t whole_share;
 
-  if (others < 1 || slots < 1 || free <= 0)
+  if (other_zones < 1 || slots < 1 || free <= 0)
     return 0;
   for (int i = 0; i < loans->zone_count; i++)
-    needy += i != loans->zone && needs (loans, now, i, work);
-  part = free / others;
-  if (needy > 0)
-    part = free * (1 - NEED_PART) / others
-           + (needs (loans, now, zone, work) ? free * NEED_PART / needy : 0);
-  part /= slots;
-  whole = (uint64_t)part;
-  /* A fraction is lent by lot, so that little room is lent at all, and the
-     sum is right on average.  */
-  return whole + (marjoram_random_unit (loans->random) < part - (double)whole);
+    overloaded_zones
+        += i != loans->zone && is_overloaded (loans, now, i, work);
+  share = free / other_zones;
+  if (overloaded_zones > 0)
+    share = free * (1 - OVERLOADED_ZONES_FRACTION) / other_zones
+            + (is_overloaded (loans, now, zone, work)
+                   ? free * OVERLOADED_ZONES_FRACTION / overloaded_zones
+                   : 0);
+  share /= slots;
+  whole_share = (uint64_t)share;
+  /* Randomized rounding, so that capacity below one request per host is
+     offered too and the sum is right on average.  */
+  return whole_share
+         + (marjoram_random_unit (loans->random)
+            < share - (double)whole_share);
 }
