--- a/src/fair.c
+++ b/src/fair.c
@@ -4,29 +4,29 @@
 
 #include <math.h>
 
-#define SPAN_MS 10000.0
-/* A caller that used less than this lately doesn't count as active.  */
-#define ACTIVE_MS 1.0
+#define DECAY_MS 10000.0
+/* A caller with less recent usage than this is considered inactive.  */
+#define MIN_ACTIVE_USAGE_MS 1.0
 
 enum
 {
-  SUM_AGE_MS = 500
+  TOTALS_CACHE_MS = 500
 };
 
-struct use
+struct usage
 {
-  double work_ms; /* fades over SPAN_MS */
-  int64_t at;
+  double work_ms; /* decays exponentially over DECAY_MS */
+  int64_t updated;
 };
 
 struct marjoram_fair
 {
   marjoram_config *config;
-  struct use *uses;
+  struct usage *usages;
   int count;
-  double all_ms; /* of the active callers */
-  double all_weight;
-  int64_t summed;
+  double total_ms; /* totals over active callers */
+  double total_weight;
+  int64_t totals_updated;
 };
 
 marjoram_fair *
@@ -41,7 +41,7 @@
   if (!fair)
     return;
   marjoram_config_release (fair->config);
-  free (fair->uses);
+  free (fair->usages);
   free (fair);
 }
 
@@ -49,7 +49,7 @@
 marjoram_fair_configure (marjoram_fair *fair, marjoram_config *config)
 {
   int count = marjoram_config_caller_count (config);
-  struct use *uses = marjoram_alloc (((size_t)count + 1) * sizeof *uses);
+  struct usage *usages = marjoram_alloc (((size_t)count + 1) * sizeof *usages);
 
   for (int i = 0; i < count; i++)
     {
@@ -59,10 +59,10 @@
                     : -1;
 
       if (old >= 0)
-        uses[i] = fair->uses[old];
+        usages[i] = fair->usages[old];
     }
-  free (fair->uses);
-  fair->uses = uses;
+  free (fair->usages);
+  fair->usages = usages;
   fair->count = count;
   marjoram_config_retain (config);
   marjoram_config_release (fair->config);
@@ -70,57 +70,58 @@
 }
 
 static double
-faded (const struct use *use, int64_t now)
+decayed_ms (const struct usage *usage, int64_t now)
 {
-  if (use->work_ms <= 0 || now <= use->at)
-    return use->work_ms;
-  return use->work_ms * exp ((double)(use->at - now) / SPAN_MS);
+  if (usage->work_ms <= 0 || now <= usage->updated)
+    return usage->work_ms;
+  return usage->work_ms * exp ((double)(usage->updated - now) / DECAY_MS);
 }
 
-/* Goes over all callers, so only now and then.  */
+/* Cached, since it iterates over all callers.  */
 static void
-sum (marjoram_fair *fair, int64_t now)
+update_totals (marjoram_fair *fair, int64_t now)
 {
-  if (now < fair->summed + SUM_AGE_MS && fair->all_weight > 0)
+  if (now < fair->totals_updated + TOTALS_CACHE_MS && fair->total_weight > 0)
     return;
-  fair->summed = now;
-  fair->all_ms = 0;
-  fair->all_weight = 0;
+  fair->totals_updated = now;
+  fair->total_ms = 0;
+  fair->total_weight = 0;
   for (int i = 0; i < fair->count; i++)
     {
-      double work_ms = faded (&fair->uses[i], now);
+      double work_ms = decayed_ms (&fair->usages[i], now);
 
-      if (work_ms < ACTIVE_MS)
+      if (work_ms < MIN_ACTIVE_USAGE_MS)
         continue;
-      fair->all_ms += work_ms;
-      fair->all_weight += marjoram_config_caller (fair->config, i)->weight;
+      fair->total_ms += work_ms;
+      fair->total_weight += marjoram_config_caller (fair->config, i)->weight;
     }
 }
 
-/* The sums follow at once: were they as old as the last sum, a lone caller
-   would count as far over its share after a few requests.  */
+/* Updates the totals too: if they were stale, a lone caller would exceed its
+   share after a few requests.  */
 void
 marjoram_fair_used (marjoram_fair *fair, int64_t now, int caller,
                     double work_ms)
 {
-  struct use *use = &fair->uses[caller];
-  double before = faded (use, now);
-
-  use->work_ms = before + work_ms;
-  use->at = now;
-  fair->all_ms += work_ms;
-  if (before < ACTIVE_MS)
-    fair->all_weight += marjoram_config_caller (fair->config, caller)->weight;
+  struct usage *usage = &fair->usages[caller];
+  double before = decayed_ms (usage, now);
+
+  usage->work_ms = before + work_ms;
+  usage->updated = now;
+  fair->total_ms += work_ms;
+  if (before < MIN_ACTIVE_USAGE_MS)
+    fair->total_weight
+        += marjoram_config_caller (fair->config, caller)->weight;
 }
 
 double
 marjoram_fair_excess (marjoram_fair *fair, int64_t now, int caller)
 {
   double weight = marjoram_config_caller (fair->config, caller)->weight;
-  double own = faded (&fair->uses[caller], now);
+  double own = decayed_ms (&fair->usages[caller], now);
 
-  sum (fair, now);
-  if (fair->all_weight <= 0 || fair->all_ms <= 0)
+  update_totals (fair, now);
+  if (fair->total_weight <= 0 || fair->total_ms <= 0)
     return 1;
-  return fmax (1, own / weight / (fair->all_ms / fair->all_weight));
+  return fmax (1, own / weight / (fair->total_ms / fair->total_weight));
 }
--- a/src/fair.h
+++ b/src/fair.h
@@ -1,5 +1,5 @@
-/* Fair shares between callers under overload: how far a caller's use of this
-   host lies over its weight's part of all use.  Pure decisions.  */
+/* Fair sharing between callers under overload: the ratio of a caller's usage
+   of this host to its weighted share.  Performs no I/O.  */
 #ifndef MARJORAM_FAIR_H
 #define MARJORAM_FAIR_H
 
@@ -9,13 +9,13 @@
 
 marjoram_fair *marjoram_fair_create (void);
 void marjoram_fair_destroy (marjoram_fair *fair);
-/* Retains CONFIG; what callers have used lately is kept by name.  */
+/* Retains CONFIG; recent usage is carried over by caller name.  */
 void marjoram_fair_configure (marjoram_fair *fair, marjoram_config *config);
-/* A request of CALLER was placed that takes WORK_MS.  */
+/* Adds WORK_MS, the estimated time of an admitted request, to the usage of
+   CALLER.  */
 void marjoram_fair_used (marjoram_fair *fair, int64_t now, int caller,
                          double work_ms);
-/* 1 for a caller that uses its share or less, 2 for one that uses twice as
-   much, and so on.  */
+/* Usage of CALLER relative to its fair share, at least 1.  */
 double marjoram_fair_excess (marjoram_fair *fair, int64_t now, int caller);
 
 #endif
