--- a/src/limit.c
+++ b/src/limit.c
@@ -5,20 +5,20 @@
 
 #include <math.h>
 
-#define DEMAND_SPAN_MS 2000.0
-/* Part of a caller's rate that its home region keeps for itself while the
-   other regions can't be heard.  */
-#define HOME_PART 0.8
-/* What each zone and host is taken to ask at least, as a part of the rate, so
-   that a first request is not refused before reports have gone round.  */
-#define DEMAND_FLOOR 0.02
-/* Use below this part of the rate is not worth a report.  */
-#define REPORT_FLOOR 0.05
+#define DEMAND_DECAY_MS 2000.0
+/* Fraction of the rate that the home region keeps while it cannot hear the
+   other regions.  */
+#define HOME_REGION_FRACTION 0.8
+/* Minimum demand assumed for each zone and host, as a fraction of the rate, so
+   that a first request is not refused before demand is reported.  */
+#define MIN_DEMAND_FRACTION 0.02
+/* Minimum demand, as a fraction of the rate, that is reported.  */
+#define MIN_REPORTED_FRACTION 0.05
 
 enum
 {
-  HOST_SILENT_MS = 3000,
-  ZONE_SILENT_MS = 5000,
+  HOST_REPORT_TIMEOUT_MS = 3000,
+  ZONE_REPORT_TIMEOUT_MS = 5000,
   RETRY_MIN_MS = 50,
   RETRY_MAX_MS = 60000
 };
@@ -33,14 +33,14 @@
 struct caller
 {
   double tokens;
-  int64_t filled;   /* when tokens were last added */
-  double demand;    /* requests a second asked of this host */
-  int64_t asked;    /* when demand was last brought up to date */
-  double near_by;   /* reported by the zone's other hosts */
-  double elsewhere; /* reported by the other zones */
+  int64_t refilled;     /* time of the last refill */
+  double demand;        /* requests per second at this host */
+  int64_t decayed;      /* time of the last decay */
+  double peer_demand;   /* reported by the zone's other hosts */
+  double remote_demand; /* reported by the other zones */
 };
 
-struct use
+struct demand_report
 {
   int caller;
   double rate;
@@ -49,8 +49,8 @@
 /* The last report of one host or zone.  */
 struct source
 {
-  int64_t heard; /* 0 if never, or silent for too long */
-  struct use *uses;
+  int64_t received; /* time of the report; 0 if none or expired */
+  struct demand_report *reports;
   size_t count;
 };
 
@@ -82,15 +82,15 @@
 }
 
 static void
-forget_sources (marjoram_limits *limits)
+clear_sources (marjoram_limits *limits)
 {
   for (int i = 0; i < MARJORAM_MEMBER_SLOTS_MAX; i++)
     {
-      free (limits->hosts[i].uses);
+      free (limits->hosts[i].reports);
       limits->hosts[i] = (struct source){ 0 };
     }
   for (int i = 0; i < limits->zone_count; i++)
-    free (limits->zones[i].uses);
+    free (limits->zones[i].reports);
   free (limits->zones);
   limits->zones = NULL;
   limits->zone_count = 0;
@@ -101,14 +101,13 @@
 {
   if (!limits)
     return;
-  forget_sources (limits);
+  clear_sources (limits);
   marjoram_config_release (limits->config);
   free (limits->callers);
   free (limits);
 }
 
-/* The parts that zones hold follow from the configuration; reports are made
-   anew every second, so they are not carried over.  */
+/* Reports are not carried over, as they are renewed every second.  */
 void
 marjoram_limits_configure (marjoram_limits *limits, int64_t now,
                            marjoram_config *config, int zone)
@@ -125,13 +124,13 @@
                     limits->config, caller->name)
                                : -1;
 
-      callers[i] = (struct caller){ .tokens = -1, .asked = now };
+      callers[i] = (struct caller){ .tokens = -1, .decayed = now };
       if (old >= 0)
         callers[i] = limits->callers[old];
-      callers[i].near_by = 0;
-      callers[i].elsewhere = 0;
+      callers[i].peer_demand = 0;
+      callers[i].remote_demand = 0;
     }
-  forget_sources (limits);
+  clear_sources (limits);
   free (limits->callers);
   limits->callers = callers;
   limits->caller_count = count;
@@ -147,14 +146,14 @@
 static void
 decay (struct caller *caller, int64_t now)
 {
-  if (now <= caller->asked)
+  if (now <= caller->decayed)
     return;
-  caller->demand *= exp ((double)(caller->asked - now) / DEMAND_SPAN_MS);
-  caller->asked = now;
+  caller->demand *= exp ((double)(caller->decayed - now) / DEMAND_DECAY_MS);
+  caller->decayed = now;
 }
 
 static int
-home_zones (const marjoram_config *config, int region)
+count_home_zones (const marjoram_config *config, int region)
 {
   int zones = marjoram_config_zone_count (config);
   int count = 0;
@@ -164,92 +163,93 @@
   return count;
 }
 
-/* The part of the rate that ZONE may always use.  Those of all zones add up to
-   one.  */
+/* Fraction of the rate that ZONE may always use.  The fractions of all zones
+   add up to one.  */
 static double
-fixed_part (const marjoram_limits *limits,
-            const struct marjoram_caller *caller, int zone, int at_home)
+fixed_fraction (const marjoram_limits *limits,
+                const struct marjoram_caller *caller, int zone, int home_zones)
 {
   int zones = limits->zone_count;
 
-  if (at_home == 0 || at_home == zones)
+  if (home_zones == 0 || home_zones == zones)
     return 1.0 / zones;
   if (marjoram_config_zone (limits->config, zone)->region == caller->home)
-    return HOME_PART / at_home;
-  return (1 - HOME_PART) / (zones - at_home);
+    return HOME_REGION_FRACTION / home_zones;
+  return (1 - HOME_REGION_FRACTION) / (zones - home_zones);
 }
 
 static double
-zone_part (const marjoram_limits *limits, const struct marjoram_caller *caller,
-           double here, double elsewhere, int64_t now)
+zone_fraction (const marjoram_limits *limits,
+               const struct marjoram_caller *caller, double zone_demand,
+               double remote_demand, int64_t now)
 {
-  int at_home = home_zones (limits->config, caller->home);
-  double floor = caller->rate * DEMAND_FLOOR;
+  int home_zones = count_home_zones (limits->config, caller->home);
+  double min_demand = caller->rate * MIN_DEMAND_FRACTION;
   double available = 1;
-  int heard = 0;
+  int reporting = 0;
 
   for (int i = 0; i < limits->zone_count; i++)
     {
       if (i == limits->zone)
         continue;
-      if (limits->zones[i].heard
-          && now < limits->zones[i].heard + ZONE_SILENT_MS)
-        heard++;
+      if (limits->zones[i].received
+          && now < limits->zones[i].received + ZONE_REPORT_TIMEOUT_MS)
+        reporting++;
       else
-        /* Stops both sides of a cut from taking the whole limit each: what
-           can't be heard keeps its fixed part.  */
-        available -= fixed_part (limits, caller, i, at_home);
+        /* Reserves the fixed part of zones that cannot be heard, so that the
+           sides of a partition cannot each use the whole limit.  */
+        available -= fixed_fraction (limits, caller, i, home_zones);
     }
-  here += floor;
-  elsewhere += floor * heard;
-  return available * here / (here + elsewhere);
+  zone_demand += min_demand;
+  remote_demand += min_demand * reporting;
+  return available * zone_demand / (zone_demand + remote_demand);
 }
 
-/* A host that is alive but has not reported counts as if it were asked as much
-   as this one, which gives equal shares.  */
+/* A live host without a report is assumed to have the same demand as this one,
+   which yields equal shares.  */
 static double
-host_part (const marjoram_limits *limits, const struct caller *caller,
-           double floor, int hosts, int64_t now)
+host_fraction (const marjoram_limits *limits, const struct caller *caller,
+               double min_demand, int hosts, int64_t now)
 {
-  double own = caller->demand + floor;
-  double others = caller->near_by;
-  int heard = 0;
+  double own = caller->demand + min_demand;
+  double others = caller->peer_demand;
+  int reporting = 0;
 
   for (int i = 0; i < MARJORAM_MEMBER_SLOTS_MAX; i++)
-    if (i != limits->self && limits->hosts[i].heard
-        && now < limits->hosts[i].heard + HOST_SILENT_MS)
-      heard++;
-  others += floor * heard;
-  if (hosts - 1 > heard)
-    others += own * (hosts - 1 - heard);
+    if (i != limits->self && limits->hosts[i].received
+        && now < limits->hosts[i].received + HOST_REPORT_TIMEOUT_MS)
+      reporting++;
+  others += min_demand * reporting;
+  if (hosts - 1 > reporting)
+    others += own * (hosts - 1 - reporting);
   return own / (own + others);
 }
 
-static void remove_uses (marjoram_limits *limits, struct source *source,
-                         bool own_zone);
+static void remove_reports (marjoram_limits *limits, struct source *source,
+                            bool own_zone);
 
 static void
 expire_sources (marjoram_limits *limits, int64_t now)
 {
   for (int i = 0; i < MARJORAM_MEMBER_SLOTS_MAX; i++)
-    if (limits->hosts[i].heard
-        && now >= limits->hosts[i].heard + HOST_SILENT_MS)
-      remove_uses (limits, &limits->hosts[i], true);
+    if (limits->hosts[i].received
+        && now >= limits->hosts[i].received + HOST_REPORT_TIMEOUT_MS)
+      remove_reports (limits, &limits->hosts[i], true);
   for (int i = 0; i < limits->zone_count; i++)
-    if (limits->zones[i].heard
-        && now >= limits->zones[i].heard + ZONE_SILENT_MS)
-      remove_uses (limits, &limits->zones[i], false);
+    if (limits->zones[i].received
+        && now >= limits->zones[i].received + ZONE_REPORT_TIMEOUT_MS)
+      remove_reports (limits, &limits->zones[i], false);
 }
 
 static double
-share (const marjoram_limits *limits, const struct caller *caller,
-       const struct marjoram_caller *rule, int hosts, int64_t now)
+caller_fraction (const marjoram_limits *limits, const struct caller *caller,
+                 const struct marjoram_caller *rule, int hosts, int64_t now)
 {
-  double floor = rule->rate * DEMAND_FLOOR;
+  double min_demand = rule->rate * MIN_DEMAND_FRACTION;
 
-  return zone_part (limits, rule, caller->demand + caller->near_by,
-                    caller->elsewhere, now)
-         * host_part (limits, caller, floor, hosts, now);
+  return zone_fraction (limits, rule, caller->demand + caller->peer_demand,
+                        caller->remote_demand, now)
+         * host_fraction (limits, caller, min_demand, hosts, now);
 }
 
 enum marjoram_reason
@@ -259,23 +259,23 @@
   const struct marjoram_caller *rule
       = marjoram_config_caller (limits->config, caller);
   struct caller *state = &limits->callers[caller];
-  double part;
+  double fraction;
   double rate;
   double burst;
   double retry;
 
   expire_sources (limits, now);
   decay (state, now);
-  state->demand += 1000 / DEMAND_SPAN_MS;
-  part = share (limits, state, rule, hosts, now);
-  rate = rule->rate * part;
-  burst = fmax (1, rule->burst * part);
+  state->demand += 1000 / DEMAND_DECAY_MS;
+  fraction = caller_fraction (limits, state, rule, hosts, now);
+  rate = rule->rate * fraction;
+  burst = fmax (1, rule->burst * fraction);
   if (state->tokens < 0)
     state->tokens = burst;
   else
-    state->tokens += rate * (double)(now - state->filled) / 1000;
+    state->tokens += rate * (double)(now - state->refilled) / 1000;
   state->tokens = fmin (state->tokens, burst);
-  state->filled = now;
+  state->refilled = now;
   if (state->tokens >= 1)
     {
       state->tokens--;
@@ -303,8 +303,8 @@
       double rate;
 
       decay (caller, now);
-      rate = caller->demand + (own_zone ? 0 : caller->near_by);
-      if (rate < rule->rate * REPORT_FLOOR)
+      rate = caller->demand + (own_zone ? 0 : caller->peer_demand);
+      if (rate < rule->rate * MIN_REPORTED_FRACTION)
         continue;
       items[count].caller = marjoram_strdup (rule->name);
       items[count].rate = (uint64_t)(rate * 1000);
@@ -315,33 +315,34 @@
 }
 
 static void
-add_uses (marjoram_limits *limits, const struct source *source, bool own_zone,
-          double sign)
+add_reports (marjoram_limits *limits, const struct source *source,
+             bool own_zone, double sign)
 {
   for (size_t i = 0; i < source->count; i++)
     {
-      struct caller *caller = &limits->callers[source->uses[i].caller];
-      double *sum = own_zone ? &caller->near_by : &caller->elsewhere;
+      struct caller *caller = &limits->callers[source->reports[i].caller];
+      double *sum = own_zone ? &caller->peer_demand : &caller->remote_demand;
 
-      *sum = fmax (0, *sum + sign * source->uses[i].rate);
+      *sum = fmax (0, *sum + sign * source->reports[i].rate);
     }
 }
 
 static void
-remove_uses (marjoram_limits *limits, struct source *source, bool own_zone)
+remove_reports (marjoram_limits *limits, struct source *source, bool own_zone)
 {
-  add_uses (limits, source, own_zone, -1);
-  free (source->uses);
+  add_reports (limits, source, own_zone, -1);
+  free (source->reports);
   *source = (struct source){ 0 };
 }
 
 static void
-set_uses (marjoram_limits *limits, struct source *source,
-          const struct marjoram_array *usages)
+set_reports (marjoram_limits *limits, struct source *source,
+             const struct marjoram_array *usages)
 {
   const struct marjoram_usage *items = usages->items;
 
-  source->uses = marjoram_alloc ((usages->count + 1) * sizeof *source->uses);
+  source->reports
+      = marjoram_alloc ((usages->count + 1) * sizeof *source->reports);
   for (size_t i = 0; i < usages->count; i++)
     {
       int caller = items[i].caller ? marjoram_config_find_caller_name (
@@ -349,8 +350,8 @@
                                    : -1;
 
       if (caller >= 0)
-        source->uses[source->count++]
-            = (struct use){ caller, (double)items[i].rate / 1000 };
+        source->reports[source->count++]
+            = (struct demand_report){ caller, (double)items[i].rate / 1000 };
     }
 }
 
@@ -368,8 +369,8 @@
           || ordinal == limits->self))
     return;
   source = own_zone ? &limits->hosts[ordinal] : &limits->zones[zone];
-  remove_uses (limits, source, own_zone);
-  source->heard = now > 0 ? now : 1;
-  set_uses (limits, source, usages);
-  add_uses (limits, source, own_zone, 1);
+  remove_reports (limits, source, own_zone);
+  source->received = now > 0 ? now : 1;
+  set_reports (limits, source, usages);
+  add_reports (limits, source, own_zone, 1);
 }
--- a/src/limit.h
+++ b/src/limit.h
@@ -1,8 +1,8 @@
-/* Limits of callers' requests that hold over all entry hosts without a central
-   counter.  A caller's rate is first divided between the zones and then
-   between a zone's hosts, by the use that each reports; who is not heard keeps
-   a fixed part, so that a zone that is cut off has its own part to spend and
-   the parts of all sides add up to the limit.  Pure decisions.  */
+/* Distributed rate limits of callers, without a central counter.  A caller's
+   rate is divided first between zones and then between the hosts of a zone in
+   proportion to reported demand.  A zone that cannot be heard keeps a fixed
+   part, so that the parts on all sides of a partition add up to the limit.
+   Performs no I/O.  */
 #ifndef MARJORAM_LIMIT_H
 #define MARJORAM_LIMIT_H
 
@@ -16,30 +16,31 @@
   MARJORAM_USAGES_MAX = 4096
 };
 
-/* How much a caller asks of a host, or of a whole zone.  */
+/* Demand of a caller on one host or zone.  */
 struct marjoram_usage
 {
   char *caller;
-  uint64_t rate; /* requests in 1000 seconds */
+  uint64_t rate; /* requests per 1000 seconds */
 };
 extern const struct marjoram_layout marjoram_usage_layout;
 
 marjoram_limits *marjoram_limits_create (int self);
-/* Once the configuration tells this host's ordinal.  */
+/* Sets the ordinal of this host once the configuration assigns it.  */
 void marjoram_limits_set_self (marjoram_limits *limits, int self);
 void marjoram_limits_destroy (marjoram_limits *limits);
-/* ZONE is this host's.  Retains CONFIG; what callers have used stays.  */
+/* ZONE is that of this host.  Retains CONFIG; caller state is carried
+   over.  */
 void marjoram_limits_configure (marjoram_limits *limits, int64_t now,
                                 marjoram_config *config, int zone);
-/* HOSTS is the number of this zone's hosts that are alive.  */
+/* HOSTS is the number of live hosts in this zone.  */
 enum marjoram_reason marjoram_limits_admit (marjoram_limits *limits,
                                             int64_t now, int caller, int hosts,
                                             int64_t *retry_ms);
-/* The use to report: this host's to hosts of its own zone, the zone's to those
-   of others.  USAGES is to be cleared by its owner.  */
+/* Fills USAGES with the demand to report: of this host to hosts of its own
+   zone, of the whole zone to others.  The caller clears USAGES.  */
 void marjoram_limits_report (marjoram_limits *limits, int64_t now,
                              bool own_zone, struct marjoram_array *usages);
-/* ORDINAL matters for the own zone only.  */
+/* ORDINAL is only used for the own zone.  */
 void marjoram_limits_learn (marjoram_limits *limits, int64_t now, int zone,
                             int ordinal, const struct marjoram_array *usages);
 
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -1,5 +1,4 @@
-/* Callers' limits over many hosts without a central counter: how much all
-   hosts together let through.  */
+/* Distributed rate limits: how many requests all hosts together admit.  */
 #include "suite.h"
 
 #include "config_spec.h"
@@ -12,26 +11,26 @@
   HOSTS = 3,
   RATE = 30,
   BURST = 30,
-  SPAN_S = 60,
-  WARM_S = 10,
+  DURATION_S = 60,
+  WARM_UP_S = 10,
   SEEDS = 20,
   LINK_MS = 52
 };
 
-/* Three regions of one zone with three hosts each, that report their use every
+/* Three regions of one zone with three hosts each, which report usage every
    second.  */
-struct site
+struct cluster
 {
   marjoram_config *config;
   marjoram_random *random;
   marjoram_limits *hosts[REGIONS][HOSTS];
-  bool cut[REGIONS];
+  bool partitioned[REGIONS];
   bool dead[REGIONS][HOSTS];
-  double loss; /* part of the reports that are lost */
+  double loss; /* fraction of reports lost */
 };
 
 static void
-make_site (struct site *site, uint64_t seed)
+cluster_create (struct cluster *cluster, uint64_t seed)
 {
   const struct config_spec spec = { .regions = REGIONS,
                                     .zones = 1,
@@ -41,40 +40,42 @@
                                     .rate = RATE,
                                     .burst = BURST };
 
-  *site = (struct site){ .config = config_from_spec (&spec) };
-  site->random = marjoram_random_create (seed);
+  *cluster = (struct cluster){ .config = config_from_spec (&spec) };
+  cluster->random = marjoram_random_create (seed);
   for (int i = 0; i < REGIONS; i++)
     for (int j = 0; j < HOSTS; j++)
       {
-        site->hosts[i][j] = marjoram_limits_create (j);
-        marjoram_limits_configure (site->hosts[i][j], 0, site->config, i);
+        cluster->hosts[i][j] = marjoram_limits_create (j);
+        marjoram_limits_configure (cluster->hosts[i][j], 0, cluster->config,
+                                   i);
       }
 }
 
 static void
-free_site (struct site *site)
+cluster_destroy (struct cluster *cluster)
 {
   for (int i = 0; i < REGIONS; i++)
     for (int j = 0; j < HOSTS; j++)
-      marjoram_limits_destroy (site->hosts[i][j]);
-  marjoram_random_destroy (site->random);
-  marjoram_config_release (site->config);
+      marjoram_limits_destroy (cluster->hosts[i][j]);
+  marjoram_random_destroy (cluster->random);
+  marjoram_config_release (cluster->config);
 }
 
 static void
-report (struct site *site, int64_t now, int from_zone, int from)
+report (struct cluster *cluster, int64_t now, int from_zone, int from)
 {
   for (int i = 0; i < REGIONS; i++)
     {
       struct marjoram_array usages;
 
-      if (i != from_zone && (site->cut[i] || site->cut[from_zone]))
+      if (i != from_zone
+          && (cluster->partitioned[i] || cluster->partitioned[from_zone]))
         continue;
-      marjoram_limits_report (site->hosts[from_zone][from], now,
+      marjoram_limits_report (cluster->hosts[from_zone][from], now,
                               i == from_zone, &usages);
       for (int j = 0; j < HOSTS; j++)
-        if (marjoram_random_unit (site->random) >= site->loss)
-          marjoram_limits_learn (site->hosts[i][j], now, from_zone, from,
+        if (marjoram_random_unit (cluster->random) >= cluster->loss)
+          marjoram_limits_learn (cluster->hosts[i][j], now, from_zone, from,
                                  &usages);
       for (size_t j = 0; j < usages.count; j++)
         free (((struct marjoram_usage *)usages.items)[j].caller);
@@ -83,20 +84,20 @@
 }
 
 static int
-alive (const struct site *site, int zone)
+count_live_hosts (const struct cluster *cluster, int zone)
 {
   int count = 0;
 
   for (int i = 0; i < HOSTS; i++)
-    count += !site->dead[zone][i];
+    count += !cluster->dead[zone][i];
   return count;
 }
 
-/* Caller 0, whose home is region 0, asks each host ASKED times a second from
-   FROM_S to TO_S.  Returns how many requests were let through.  */
+/* Sends requests of caller 0, whose home is region 0, at the given rates per
+   host and second from FROM_S to TO_S.  Returns how many were admitted.  */
 static int
-drive (struct site *site, int from_s, int to_s,
-       const double asked[REGIONS][HOSTS])
+send_requests (struct cluster *cluster, int from_s, int to_s,
+               const double request_rates[REGIONS][HOSTS])
 {
   int admitted = 0;
 
@@ -105,19 +106,20 @@
     for (int i = 0; i < REGIONS; i++)
       for (int j = 0; j < HOSTS; j++)
         {
-          double due = asked[i][j] / 100;
-          int requests = (int)due;
-          int turn = (i * HOSTS + j) * 100;
+          double expected = request_rates[i][j] / 100;
+          int requests = (int)expected;
+          int report_offset_ms = (i * HOSTS + j) * 100;
           int64_t retry = 0;
 
-          if (site->dead[i][j])
+          if (cluster->dead[i][j])
             continue;
-          if (now % 1000 == turn)
-            report (site, now, i, j);
-          requests += marjoram_random_unit (site->random) < due - requests;
+          if (now % 1000 == report_offset_ms)
+            report (cluster, now, i, j);
+          requests
+              += marjoram_random_unit (cluster->random) < expected - requests;
           for (int k = 0; k < requests; k++)
-            if (marjoram_limits_admit (site->hosts[i][j], now, 0,
-                                       alive (site, i), &retry)
+            if (marjoram_limits_admit (cluster->hosts[i][j], now, 0,
+                                       count_live_hosts (cluster, i), &retry)
                 == MARJORAM_REASON_NONE)
               admitted++;
             else
@@ -126,106 +128,108 @@
   return admitted;
 }
 
-/* One caller asks 20 times its limit, spread over all entry hosts.  Each host
-   alone sees little; if each allowed the whole limit, nine times the limit
-   would come through and the other callers would wait.  */
+/* Guards against each host admitting the whole limit for a caller that spreads
+   its requests over all hosts.  */
 START_TEST (twenty_times_the_limit)
 {
-  static const double asked[REGIONS][HOSTS]
+  static const double request_rates[REGIONS][HOSTS]
       = { { 67, 67, 67 }, { 67, 67, 67 }, { 67, 67, 67 } };
-  struct site site;
+  struct cluster cluster;
   int admitted;
 
-  make_site (&site, (uint64_t)_i);
-  site.loss = 0.1;
-  admitted = drive (&site, 0, SPAN_S, asked);
-  ck_assert_int_le (admitted, (int)(RATE * SPAN_S * 1.1) + BURST);
-  ck_assert_int_ge (admitted, (int)(RATE * SPAN_S * 0.8));
-  free_site (&site);
+  cluster_create (&cluster, (uint64_t)_i);
+  cluster.loss = 0.1;
+  admitted = send_requests (&cluster, 0, DURATION_S, request_rates);
+  ck_assert_int_le (admitted, (int)(RATE * DURATION_S * 1.1) + BURST);
+  ck_assert_int_ge (admitted, (int)(RATE * DURATION_S * 0.8));
+  cluster_destroy (&cluster);
 }
 END_TEST
 
-/* A caller within its limit asks only one host, or at one moment another: a
-   fixed ninth for each host would refuse most of it.  */
+/* Guards against a fixed split between hosts, which would refuse a caller that
+   uses one host only.  */
 START_TEST (one_host_may_use_nearly_all)
 {
-  static const double here[REGIONS][HOSTS] = { { RATE * 0.8, 0, 0 } };
-  static const double there[REGIONS][HOSTS] = { { 0, 0, RATE * 0.8 } };
-  struct site site;
-
-  make_site (&site, (uint64_t)_i);
-  drive (&site, 0, WARM_S, here);
-  ck_assert_int_ge (drive (&site, WARM_S, WARM_S + 20, here),
-                    (int)(RATE * 0.8 * 20 * 0.9));
-  ck_assert_int_ge (drive (&site, WARM_S + 20, WARM_S + 40, there),
-                    (int)(RATE * 0.8 * 20 * 0.8));
-  free_site (&site);
+  static const double first_host[REGIONS][HOSTS] = { { RATE * 0.8, 0, 0 } };
+  static const double last_host[REGIONS][HOSTS] = { { 0, 0, RATE * 0.8 } };
+  struct cluster cluster;
+
+  cluster_create (&cluster, (uint64_t)_i);
+  send_requests (&cluster, 0, WARM_UP_S, first_host);
+  ck_assert_int_ge (
+      send_requests (&cluster, WARM_UP_S, WARM_UP_S + 20, first_host),
+      (int)(RATE * 0.8 * 20 * 0.9));
+  ck_assert_int_ge (
+      send_requests (&cluster, WARM_UP_S + 20, WARM_UP_S + 40, last_host),
+      (int)(RATE * 0.8 * 20 * 0.8));
+  cluster_destroy (&cluster);
 }
 END_TEST
 
-/* Two regions are cut off from the home of a caller that asks both sides far
-   more than its limit.  If each side took what it can't hear for unused, the
-   caller would get its limit three times.  Home still lets most through.  */
+/* Guards against each side of a partition using the whole limit.  The home
+   region keeps most of it.  */
 START_TEST (parts_hold_when_cut_off)
 {
-  static const double asked[REGIONS][HOSTS]
+  static const double request_rates[REGIONS][HOSTS]
       = { { 67, 67, 67 }, { 67, 67, 67 }, { 67, 67, 67 } };
-  static const double home[REGIONS][HOSTS] = { { RATE * 0.7, 0, 0 } };
-  struct site site;
+  static const double home_rates[REGIONS][HOSTS] = { { RATE * 0.7, 0, 0 } };
+  struct cluster cluster;
   int admitted;
 
-  make_site (&site, (uint64_t)_i);
-  drive (&site, 0, WARM_S, asked);
-  site.cut[0] = site.cut[1] = site.cut[2] = true;
-  drive (&site, WARM_S, 2 * WARM_S, asked);
-  admitted = drive (&site, 2 * WARM_S, 2 * WARM_S + SPAN_S, asked);
-  ck_assert_int_le (admitted, (int)(RATE * SPAN_S * 1.1));
-  drive (&site, 100, 110, home);
-  ck_assert_int_ge (drive (&site, 110, 130, home),
+  cluster_create (&cluster, (uint64_t)_i);
+  send_requests (&cluster, 0, WARM_UP_S, request_rates);
+  cluster.partitioned[0] = cluster.partitioned[1] = cluster.partitioned[2]
+      = true;
+  send_requests (&cluster, WARM_UP_S, 2 * WARM_UP_S, request_rates);
+  admitted = send_requests (&cluster, 2 * WARM_UP_S,
+                            2 * WARM_UP_S + DURATION_S, request_rates);
+  ck_assert_int_le (admitted, (int)(RATE * DURATION_S * 1.1));
+  send_requests (&cluster, 100, 110, home_rates);
+  ck_assert_int_ge (send_requests (&cluster, 110, 130, home_rates),
                     (int)(RATE * 0.7 * 20 * 0.9));
-  free_site (&site);
+  cluster_destroy (&cluster);
 }
 END_TEST
 
-/* Two of three hosts of a zone die; the caller goes on at the third.  The
-   parts of the dead must not stay reserved.  */
+/* Guards against the share of dead hosts staying reserved.  */
 START_TEST (parts_of_dead_hosts_are_taken_over)
 {
   static const double before[REGIONS][HOSTS] = { { 9, 9, 9 } };
   static const double after[REGIONS][HOSTS] = { { 0, 0, RATE * 0.8 } };
-  struct site site;
-
-  make_site (&site, (uint64_t)_i);
-  drive (&site, 0, WARM_S, before);
-  site.dead[0][0] = site.dead[0][1] = true;
-  drive (&site, WARM_S, 2 * WARM_S, after);
-  ck_assert_int_ge (drive (&site, 2 * WARM_S, 2 * WARM_S + 20, after),
-                    (int)(RATE * 0.8 * 20 * 0.9));
-  free_site (&site);
+  struct cluster cluster;
+
+  cluster_create (&cluster, (uint64_t)_i);
+  send_requests (&cluster, 0, WARM_UP_S, before);
+  cluster.dead[0][0] = cluster.dead[0][1] = true;
+  send_requests (&cluster, WARM_UP_S, 2 * WARM_UP_S, after);
+  ck_assert_int_ge (
+      send_requests (&cluster, 2 * WARM_UP_S, 2 * WARM_UP_S + 20, after),
+      (int)(RATE * 0.8 * 20 * 0.9));
+  cluster_destroy (&cluster);
 }
 END_TEST
 
-/* A configuration that is applied every second must not give a caller its
-   burst anew each time.  */
+/* Guards against a configuration update refilling a caller's burst.  */
 START_TEST (configuration_keeps_what_was_used)
 {
-  struct site site;
+  struct cluster cluster;
   marjoram_limits *limits;
   int64_t retry;
   int admitted = 0;
 
-  make_site (&site, 1);
-  limits = site.hosts[0][0];
+  cluster_create (&cluster, 1);
+  limits = cluster.hosts[0][0];
   for (int64_t now = 0; now < 10000; now += 10)
     {
       if (now % 1000 == 0)
-        marjoram_limits_configure (limits, now, site.config, 0);
+        marjoram_limits_configure (limits, now, cluster.config, 0);
       admitted += marjoram_limits_admit (limits, now, 0, HOSTS, &retry)
                   == MARJORAM_REASON_NONE;
     }
-  /* Its zone's part is 0.8 while it hears no other, its own a third of it.  */
+  /* The zone's fraction is 0.8 while it hears no other, and the host's a third
+     of that.  */
   ck_assert_int_le (admitted, (RATE * 10 + BURST) * 3 / 10);
-  free_site (&site);
+  cluster_destroy (&cluster);
 }
 END_TEST
 
