--- a/src/member.c
+++ b/src/member.c
@@ -9,14 +9,15 @@
 enum
 {
   ADDRESS_MAX = 64,
-  /* An expired upstream is remembered this long, so that an old announcement
-     that still travels between hosts is known as stale.  */
-  FORGET_MS = 10 * 60 * 1000,
+  /* Retention of expired upstreams, so that delayed announcements are
+     recognized as stale.  */
+  EXPIRED_RETENTION_MS = 10 * 60 * 1000,
   EJECT_FAILURES = 3,
   EJECT_MS = 2000,
   EJECT_DOUBLINGS = 5,
-  /* At most one in so many of the upstreams of a work is out at a time.  */
-  EJECT_PART = 3
+  /* Inverse of the maximum fraction of a work's upstreams that may be
+     ejected.  */
+  EJECT_MAX_INVERSE = 3
 };
 
 static const struct marjoram_field work_name_fields[] = {
@@ -57,7 +58,7 @@
 {
   struct marjoram_upstream view;
   struct marjoram_announcement announcement;
-  bool told_expired;
+  bool expiry_reported;
   UT_hash_handle hh;
 };
 
@@ -66,7 +67,7 @@
   bool heard;
   bool draining;
   uint64_t incarnation;
-  int64_t last;
+  int64_t last_heartbeat;
 };
 
 struct marjoram_members
@@ -93,11 +94,11 @@
 }
 
 static void
-drop (marjoram_members *members, size_t index)
+remove_member (marjoram_members *members, size_t index)
 {
   struct member *member = members->list[index];
 
-  /* uthash's macro misleads the analyzer.  */
+  /* The uthash macro confuses the analyzer.  */
   HASH_DEL (members->by_name, member); /* NOLINT(clang-analyzer-core.*) */
   members->list[index] = members->list[--members->count];
   members->generation++;
@@ -111,7 +112,7 @@
   if (!members)
     return;
   while (members->count > 0)
-    drop (members, members->count - 1);
+    remove_member (members, members->count - 1);
   free (members->list);
   free (members->zone);
   free (members);
@@ -136,11 +137,11 @@
 }
 
 static struct member *
-lookup (const marjoram_members *members, const char *name)
+find_member (const marjoram_members *members, const char *name)
 {
   struct member *member;
 
-  /* Names come from other hosts, too.  */
+  /* Names received from other hosts may be missing.  */
   if (!name)
     return NULL;
   HASH_FIND_STR (members->by_name, name, member);
@@ -187,8 +188,8 @@
 }
 
 static struct member *
-add (marjoram_members *members, int64_t now,
-     const struct marjoram_announcement *announcement)
+add_member (marjoram_members *members, int64_t now,
+            const struct marjoram_announcement *announcement)
 {
   struct member *member = marjoram_alloc (sizeof *member);
   size_t size;
@@ -201,7 +202,7 @@
   if (members->count == members->capacity)
     {
       members->capacity = members->capacity ? 2 * members->capacity : 16;
-      /* NOLINTNEXTLINE(bugprone-sizeof-expression): a list of pointers.  */
+      /* NOLINTNEXTLINE(bugprone-sizeof-expression): an array of pointers.  */
       size = members->capacity * sizeof *members->list;
       members->list = realloc (members->list, size);
       if (!members->list)
@@ -212,11 +213,10 @@
   return member;
 }
 
-/* Stops two things.  An announcement that was delayed between hosts would
-   bring back an upstream that has left or restarted since: incarnation and
-   sequence tell the order.  And a renewal that overtook the leave, or comes
-   from an upstream that does not know that it leaves, would give it new work:
-   a leave holds for its whole incarnation, in whichever order it comes.  */
+/* Incarnation and sequence keep a delayed announcement from bringing back an
+   upstream that has left or restarted.  Leaving is final for an incarnation,
+   so that a renewal that arrives out of order does not attract new
+   requests.  */
 static bool
 is_stale (const struct member *member,
           const struct marjoram_announcement *announcement)
@@ -231,21 +231,21 @@
 }
 
 static int64_t
-lease_of (const struct marjoram_announcement *announcement, bool learnt)
+lease_duration (const struct marjoram_announcement *announcement, bool learnt)
 {
   uint64_t lease = announcement->lease_ms;
 
   if (lease > MARJORAM_LEASE_MAX_MS)
     return MARJORAM_LEASE_MAX_MS;
-  /* What another host passes on is the rest of a lease and stays as short as
-     it is.  */
+  /* A relayed lease is the remainder of the original and must not be
+     extended.  */
   if (!learnt && lease < MARJORAM_LEASE_MIN_MS)
     return MARJORAM_LEASE_MIN_MS;
   return (int64_t)lease;
 }
 
 static void
-restart (struct member *member, int64_t now)
+reset_health (struct member *member, int64_t now)
 {
   member->view.since = now;
   member->view.failures = 0;
@@ -254,8 +254,8 @@
 }
 
 static void
-replace (marjoram_members *members, int64_t now, struct member *member,
-         const struct marjoram_announcement *announcement)
+update_member (marjoram_members *members, int64_t now, struct member *member,
+               const struct marjoram_announcement *announcement)
 {
   struct marjoram_announcement old = member->announcement;
 
@@ -263,12 +263,12 @@
     members->generation++;
   if (old.incarnation != announcement->incarnation
       || now >= member->view.expires || member->view.dead)
-    restart (member, now);
+    reset_health (member, now);
   copy_announcement (&member->announcement, announcement);
   if (old.incarnation == announcement->incarnation
       && old.sequence > member->announcement.sequence)
     member->announcement.sequence = old.sequence;
-  /* The hash refers to the name's bytes.  */
+  /* The hash table key points to the name.  */
   free (member->announcement.name);
   member->announcement.name = old.name;
   old.name = NULL;
@@ -286,22 +286,22 @@
   if (!announcement->name || !announcement->zone
       || strcmp (announcement->zone, members->zone) != 0)
     return MARJORAM_ANNOUNCE_WRONG_ZONE;
-  member = lookup (members, announcement->name);
+  member = find_member (members, announcement->name);
   if (member && is_stale (member, announcement))
     return MARJORAM_ANNOUNCE_STALE;
   is_new = !member
            || member->announcement.incarnation != announcement->incarnation
            || announcement->leaving;
   if (member)
-    replace (members, now, member, announcement);
+    update_member (members, now, member, announcement);
   else
-    member = add (members, now, announcement);
-  member->view.expires = now + lease_of (announcement, learnt);
+    member = add_member (members, now, announcement);
+  member->view.expires = now + lease_duration (announcement, learnt);
   member->view.reported = now;
   member->view.started = 0;
   member->view.finished = 0;
   member->view.dead = false;
-  member->told_expired = false;
+  member->expiry_reported = false;
   return is_new ? MARJORAM_ANNOUNCE_NEW : MARJORAM_ANNOUNCE_RENEWED;
 }
 
@@ -309,7 +309,7 @@
 marjoram_members_find (const marjoram_members *members, int64_t now,
                        const char *name)
 {
-  const struct member *member = lookup (members, name);
+  const struct member *member = find_member (members, name);
 
   if (!member || member->announcement.leaving || member->view.dead
       || now >= member->view.expires)
@@ -360,7 +360,7 @@
 void
 marjoram_members_started (marjoram_members *members, const char *name)
 {
-  struct member *member = lookup (members, name);
+  struct member *member = find_member (members, name);
 
   if (!member)
     return;
@@ -372,7 +372,7 @@
 marjoram_members_ended (marjoram_members *members, int64_t now,
                         const char *name, bool failed)
 {
-  struct member *member = lookup (members, name);
+  struct member *member = find_member (members, name);
 
   if (!member)
     return;
@@ -391,7 +391,7 @@
 }
 
 static bool
-share_work (const struct member *a, const struct member *b)
+have_common_work (const struct member *a, const struct member *b)
 {
   const struct marjoram_work_name *x = a->announcement.works.items;
   const struct marjoram_work_name *y = b->announcement.works.items;
@@ -407,7 +407,7 @@
 marjoram_members_eject (marjoram_members *members, int64_t now,
                         const char *name)
 {
-  struct member *member = lookup (members, name);
+  struct member *member = find_member (members, name);
   unsigned doublings;
   size_t alive = 0;
   size_t out = 0;
@@ -419,16 +419,16 @@
       const struct member *other = members->list[i];
 
       if (other->announcement.leaving || now >= other->view.expires
-          || !share_work (member, other))
+          || !have_common_work (member, other))
         continue;
       alive++;
       if (other != member
           && (other->view.dead || now < other->view.ejected_until))
         out++;
     }
-  /* Stops the ejection of nearly all when a fault hits every replica: the
-     last ones would break down under the load of the others.  */
-  if ((out + 1) * EJECT_PART > alive)
+  /* Keeps some replicas in service when a fault affects all of them: the
+     remaining ones would be overloaded.  */
+  if ((out + 1) * EJECT_MAX_INVERSE > alive)
     return false;
   doublings = member->view.ejections < EJECT_DOUBLINGS ? member->view.ejections
                                                        : EJECT_DOUBLINGS;
@@ -442,7 +442,7 @@
 marjoram_members_died (marjoram_members *members, int64_t now,
                        const char *name)
 {
-  struct member *member = lookup (members, name);
+  struct member *member = find_member (members, name);
 
   (void)now;
   if (member)
@@ -460,15 +460,15 @@
 
       if (now < member->view.expires)
         continue;
-      if (!member->told_expired)
+      if (!member->expiry_reported)
         {
-          member->told_expired = true;
+          member->expiry_reported = true;
           if (expired)
             expired (context, member->announcement.name);
         }
-      if (now >= member->view.expires + FORGET_MS
+      if (now >= member->view.expires + EXPIRED_RETENTION_MS
           && member->view.in_flight == 0)
-        drop (members, i);
+        remove_member (members, i);
     }
 }
 
@@ -486,7 +486,7 @@
   host->heard = true;
   host->incarnation = incarnation;
   host->draining = draining;
-  host->last = now;
+  host->last_heartbeat = now;
 }
 
 bool
@@ -498,7 +498,8 @@
   if (ordinal == members->self)
     return true;
   return members->hosts[ordinal].heard
-         && now < members->hosts[ordinal].last + MARJORAM_HOST_SILENT_MS;
+         && now < members->hosts[ordinal].last_heartbeat
+                      + MARJORAM_HOST_SILENT_MS;
 }
 
 bool
--- a/src/member.h
+++ b/src/member.h
@@ -1,6 +1,6 @@
-/* Members of one availability zone: its entry hosts, as heard of by their
-   heartbeats, and its upstreams, which announce themselves to any of its hosts
-   and are spread to the others.  Pure decisions.  */
+/* Membership of one availability zone: its entry hosts, tracked by heartbeats,
+   and its upstreams, which announce themselves to any host of the zone and are
+   propagated to the others.  Performs no I/O.  */
 #ifndef MARJORAM_MEMBER_H
 #define MARJORAM_MEMBER_H
 
@@ -16,29 +16,29 @@
   MARJORAM_MEMBER_SLOTS_MAX = 64,
   MARJORAM_LEASE_MIN_MS = 1000,
   MARJORAM_LEASE_MAX_MS = 60000,
-  /* A host whose heartbeats stop is taken as gone after this time.  */
+  /* A host is considered down if no heartbeat arrives for this long.  */
   MARJORAM_HOST_SILENT_MS = 2000
 };
 
-/* What an upstream says of itself, and what hosts tell each other of it.  */
+/* Self-description of an upstream, also exchanged between hosts.  */
 struct marjoram_announcement
 {
   char *name;
-  uint64_t incarnation; /* the upstream's own, growing with each start */
-  uint64_t sequence;    /* of this incarnation's announcements */
+  uint64_t incarnation; /* set by the upstream; grows with each start */
+  uint64_t sequence;    /* of announcements within the incarnation */
   char *zone;
   char *address; /* IP:port */
-  bool engine;   /* a model engine, else a plain service */
-  bool fences;   /* refuses orders with an old fencing number */
+  bool engine;   /* a model engine rather than a plain service */
+  bool fences;   /* rejects orders with a stale fencing token */
   bool leaving;
-  uint64_t slots; /* requests that it runs at once */
+  uint64_t slots; /* maximum concurrent requests */
   uint64_t lease_ms;
-  uint64_t running; /* reported load, lagging */
+  uint64_t running; /* last reported load */
   uint64_t waiting;
-  struct marjoram_array works; /* of struct marjoram_work_name */
-  uint64_t heard_by;           /* ordinal of the host that it announced to */
+  struct marjoram_array works;    /* of struct marjoram_work_name */
+  uint64_t heard_by;              /* ordinal of the host that received it */
   struct marjoram_array loadable; /* of struct marjoram_work_name: models that
-                                     it could load on order */
+                                     it can load on order */
 };
 
 struct marjoram_work_name
@@ -50,87 +50,87 @@
 
 enum marjoram_announce_result
 {
-  MARJORAM_ANNOUNCE_NEW,       /* spread it */
-  MARJORAM_ANNOUNCE_RENEWED,   /* spread it with the next batch */
+  MARJORAM_ANNOUNCE_NEW,       /* propagate at once */
+  MARJORAM_ANNOUNCE_RENEWED,   /* propagate with the next batch */
   MARJORAM_ANNOUNCE_STALE,     /* older incarnation or sequence */
-  MARJORAM_ANNOUNCE_WRONG_ZONE /* not this host's zone */
+  MARJORAM_ANNOUNCE_WRONG_ZONE /* belongs to another zone */
 };
 
-/* An upstream as known here.  The pointer stays valid as long as
-   marjoram_members_generation is the same.  */
+/* An upstream as known to this host.  The pointer is valid while
+   marjoram_members_generation is unchanged.  */
 struct marjoram_upstream
 {
   const struct marjoram_announcement *announcement;
-  int64_t expires;    /* lease end by this host's clock */
-  int64_t since;      /* when it was first heard of */
-  int64_t reported;   /* when its load was last reported */
+  int64_t expires;    /* end of the lease by this host's clock */
+  int64_t since;      /* time of its first announcement, or of its return */
+  int64_t reported;   /* time of the last load report */
   unsigned in_flight; /* requests of this host there */
   unsigned started;   /* of this host since the last report */
   unsigned finished;  /* of this host since the last report */
-  unsigned failures;  /* in a row */
-  unsigned ejections; /* since it last worked well */
+  unsigned failures;  /* consecutive */
+  unsigned ejections; /* since its last restart */
   int64_t ejected_until;
-  bool dead; /* found dead, and not heard of since */
+  bool dead; /* detected as dead, and no announcement since */
 };
 
 marjoram_members *marjoram_members_create (const char *zone, int self);
 void marjoram_members_destroy (marjoram_members *members);
-/* Once the configuration tells this host's ordinal; -1 before.  */
+/* Sets the ordinal of this host once the configuration assigns it; -1
+   before.  */
 void marjoram_members_set_self (marjoram_members *members, int self);
-/* The ordinal, and the zone that it was created with.  */
 int marjoram_members_self (const marjoram_members *members);
 const char *marjoram_members_zone (const marjoram_members *members);
 
-/* From the upstream itself or, if LEARNT, from another host of the zone.  The
-   lease runs from NOW by this host's clock.  */
+/* Processes an announcement received from the upstream itself or, if LEARNT,
+   from another host of the zone.  The lease starts at NOW by this host's
+   clock.  */
 enum marjoram_announce_result
 marjoram_members_announce (marjoram_members *members, int64_t now,
                            const struct marjoram_announcement *announcement,
                            bool learnt);
-/* Known, but neither leaving, expired nor found dead; null if not.  */
+/* Returns NULL if the upstream is unknown, leaving, expired or dead.  */
 const struct marjoram_upstream *
 marjoram_members_find (const marjoram_members *members, int64_t now,
                        const char *name);
-/* What to tell another host of the zone: OUT borrows the announcement's
-   strings and carries only the rest of the lease, so that passing it on never
-   prolongs it.  False if nothing is to be told of INDEX: expired, and not
+/* Fills OUT with the announcement to relay to another host of the zone.  OUT
+   borrows the strings and holds only the remaining lease, so that relaying
+   cannot extend it.  Returns false if INDEX has expired or is dead, and is not
    leaving.  */
 bool marjoram_members_relay (const marjoram_members *members, int64_t now,
                              size_t index, struct marjoram_announcement *out);
-/* Whether UPSTREAM may get new work.  */
+/* Whether UPSTREAM may receive new requests.  */
 bool marjoram_upstream_usable (const struct marjoram_upstream *upstream,
                                int64_t now);
-/* Grows whenever an index of marjoram_members_at or a list of works changes;
-   for those who keep an index of their own.  */
+/* Changes whenever an index of marjoram_members_at or a list of works changes;
+   used to invalidate derived indexes.  */
 uint64_t marjoram_members_generation (const marjoram_members *members);
-/* All known ones, leaving and expired ones too until they are dropped.  */
+/* Number of known upstreams, including leaving and expired ones.  */
 size_t marjoram_members_count (const marjoram_members *members);
 const struct marjoram_upstream *
 marjoram_members_at (const marjoram_members *members, size_t index);
-/* A request starts or ends at an upstream.  */
+/* Records the start or end of a request at an upstream.  */
 void marjoram_members_started (marjoram_members *members, const char *name);
 void marjoram_members_ended (marjoram_members *members, int64_t now,
                              const char *name, bool failed);
-/* Takes the upstream out for a time that doubles with each repetition.  False,
-   and nothing done, if too many of those that share a work are out already:
-   a slow replica is better than none, and a fault that shows at all of them is
-   not theirs.  */
+/* Ejects the upstream for a time that doubles with each ejection.  Returns
+   false, with no effect, if too many upstreams that share a work are already
+   ejected or dead: a fault that all replicas show is unlikely to be their
+   own.  */
 bool marjoram_members_eject (marjoram_members *members, int64_t now,
                              const char *name);
-/* The upstream was found dead: no new work until it announces itself with a
-   newer incarnation or a later sequence.  */
+/* Marks the upstream as dead until a newer incarnation or a later sequence is
+   announced.  */
 void marjoram_members_died (marjoram_members *members, int64_t now,
                             const char *name);
-/* Drops what is long expired.  EXPIRED is called for each upstream whose lease
-   has just run out.  */
+/* Removes long-expired upstreams, and calls EXPIRED for each upstream whose
+   lease has just ended.  */
 void marjoram_members_tick (marjoram_members *members, int64_t now,
                             void (*expired) (void *context, const char *name),
                             void *context);
 
-/* Entry hosts of the zone, this one included, that are heard and not
-   draining.  */
+/* Number of live entry hosts that are not draining, including this one.  */
 int marjoram_members_hosts (const marjoram_members *members, int64_t now);
-/* Entry hosts of the zone: a heartbeat was heard.  */
+/* Records a heartbeat of an entry host.  */
 void marjoram_members_heard (marjoram_members *members, int64_t now,
                              int ordinal, uint64_t incarnation, bool draining);
 bool marjoram_members_host_alive (const marjoram_members *members, int64_t now,
--- a/test/test_member.c
+++ b/test/test_member.c
@@ -1,5 +1,5 @@
-/* Members of a zone: leases, the order of announcements, leaving, death,
-   ejection, heartbeats of hosts.  */
+/* Zone membership: leases, ordering of announcements, leaving, death,
+   ejection, host heartbeats.  */
 #include "suite.h"
 
 #include "bytes.h"
@@ -28,7 +28,8 @@
   marjoram_members_destroy (members);
 }
 
-static struct marjoram_work_name summary[] = { { (char *)"shift-summary" } };
+static struct marjoram_work_name summary_work[]
+    = { { (char *)"shift-summary" } };
 
 static struct marjoram_announcement
 announcement (const char *name, uint64_t incarnation, uint64_t sequence)
@@ -42,7 +43,7 @@
     .engine = true,
     .slots = 8,
     .lease_ms = LEASE_MS,
-    .works = { summary, 1 },
+    .works = { summary_work, 1 },
   };
 }
 
@@ -63,10 +64,10 @@
 }
 
 static bool
-usable (const marjoram_members *at, int64_t now, const char *name)
+usable (const marjoram_members *members_of_host, int64_t now, const char *name)
 {
   const struct marjoram_upstream *upstream
-      = marjoram_members_find (at, now, name);
+      = marjoram_members_find (members_of_host, now, name);
 
   return upstream && marjoram_upstream_usable (upstream, now);
 }
@@ -83,21 +84,21 @@
     { 4, 9, MARJORAM_ANNOUNCE_STALE },   { 6, 1, MARJORAM_ANNOUNCE_NEW },
     { 5, 8, MARJORAM_ANNOUNCE_STALE },   { 6, 2, MARJORAM_ANNOUNCE_RENEWED },
   };
-  struct marjoram_announcement elsewhere = announcement ("lm-1", 9, 9);
+  struct marjoram_announcement other_zone = announcement ("lm-1", 9, 9);
 
   for (size_t i = 0; i < sizeof steps / sizeof *steps; i++)
     ck_assert_int_eq (
         announce ((int64_t)i, steps[i].incarnation, steps[i].sequence),
         steps[i].result);
-  elsewhere.zone = (char *)"ko-1";
-  ck_assert_int_eq (marjoram_members_announce (members, 9, &elsewhere, false),
+  other_zone.zone = (char *)"ko-1";
+  ck_assert_int_eq (marjoram_members_announce (members, 9, &other_zone, false),
                     MARJORAM_ANNOUNCE_WRONG_ZONE);
   ck_assert_uint_eq (marjoram_members_count (members), 1);
 }
 END_TEST
 
-/* Twice the same announcement, or an old one, must not keep an upstream alive
-   that was killed: its lease runs from the last one that was new.  */
+/* Guards against repeated or stale announcements extending the lease of a dead
+   upstream.  */
 START_TEST (lease_is_not_prolonged_by_repetition)
 {
   announce (0, 1, 1);
@@ -135,9 +136,8 @@
 }
 END_TEST
 
-/* An engine says that it leaves, its last renewal was under way by another
-   host and arrives after that.  A user would see requests go to an engine that
-   is shutting down, and fail.  */
+/* Guards against a delayed renewal attracting requests to an engine that is
+   leaving.  */
 START_TEST (leave_holds_whatever_comes_late)
 {
   announce (0, 1, 7);
@@ -151,7 +151,7 @@
 }
 END_TEST
 
-/* What host FROM knows goes to host TO, as when their link comes up.  */
+/* Relays everything FROM knows to TO, as when a link comes up.  */
 static void
 relay_all (const marjoram_members *from, marjoram_members *to, int64_t now)
 {
@@ -164,29 +164,28 @@
     }
 }
 
-/* An engine leaves and reaches one host only, whose zone is cut in two; the
-   other host still has its announcement.  New work must end within the lease
-   of 3 s there, also if hosts pass the announcement on to each other all the
-   time, and at once when the cut heals.  */
+/* A leave that reached only one side of a partition: the other side stops
+   using the upstream when the lease ends, even if its hosts relay the
+   announcement to each other, and at once when the partition heals.  */
 START_TEST (leave_that_reached_one_host)
 {
   marjoram_members *cut_off = marjoram_members_create ("ba-1", 1);
   marjoram_members *third = marjoram_members_create ("ba-1", 2);
-  marjoram_members *told = members;
+  marjoram_members *notified = members;
 
-  announce_to (told, 0, "lm-1", 1, 1, false);
-  relay_all (told, cut_off, 100);
-  announce_to (told, 200, "lm-1", 1, 2, true);
+  announce_to (notified, 0, "lm-1", 1, 1, false);
+  relay_all (notified, cut_off, 100);
+  announce_to (notified, 200, "lm-1", 1, 2, true);
   for (int64_t now = 200; now < LEASE_MS; now += 100)
     {
-      ck_assert (!usable (told, now, "lm-1"));
+      ck_assert (!usable (notified, now, "lm-1"));
       ck_assert (usable (cut_off, now, "lm-1"));
       relay_all (cut_off, third, now);
       relay_all (third, cut_off, now);
     }
   ck_assert (!usable (cut_off, LEASE_MS, "lm-1"));
   ck_assert (!usable (third, LEASE_MS, "lm-1"));
-  relay_all (told, third, LEASE_MS);
+  relay_all (notified, third, LEASE_MS);
   ck_assert_int_eq (announce_to (third, LEASE_MS + 1, "lm-1", 1, 3, false),
                     MARJORAM_ANNOUNCE_STALE);
   marjoram_members_destroy (cut_off);
@@ -194,8 +193,7 @@
 }
 END_TEST
 
-/* An engine is killed and a host sees its connections break.  Its lease would
-   run on for seconds, and each request sent there would fail.  */
+/* Guards against sending requests to a dead engine until its lease ends.  */
 START_TEST (dead_gets_nothing_until_it_is_heard_anew)
 {
   announce (0, 1, 5);
@@ -205,17 +203,16 @@
   ck_assert (!usable (members, 201, "lm-1"));
   announce (300, 1, 6);
   ck_assert (usable (members, 301, "lm-1"));
-  /* It counts as returned, so that its load grows slowly.  */
+  /* It counts as restarted, so that its load grows slowly.  */
   ck_assert_int_eq (marjoram_members_find (members, 301, "lm-1")->since, 300);
 }
 END_TEST
 
-/* Every replica fails alike, for example on one kind of request.  Taking all
-   of them out would turn a fault of some requests into an outage.  */
+/* Guards against ejecting all replicas when they fail alike.  */
 START_TEST (ejects_a_third_at_most)
 {
   char name[16];
-  int out = 0;
+  int ejected = 0;
 
   for (int i = 0; i < 9; i++)
     {
@@ -230,8 +227,9 @@
         marjoram_members_ended (members, 10, name, true);
       }
   for (size_t i = 0; i < marjoram_members_count (members); i++)
-    out += !marjoram_upstream_usable (marjoram_members_at (members, i), 11);
-  ck_assert_int_eq (out, 3);
+    ejected
+        += !marjoram_upstream_usable (marjoram_members_at (members, i), 11);
+  ck_assert_int_eq (ejected, 3);
   ck_assert (usable (members, 2500, "lm-0"));
 }
 END_TEST
