--- a/src/report.c
+++ b/src/report.c
@@ -18,11 +18,11 @@
     return "draining";
   if (view.alive)
     return "up";
-  /* Hosts that this one keeps no link to are not known to be down.  */
+  /* Without a link to a host, its state cannot be determined.  */
   return marjoram_link_find (host, slot->name) ? "silent" : "unknown";
 }
 
-/* Own zone first; within that, entries that are up first.  */
+/* Entries that are up come first, and among these the own zone.  */
 static int
 entry_rank (const marjoram_host *host, const struct marjoram_slot *slot,
             const char *state)
@@ -198,9 +198,9 @@
   q.caller = marjoram_config_find_caller_name (host->config, query->caller);
   q.work = marjoram_config_find_work (host->config, query->work);
   if (q.caller < 0)
-    return explain_failure ("no such caller; name one of the callers file");
+    return explain_failure ("unknown caller; use one from the callers file");
   if (q.work < 0)
-    return explain_failure ("no such model or service; name a configured one");
+    return explain_failure ("unknown model or service; use a configured one");
   q.class = query->class && strcmp (query->class, "overnight") == 0
                 ? MARJORAM_CLASS_OVERNIGHT
                 : MARJORAM_CLASS_INTERACTIVE;
--- a/src/report.h
+++ b/src/report.h
@@ -1,5 +1,4 @@
-/* What a host tells callers and operators about itself, as JSON.  Queries
-   only.  */
+/* JSON reports on a host for callers and operators.  Read-only.  */
 #ifndef MARJORAM_REPORT_H
 #define MARJORAM_REPORT_H
 
@@ -8,7 +7,7 @@
 
 #include <jansson.h>
 
-/* Each returns a new object.  */
+/* Each returns a new reference.  */
 json_t *marjoram_report_entries (const marjoram_host *host, int64_t now,
                                  int64_t wall);
 json_t *marjoram_report_status (const marjoram_host *host, int64_t now);
