--- a/test/config_spec.h
+++ b/test/config_spec.h
@@ -1,4 +1,4 @@
-/* A small configuration for tests and benchmarks, from a few numbers.  */
+/* Generates small configurations for tests and benchmarks.  */
 #ifndef MARJORAM_TEST_CONFIG_SPEC_H
 #define MARJORAM_TEST_CONFIG_SPEC_H
 
@@ -9,18 +9,18 @@
 #include <stdlib.h>
 
 /* Regions are named r00, r01, ..., zones r00-z00, ..., models and services
-   w00, ..., callers c0000, ...; index order is name order.  */
+   w00, ..., callers c0000, ...; the index order is the name order.  */
 struct config_spec
 {
   int regions;
-  int zones; /* in each region */
-  int slots; /* in each zone */
+  int zones; /* per region */
+  int slots; /* per zone */
   int works;
-  int services; /* the last so many works are plain services */
+  int services; /* how many of the works, the last ones, are services */
   int callers;
-  uint64_t allowed; /* regions of each caller; 0 for all */
-  int home;         /* of each caller; -1 for one after the other */
-  double rate;      /* of each caller */
+  uint64_t allowed; /* bit mask of each caller's regions; 0 for all */
+  int home;    /* region index of each caller; -1 assigns regions in turn */
+  double rate; /* per caller */
   double burst;
   double prefill_rate;
   double decode_rate;
