--- a/src/limit.c
+++ b/src/limit.c
@@ -6,8 +6,8 @@
 #include <math.h>
 
 #define DEMAND_DECAY_MS 2000.0
-/* Fraction of the rate that the home region keeps while it cannot hear the
-   other regions.  */
+/* Fraction of the rate that the home region keeps while the other regions are
+   unreachable.  */
 #define HOME_REGION_FRACTION 0.8
 /* Minimum demand assumed for each zone and host, as a fraction of the rate, so
    that a first request is not refused before demand is reported.  */
@@ -196,8 +196,8 @@
           && now < limits->zones[i].received + ZONE_REPORT_TIMEOUT_MS)
         reporting++;
       else
-        /* Reserves the fixed part of zones that cannot be heard, so that the
-           sides of a partition cannot each use the whole limit.  */
+        /* Reserves the fixed part of unreachable zones, so that the sides of a
+           partition cannot each use the whole limit.  */
         available -= fixed_fraction (limits, caller, i, home_zones);
     }
   zone_demand += min_demand;
--- a/src/limit.h
+++ b/src/limit.h
@@ -1,8 +1,8 @@
 /* Distributed rate limits of callers, without a central counter.  A caller's
    rate is divided first between zones and then between the hosts of a zone in
-   proportion to reported demand.  A zone that cannot be heard keeps a fixed
-   part, so that the parts on all sides of a partition add up to the limit.
-   Performs no I/O.  */
+   proportion to reported demand.  An unreachable zone keeps a fixed part, so
+   that the parts on all sides of a partition add up to the limit.  Performs no
+   I/O.  */
 #ifndef MARJORAM_LIMIT_H
 #define MARJORAM_LIMIT_H
 
--- a/src/member.h
+++ b/src/member.h
@@ -88,7 +88,8 @@
 marjoram_members_announce (marjoram_members *members, int64_t now,
                            const struct marjoram_announcement *announcement,
                            bool learnt);
-/* Returns NULL if the upstream is unknown, leaving, expired or dead.  */
+/* Processes an announcement received from the upstream itself or relayed by
+   another host of the zone.  The lease starts at NOW by this host's clock.  */
 const struct marjoram_upstream *
 marjoram_members_find (const marjoram_members *members, int64_t now,
                        const char *name);
--- a/src/offer.c
+++ b/src/offer.c
@@ -171,12 +171,12 @@
 
 /* Queueing delay from this host's requests beyond the offered capacity.  */
 static double
-excess_queue_ms (const struct entry *entry, double alone_ms)
+excess_queue_ms (const struct entry *entry, double unloaded_ms)
 {
   int64_t excess_requests = entry->sent_since_offer - (int64_t)entry->room;
 
   return excess_requests > 0 && entry->upstreams > 0
-             ? alone_ms * (double)excess_requests / entry->upstreams
+             ? unloaded_ms * (double)excess_requests / entry->upstreams
              : 0;
 }
 
@@ -192,7 +192,7 @@
 void
 marjoram_loans_best (marjoram_loans *loans, int64_t now,
                      const struct marjoram_query *query, uint64_t regions,
-                     double alone_ms, bool homeless,
+                     double unloaded_ms, bool homeless,
                      struct marjoram_loan *best)
 {
   int start = (int)marjoram_random_below (
@@ -209,8 +209,8 @@
           || zone_tried (query, zone)
           || !accepts_request (entry, now, homeless))
         continue;
-      total = 2 * (double)entry->link_ms + (double)entry->wait_ms + alone_ms
-              + excess_queue_ms (entry, alone_ms);
+      total = 2 * (double)entry->link_ms + (double)entry->wait_ms + unloaded_ms
+              + excess_queue_ms (entry, unloaded_ms);
       if (total < best->total_ms)
         *best = (struct marjoram_loan){ zone, total };
     }
--- a/src/offer.h
+++ b/src/offer.h
@@ -47,11 +47,11 @@
                            const struct marjoram_array *offers,
                            int64_t link_ms);
 /* Finds the best zone in the bit mask REGIONS for a request that takes
-   ALONE_MS at an idle upstream.  A HOMELESS request, which no upstream in this
-   zone can run, may queue there beyond the offered capacity.  */
+   UNLOADED_MS at an idle upstream.  A request that no upstream in this zone
+   can run may queue there beyond the offered capacity.  */
 void marjoram_loans_best (marjoram_loans *loans, int64_t now,
                           const struct marjoram_query *query, uint64_t regions,
-                          double alone_ms, bool homeless,
+                          double unloaded_ms, bool homeless,
                           struct marjoram_loan *best);
 /* Whether any zone in REGIONS has upstreams for WORK (known), or offers
    capacity (room).  */
--- a/src/order.h
+++ b/src/order.h
@@ -41,7 +41,8 @@
                               const struct marjoram_order_message *message);
 void marjoram_orders_tick (marjoram_orders *orders, int64_t now);
 /* Returns the fence for an order sent now, or 0 if this host may not send
-   one.  HONOURED tells whether the engine rejects stale fences.  */
+   one.  An order to an engine that does not check fences must wait longer
+   after a change of holder.  */
 uint64_t marjoram_orders_fence (const marjoram_orders *orders, int64_t now,
                                 bool honoured);
 /* Whether this host may relay an order with FENCE.  */
--- a/src/route.c
+++ b/src/route.c
@@ -158,7 +158,7 @@
   bool homeless;     /* no upstream in this zone runs the work */
   double slack_ms;   /* time to the deadline */
   double excess;     /* caller usage over its fair share, at least 1 */
-  double alone_ms;
+  double unloaded_ms;
   struct marjoram_pick pick;
   struct marjoram_loan same_region;   /* another zone of this region */
   struct marjoram_loan remote_region; /* another region */
@@ -199,7 +199,7 @@
   inputs->zone_allowed
       = region_allowed (router, inputs->allowed, router->zone);
   inputs->slack_ms = (double)(query->deadline - now);
-  inputs->alone_ms
+  inputs->unloaded_ms
       = marjoram_chooser_alone_ms (router->chooser, query)
         * marjoram_chooser_room (router->chooser, now, query->work)->factor;
   inputs->excess = marjoram_fair_excess (router->fair, now, query->caller);
@@ -216,12 +216,12 @@
      proceed.  */
   if (query->forwarded || query->bound)
     return;
-  marjoram_loans_best (router->loans, now, query,
-                       inputs->allowed & own_region (router), inputs->alone_ms,
-                       inputs->homeless, &inputs->same_region);
+  marjoram_loans_best (
+      router->loans, now, query, inputs->allowed & own_region (router),
+      inputs->unloaded_ms, inputs->homeless, &inputs->same_region);
   marjoram_loans_best (
       router->loans, now, query, inputs->allowed & ~own_region (router),
-      inputs->alone_ms, inputs->homeless, &inputs->remote_region);
+      inputs->unloaded_ms, inputs->homeless, &inputs->remote_region);
 }
 
 static void
@@ -377,7 +377,7 @@
   gather_inputs (router, now, query, inputs);
   decide (router, now, query, inputs, choice);
   if (choice->verdict != MARJORAM_VERDICT_REFUSE)
-    marjoram_fair_used (router->fair, now, query->caller, inputs->alone_ms);
+    marjoram_fair_used (router->fair, now, query->caller, inputs->unloaded_ms);
   return true;
 }
 
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -226,8 +226,8 @@
       admitted += marjoram_limits_admit (limits, now, 0, HOSTS, &retry)
                   == MARJORAM_REASON_NONE;
     }
-  /* The zone's fraction is 0.8 while it hears no other, and the host's a third
-     of that.  */
+  /* The zone's fraction is 0.8 without reports from other zones, and the
+     host's a third of that.  */
   ck_assert_int_le (admitted, (RATE * 10 + BURST) * 3 / 10);
   cluster_destroy (&cluster);
 }
