--- a/src/claim_record.c
+++ b/src/claim_record.c
@@ -6,8 +6,8 @@
 
 enum
 {
-  /* All kept answers of one host; the oldest go first.  */
-  KEPT_TOTAL_MAX = 64 * 1024 * 1024,
+  /* Size limit of all stored answers; the oldest are evicted first.  */
+  STORED_ANSWERS_SIZE_MAX = 64 * 1024 * 1024,
   ALLOCATION_OVERHEAD = 8
 };
 
@@ -24,10 +24,10 @@
 {
   struct marjoram_claim_record *table;
   TAILQ_HEAD (marjoram_claim_record_list, marjoram_claim_record)
-  list;                                     /* as they came */
+  list;                                     /* in insertion order */
   TAILQ_HEAD (, marjoram_kept_record) kept; /* likewise */
-  /* The last record read by each host; null if it starts anew.  */
-  struct marjoram_claim_record *places[MARJORAM_ZONE_SLOTS_MAX];
+  /* Last record read by each peer, or null to start from the beginning.  */
+  struct marjoram_claim_record *positions[MARJORAM_ZONE_SLOTS_MAX];
   size_t count;
   size_t kept_size;
   uint64_t last_serial;
@@ -83,7 +83,8 @@
 }
 
 static void
-drop_kept (marjoram_claim_records *records, struct marjoram_kept_record *kept)
+remove_answer (marjoram_claim_records *records,
+               struct marjoram_kept_record *kept)
 {
   TAILQ_REMOVE (&records->kept, kept, link);
   records->kept_size -= kept->size;
@@ -94,8 +95,9 @@
 }
 
 static void
-keep (marjoram_claim_records *records, struct marjoram_claim_record *record,
-      const struct marjoram_kept_answer *answer, int64_t replay_end)
+store_answer (marjoram_claim_records *records,
+              struct marjoram_claim_record *record,
+              const struct marjoram_kept_answer *answer, int64_t replay_end)
 {
   struct marjoram_kept_record *kept = marjoram_alloc (sizeof *kept);
 
@@ -112,16 +114,18 @@
 }
 
 static void
-shed_kept (marjoram_claim_records *records, int64_t now)
+evict_answers (marjoram_claim_records *records, int64_t now)
 {
   struct marjoram_kept_record *kept, *next;
 
   for (kept = TAILQ_FIRST (&records->kept);
-       kept && (kept->replay_end < now || records->kept_size > KEPT_TOTAL_MAX);
+       kept
+       && (kept->replay_end < now
+           || records->kept_size > STORED_ANSWERS_SIZE_MAX);
        kept = next)
     {
       next = TAILQ_NEXT (kept, link);
-      drop_kept (records, kept);
+      remove_answer (records, kept);
     }
 }
 
@@ -139,7 +143,7 @@
   record->incarnation = entry->incarnation;
   record->number = entry->number;
   record->issued = entry->issued;
-  record->remembered = wall / 1000;
+  record->created_at = wall / 1000;
   record->state = MARJORAM_CLAIM_PENDING;
   record->serial = ++records->last_serial;
   TAILQ_INSERT_TAIL (&records->list, record, link);
@@ -168,8 +172,8 @@
     record->state = entry->state;
   if (entry->kept.status && !record->kept)
     {
-      keep (records, record, &entry->kept, replay_end);
-      shed_kept (records, INT64_MIN);
+      store_answer (records, record, &entry->kept, replay_end);
+      evict_answers (records, INT64_MIN);
     }
   return record;
 }
@@ -199,11 +203,11 @@
 {
   unlink_key (records, record);
   for (int i = 0; i < MARJORAM_ZONE_SLOTS_MAX; i++)
-    if (records->places[i] == record)
-      records->places[i]
+    if (records->positions[i] == record)
+      records->positions[i]
           = TAILQ_PREV (record, marjoram_claim_record_list, link);
   if (record->kept)
-    drop_kept (records, record->kept);
+    remove_answer (records, record->kept);
   TAILQ_REMOVE (&records->list, record, link);
   records->count--;
   free (record);
@@ -231,30 +235,30 @@
   struct marjoram_claim_record *record, *next;
 
   for (record = TAILQ_FIRST (&records->list);
-       record && record->remembered < before / 1000; record = next)
+       record && record->created_at < before / 1000; record = next)
     {
       next = TAILQ_NEXT (record, link);
       marjoram_claim_records_drop (records, record);
     }
-  shed_kept (records, now);
+  evict_answers (records, now);
 }
 
 struct marjoram_claim_record *
-marjoram_claim_records_after (marjoram_claim_records *records, int reader,
+marjoram_claim_records_after (marjoram_claim_records *records, int slot,
                               uint64_t serial)
 {
-  struct marjoram_claim_record *place = records->places[reader];
+  struct marjoram_claim_record *position = records->positions[slot];
   struct marjoram_claim_record *next;
 
-  if (place && place->serial > serial)
-    place = NULL;
-  next = place ? TAILQ_NEXT (place, link) : TAILQ_FIRST (&records->list);
+  if (position && position->serial > serial)
+    position = NULL;
+  next = position ? TAILQ_NEXT (position, link) : TAILQ_FIRST (&records->list);
   while (next && next->serial <= serial)
     {
-      place = next;
+      position = next;
       next = TAILQ_NEXT (next, link);
     }
-  records->places[reader] = place;
+  records->positions[slot] = position;
   return next;
 }
 
@@ -269,7 +273,7 @@
 {
   size_t memory = sizeof *records + HASH_OVERHEAD (hh, records->table);
 
-  /* HASH_OVERHEAD counts the handles, which the records hold themselves.  */
+  /* HASH_OVERHEAD includes the handles, which are embedded in the records.  */
   memory -= HASH_COUNT (records->table) * sizeof (UT_hash_handle);
   memory += records->count
             * (sizeof (struct marjoram_claim_record) + ALLOCATION_OVERHEAD);
