--- a/src/claim.c
+++ b/src/claim.c
@@ -4,10 +4,10 @@
 
 #include <string.h>
 
-/* A restarted host has lost its votes.  Until its peers gave them back it
-   votes only for keys that its former self cannot have voted for: those issued
-   later than any key which that self, refusing keys from further ahead than
-   LEAD_MS, could accept.  */
+/* A restarted host has lost its votes.  Until it has recovered them from its
+   peers it votes only for keys issued after the horizon.  The previous
+   incarnation cannot have voted for those, since it refused keys issued more
+   than KEY_LEAD_MAX_MS ahead of its clock.  */
 static void
 set_clock (marjoram_claims *claims, int64_t now, int64_t wall)
 {
@@ -19,33 +19,34 @@
     return;
   claims->started = true;
   claims->started_at = now;
-  claims->horizon = wall + LEAD_MS + STEP_BACK_MS;
+  claims->horizon = wall + KEY_LEAD_MAX_MS + CLOCK_STEP_MAX_MS;
   claims->own_horizon = claims->horizon;
   claims->issue_floor = claims->horizon;
 }
 
 static void
-refuse_twin (marjoram_claims *claims, uint64_t number,
-             const struct marjoram_attempt *twin,
-             struct marjoram_hash128 digest)
+refuse_duplicate (marjoram_claims *claims, uint64_t number,
+                  const struct marjoram_attempt *existing,
+                  struct marjoram_hash128 digest)
 {
-  marjoram_claims_queue (claims, number,
-                         marjoram_hash128_equal (twin->entry.digest, digest)
-                             ? MARJORAM_CLAIM_RUNNING
-                             : MARJORAM_CLAIM_MISMATCH,
-                         NULL);
+  marjoram_claims_queue (
+      claims, number,
+      marjoram_hash128_equal (existing->entry.digest, digest)
+          ? MARJORAM_CLAIM_RUNNING
+          : MARJORAM_CLAIM_MISMATCH,
+      NULL);
 }
 
 static void
 acquire (marjoram_claims *claims, const struct marjoram_claim_entry *entry)
 {
-  const struct marjoram_attempt *twin
+  const struct marjoram_attempt *existing
       = marjoram_claims_find_key (claims, entry->key);
   struct marjoram_attempt *attempt;
 
-  if (twin)
+  if (existing)
     {
-      refuse_twin (claims, entry->number, twin, entry->digest);
+      refuse_duplicate (claims, entry->number, existing, entry->digest);
       return;
     }
   if (marjoram_claims_key_expired (claims, (int64_t)entry->issued))
@@ -94,7 +95,7 @@
 }
 
 static void
-tell_finish (marjoram_claims *claims, struct marjoram_attempt *attempt)
+send_finish (marjoram_claims *claims, struct marjoram_attempt *attempt)
 {
   struct marjoram_claim_entry entry = attempt->entry;
   const struct marjoram_claim_record *record
@@ -103,10 +104,10 @@
   if (record)
     marjoram_claim_record_entry (record, &entry);
   marjoram_claims_send_all (claims, MARJORAM_CLAIM_FINISH, &entry,
-                            attempt->told);
-  attempt->resend
-      = claims->now + ((int64_t)FINISH_RESEND_MS << attempt->tries);
-  attempt->tries++;
+                            attempt->acknowledged);
+  attempt->resend_at
+      = claims->now + ((int64_t)FINISH_RESEND_MS << attempt->send_count);
+  attempt->send_count++;
 }
 
 void
@@ -131,14 +132,14 @@
   if (claims->options.slot_count == 1)
     marjoram_claims_forget (claims, found);
   else
-    tell_finish (claims, found);
+    send_finish (claims, found);
 }
 
-/* ENTRY is an attempt of this host that another host holds open: tells how it
-   ended, if it has.  */
+/* Reports the outcome of ENTRY, if it has one, to a peer that still holds it
+   as pending.  Does nothing if ENTRY is not owned by this host.  */
 static void
-settle (marjoram_claims *claims, int to,
-        const struct marjoram_claim_entry *entry)
+report_outcome (marjoram_claims *claims, int to,
+                const struct marjoram_claim_entry *entry)
 {
   const struct marjoram_attempt *attempt
       = marjoram_claims_find (claims, entry->number);
@@ -158,13 +159,13 @@
   marjoram_claims_send (claims, to, MARJORAM_CLAIM_FINISH, &done);
 }
 
-/* ASK and PROBE.  */
+/* Handles ASK and PROBE.  */
 static void
-answer (marjoram_claims *claims, int from,
-        const struct marjoram_claim_message *m,
-        const struct marjoram_claim_entry *entry)
+handle_vote_request (marjoram_claims *claims, int from,
+                     const struct marjoram_claim_message *m,
+                     const struct marjoram_claim_entry *entry)
 {
-  struct marjoram_claim_entry entries[1 + HELD_MAX] = { *entry };
+  struct marjoram_claim_entry entries[1 + REPORTED_ATTEMPTS_MAX] = { *entry };
   struct marjoram_claim_message reply;
   enum marjoram_claim_vote given = MARJORAM_VOTE_NONE;
   size_t count;
@@ -186,7 +187,7 @@
 {
   answers->yes &= ~mask;
   answers->blocked &= ~mask;
-  answers->unsure &= ~mask;
+  answers->blocked_recovering &= ~mask;
   answers->held &= ~mask;
   answers->rival &= ~mask;
   answers->lost &= ~mask;
@@ -194,8 +195,8 @@
 }
 
 static void
-hear_answer (marjoram_claims *claims, int from,
-             const struct marjoram_claim_message *m)
+handle_answer (marjoram_claims *claims, int from,
+               const struct marjoram_claim_message *m)
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
   struct marjoram_attempt *attempt
@@ -206,19 +207,19 @@
   if (!attempt || attempt->decided)
     {
       if (m->vote == MARJORAM_VOTE_YES)
-        settle (claims, from, &entries[0]);
+        report_outcome (claims, from, &entries[0]);
       return;
     }
   clear_answers (&attempt->answers, marjoram_claims_bit (from));
-  attempt->answers.heard |= marjoram_claims_bit (from);
-  attempt->voters[from] = m->incarnation;
+  attempt->answers.responded |= marjoram_claims_bit (from);
+  attempt->vote_incarnations[from] = m->incarnation;
   if (m->vote == MARJORAM_VOTE_YES)
     attempt->answers.yes |= marjoram_claims_bit (from);
   else if (m->vote == MARJORAM_VOTE_BLOCKED)
     marjoram_claims_note_blocked (&attempt->answers, from, m->recovered);
   for (size_t i = 1; i < m->entries.count; i++)
     {
-      settle (claims, from, &entries[i]);
+      report_outcome (claims, from, &entries[i]);
       marjoram_claims_weigh (claims, attempt, from, m->incarnation,
                              &entries[i]);
     }
@@ -226,7 +227,7 @@
   marjoram_claims_clean_up (claims, attempt);
 }
 
-/* What stood in the way of an attempt of this host has gone.  */
+/* Resumes a waiting attempt for KEY after a conflicting one was withdrawn.  */
 static void
 retry_key (marjoram_claims *claims, struct marjoram_hash128 key)
 {
@@ -242,8 +243,8 @@
 }
 
 static void
-hear_withdraw (marjoram_claims *claims, int from,
-               const struct marjoram_claim_entry *entry)
+handle_withdraw (marjoram_claims *claims, int from,
+                 const struct marjoram_claim_entry *entry)
 {
   struct marjoram_claim_record *record
       = marjoram_claim_records_get (claims->records, entry);
@@ -256,22 +257,22 @@
 }
 
 static void
-hear_finish (marjoram_claims *claims, int from,
-             const struct marjoram_claim_entry *entry)
+handle_finish (marjoram_claims *claims, int from,
+               const struct marjoram_claim_entry *entry)
 {
-  struct marjoram_claim_entry told = *entry;
+  struct marjoram_claim_entry acknowledged = *entry;
 
   if (entry->state != MARJORAM_CLAIM_DONE)
     return;
   if (!marjoram_claims_key_expired (claims, (int64_t)entry->issued))
     marjoram_claims_remember (claims, entry);
-  told.kept = (struct marjoram_kept_answer){ 0 };
-  marjoram_claims_send (claims, from, MARJORAM_CLAIM_FINISHED, &told);
+  acknowledged.kept = (struct marjoram_kept_answer){ 0 };
+  marjoram_claims_send (claims, from, MARJORAM_CLAIM_FINISHED, &acknowledged);
 }
 
 static void
-hear_finished (marjoram_claims *claims, int from,
-               const struct marjoram_claim_entry *entry)
+handle_finished (marjoram_claims *claims, int from,
+                 const struct marjoram_claim_entry *entry)
 {
   struct marjoram_attempt *attempt
       = marjoram_claims_find (claims, entry->number);
@@ -280,13 +281,14 @@
   if (!marjoram_claims_owns (claims, entry) || !attempt
       || attempt->phase != MARJORAM_ATTEMPT_FINISHING)
     return;
-  attempt->told |= marjoram_claims_bit (from);
-  if ((attempt->told | marjoram_claims_bit (claims->options.self)) == all)
+  attempt->acknowledged |= marjoram_claims_bit (from);
+  if ((attempt->acknowledged | marjoram_claims_bit (claims->options.self))
+      == all)
     marjoram_claims_forget (claims, attempt);
 }
 
 static void
-give_state (marjoram_claims *claims, int to, uint64_t since)
+send_state (marjoram_claims *claims, int to, uint64_t since)
 {
   struct marjoram_claim_entry *entries
       = marjoram_alloc (MARJORAM_CLAIM_ENTRIES_MAX * sizeof *entries);
@@ -296,7 +298,8 @@
 
   m.since = since;
   m.cursor = since;
-  while (m.entries.count < MARJORAM_CLAIM_ENTRIES_MAX && bytes < STATE_BYTES)
+  while (m.entries.count < MARJORAM_CLAIM_ENTRIES_MAX
+         && bytes < STATE_BODY_BYTES)
     {
       const struct marjoram_claim_record *record
           = marjoram_claim_records_after (claims->records, to, m.cursor);
@@ -314,7 +317,7 @@
 }
 
 static void
-ask_state (marjoram_claims *claims, int peer)
+request_state (marjoram_claims *claims, int peer)
 {
   struct marjoram_claim_message m;
 
@@ -328,21 +331,23 @@
 static void
 try_recovery (marjoram_claims *claims)
 {
-  bool patient = claims->now < claims->started_at + claims->options.timeout_ms;
+  bool wait_for_recovering
+      = claims->now < claims->started_at + claims->options.timeout_ms;
 
-  marjoram_claim_recovery_try (&claims->recovery, claims->known, patient,
-                               &claims->horizon);
+  marjoram_claim_recovery_try (&claims->recovery, claims->known_incarnations,
+                               wait_for_recovering, &claims->horizon);
 }
 
 static void
-hear_state (marjoram_claims *claims, int from,
-            const struct marjoram_claim_message *m)
+handle_state (marjoram_claims *claims, int from,
+              const struct marjoram_claim_message *m)
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
   int self = claims->options.self;
 
-  /* Meant for a former incarnation of this host.  */
-  if (((struct marjoram_claim_incarnation *)m->known.items)[self].value
+  /* Addressed to an earlier incarnation of this host.  */
+  if (((struct marjoram_claim_incarnation *)m->known_incarnations.items)[self]
+          .value
       != claims->options.incarnation)
     return;
   if (!marjoram_claim_recovery_hear (&claims->recovery, from, m))
@@ -351,7 +356,7 @@
     if (!marjoram_claims_key_expired (claims, (int64_t)entries[i].issued))
       marjoram_claims_remember (claims, &entries[i]);
   if (m->more)
-    ask_state (claims, from);
+    request_state (claims, from);
   else
     try_recovery (claims);
 }
@@ -360,13 +365,14 @@
 learn_incarnations (marjoram_claims *claims, int from,
                     const struct marjoram_claim_message *m)
 {
-  const struct marjoram_claim_incarnation *known = m->known.items;
+  const struct marjoram_claim_incarnation *known_incarnations
+      = m->known_incarnations.items;
 
-  for (size_t i = 0; i < m->known.count; i++)
-    if (known[i].value > claims->known[i].value)
-      claims->known[i].value = known[i].value;
-  if (m->incarnation > claims->known[from].value)
-    claims->known[from].value = m->incarnation;
+  for (size_t i = 0; i < m->known_incarnations.count; i++)
+    if (known_incarnations[i].value > claims->known_incarnations[i].value)
+      claims->known_incarnations[i].value = known_incarnations[i].value;
+  if (m->incarnation > claims->known_incarnations[from].value)
+    claims->known_incarnations[from].value = m->incarnation;
   if (m->horizon > claims->issue_floor)
     claims->issue_floor = m->horizon;
 }
@@ -377,32 +383,32 @@
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
   uint64_t slots = claims->options.slot_count;
-  bool bare
+  bool entries_optional
       = m->kind == MARJORAM_CLAIM_RECOVER || m->kind == MARJORAM_CLAIM_STATE;
 
   if (from < 0 || from >= claims->options.slot_count
-      || from == claims->options.self || m->known.count != slots)
+      || from == claims->options.self || m->known_incarnations.count != slots)
     return false;
   for (size_t i = 0; i < m->entries.count; i++)
     if (entries[i].owner >= slots || entries[i].state > MARJORAM_CLAIM_DONE)
       return false;
-  return bare || m->entries.count > 0;
+  return entries_optional || m->entries.count > 0;
 }
 
-/* What an attempt's owner told before it restarted stays true; all else from
-   a former incarnation is void.  */
+/* Messages from an earlier incarnation are ignored, except for WITHDRAW and
+   FINISH: an outcome reported by the owner stays valid after its restart.  */
 static bool
-outdated (const marjoram_claims *claims, int from,
+is_stale (const marjoram_claims *claims, int from,
           const struct marjoram_claim_message *m)
 {
-  return m->incarnation < claims->known[from].value
+  return m->incarnation < claims->known_incarnations[from].value
          && m->kind != MARJORAM_CLAIM_WITHDRAW
          && m->kind != MARJORAM_CLAIM_FINISH;
 }
 
 static void
-receive (marjoram_claims *claims, int from,
-         const struct marjoram_claim_message *m)
+handle_message (marjoram_claims *claims, int from,
+                const struct marjoram_claim_message *m)
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
 
@@ -410,28 +416,28 @@
     {
     case MARJORAM_CLAIM_ASK:
     case MARJORAM_CLAIM_PROBE:
-      answer (claims, from, m, entries);
+      handle_vote_request (claims, from, m, entries);
       break;
     case MARJORAM_CLAIM_ANSWER:
-      hear_answer (claims, from, m);
+      handle_answer (claims, from, m);
       break;
     case MARJORAM_CLAIM_CHECK:
-      settle (claims, from, entries);
+      report_outcome (claims, from, entries);
       break;
     case MARJORAM_CLAIM_WITHDRAW:
-      hear_withdraw (claims, from, entries);
+      handle_withdraw (claims, from, entries);
       break;
     case MARJORAM_CLAIM_FINISH:
-      hear_finish (claims, from, entries);
+      handle_finish (claims, from, entries);
       break;
     case MARJORAM_CLAIM_FINISHED:
-      hear_finished (claims, from, entries);
+      handle_finished (claims, from, entries);
       break;
     case MARJORAM_CLAIM_RECOVER:
-      give_state (claims, from, m->since);
+      send_state (claims, from, m->since);
       break;
     case MARJORAM_CLAIM_STATE:
-      hear_state (claims, from, m);
+      handle_state (claims, from, m);
       break;
     default:
       break;
@@ -445,10 +451,10 @@
   if (!claims->started || !well_formed (claims, from, m))
     return;
   claims->now = now;
-  if (outdated (claims, from, m))
+  if (is_stale (claims, from, m))
     return;
   learn_incarnations (claims, from, m);
-  receive (claims, from, m);
+  handle_message (claims, from, m);
   marjoram_claims_hand_out (claims);
 }
 
@@ -457,12 +463,12 @@
 {
   if (attempt->phase == MARJORAM_ATTEMPT_FINISHING)
     {
-      if (claims->now < attempt->resend)
+      if (claims->now < attempt->resend_at)
         return;
-      if (attempt->tries >= FINISH_TRIES)
+      if (attempt->send_count >= FINISH_SENDS_MAX)
         marjoram_claims_forget (claims, attempt);
       else
-        tell_finish (claims, attempt);
+        send_finish (claims, attempt);
       return;
     }
   if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
@@ -480,21 +486,22 @@
 marjoram_claims_tick (marjoram_claims *claims, int64_t now, int64_t wall)
 {
   struct marjoram_attempt *attempt, *next;
-  int64_t kept_for = claims->options.retention_ms;
+  int64_t retention = claims->options.retention_ms;
 
   set_clock (claims, now, wall);
   for (int i = 0; i < claims->options.slot_count; i++)
-    ask_state (claims, i);
+    request_state (claims, i);
   try_recovery (claims);
   for (attempt = TAILQ_FIRST (&claims->attempts); attempt; attempt = next)
     {
       next = TAILQ_NEXT (attempt, link);
       tick_attempt (claims, attempt);
     }
-  /* A record outlives its key: that may be issued LEAD_MS after the vote.  */
+  /* Records are held longer than the retention period because a key may carry
+     an issue time up to KEY_LEAD_MAX_MS after the vote.  */
   marjoram_claim_records_expire (
-      claims->records, claims->wall_max - kept_for - LEAD_MS - STEP_BACK_MS,
-      now);
+      claims->records,
+      claims->wall_max - retention - KEY_LEAD_MAX_MS - CLOCK_STEP_MAX_MS, now);
   marjoram_claims_hand_out (claims);
 }
 
@@ -508,7 +515,7 @@
   claims->ops = *ops;
   claims->context = context;
   claims->records = marjoram_claim_records_create ();
-  claims->known[options->self].value = options->incarnation;
+  claims->known_incarnations[options->self].value = options->incarnation;
   marjoram_claim_recovery_init (&claims->recovery, options->slot_count,
                                 options->self);
   TAILQ_INIT (&claims->attempts);
--- a/src/claim_attempt.c
+++ b/src/claim_attempt.c
@@ -62,7 +62,7 @@
   marjoram_claims_release_key (claims, attempt);
   HASH_DELETE (hh, claims->by_number, attempt);
   TAILQ_REMOVE (&claims->attempts, attempt, link);
-  free (attempt->voters);
+  free (attempt->vote_incarnations);
   free (attempt);
 }
 
@@ -75,7 +75,8 @@
   return (struct marjoram_claim_message){
     .kind = kind,
     .incarnation = claims->options.incarnation,
-    .known = { (void *)claims->known, claims->options.slot_count },
+    .known_incarnations
+    = { (void *)claims->known_incarnations, claims->options.slot_count },
     .horizon = claims->horizon,
     .entries = { (void *)entries, count },
     .recovered = claims->recovery.done,
@@ -104,8 +105,8 @@
       marjoram_claims_send (claims, i, kind, entry);
 }
 
-/* Frees the key everywhere.  The attempt's number is never used again and no
-   vote for it counts any more: late votes find no attempt.  */
+/* Removes the attempt and tells the peers to release its key.  Attempt numbers
+   are not reused, so votes that arrive later match no attempt.  */
 void
 marjoram_claims_bar (marjoram_claims *claims, struct marjoram_attempt *attempt)
 {
@@ -120,8 +121,8 @@
   marjoram_claims_forget (claims, attempt);
 }
 
-/* Verdicts are handed out when the module's own work is finished, as the
-   receiver may call back into it.  */
+/* Verdicts are queued until internal state is consistent, because the callback
+   may call back into this module.  */
 void
 marjoram_claims_queue (marjoram_claims *claims, uint64_t attempt,
                        enum marjoram_claim_verdict verdict,
@@ -188,20 +189,21 @@
     attempt->phase = MARJORAM_ATTEMPT_GRANTED;
 }
 
-/* A living attempt of a host with a lower ordinal goes first, so that of two
-   that hold each other's key one gives way and the other does not.  One that
-   waits has no votes and always gives way.  */
+/* Breaks ties between attempts that block each other: a granted rival wins,
+   then the host with the lower ordinal.  A waiting attempt has no votes and
+   always loses.  */
 static bool
-gives_way (const marjoram_claims *claims,
-           const struct marjoram_attempt *attempt,
-           const struct marjoram_claim_entry *rival)
+yields_to_rival (const marjoram_claims *claims,
+                 const struct marjoram_attempt *attempt,
+                 const struct marjoram_claim_entry *rival)
 {
   return attempt->phase == MARJORAM_ATTEMPT_WAITING
          || rival->state == MARJORAM_CLAIM_GRANTED
          || rival->owner < (uint64_t)claims->options.self;
 }
 
-/* Takes in that host FROM knows of another attempt for ATTEMPT's key.  */
+/* Processes a conflicting attempt for ATTEMPT's key, as reported by host
+   FROM.  */
 void
 marjoram_claims_weigh (marjoram_claims *claims,
                        struct marjoram_attempt *attempt, int from,
@@ -218,20 +220,19 @@
     decide (claims, attempt, MARJORAM_CLAIM_REPLAY, &entry->kept);
   else if (entry->state == MARJORAM_CLAIM_DONE)
     answers->done |= marjoram_claims_bit (from);
-  else if (entry->incarnation < claims->known[entry->owner].value)
+  else if (entry->incarnation < claims->known_incarnations[entry->owner].value)
     answers->lost |= marjoram_claims_bit (from);
   else if (entry->owner != (uint64_t)from || entry->incarnation != incarnation)
     answers->held |= marjoram_claims_bit (from);
-  else if (gives_way (claims, attempt, entry))
+  else if (yields_to_rival (claims, attempt, entry))
     decide (claims, attempt, MARJORAM_CLAIM_RUNNING, NULL);
   else
     answers->rival |= marjoram_claims_bit (from);
 }
 
-/* Stops two majorities that overlap only in a host that restarted in between
-   and forgot the first: its earlier vote no longer counts once any voter, or
-   anyone else heard of, knows its later incarnation.  Without this a request
-   runs twice after a single restart.  */
+/* Counts votes cast by the latest known incarnation of each host only.  A
+   restarted host has lost its earlier votes and may vote for another attempt,
+   so counting them could give two attempts a majority.  */
 static int
 count_votes (const marjoram_claims *claims,
              const struct marjoram_attempt *attempt)
@@ -240,7 +241,8 @@
 
   for (int i = 0; i < claims->options.slot_count; i++)
     if (attempt->answers.yes & marjoram_claims_bit (i)
-        && attempt->voters[i] >= claims->known[i].value)
+        && attempt->vote_incarnations[i]
+               >= claims->known_incarnations[i].value)
       votes++;
   return votes;
 }
@@ -258,7 +260,7 @@
     return;
   if (!answers->done && count_votes (claims, attempt) >= majority (claims))
     decide (claims, attempt, MARJORAM_CLAIM_RUN, NULL);
-  else if (answers->heard != all)
+  else if (answers->responded != all)
     return;
   else if (answers->done || answers->lost)
     decide (claims, attempt, MARJORAM_CLAIM_LOST, NULL);
@@ -266,15 +268,15 @@
     decide (claims, attempt, MARJORAM_CLAIM_EXPIRED, NULL);
 }
 
-/* The time is up.  What is known of other attempts decides: only an attempt
-   that nobody contradicted may be called not run.  */
+/* Decides an attempt whose deadline has passed.  NO_QUORUM is returned only if
+   no host reported a conflicting attempt.  */
 void
 marjoram_claims_give_up (marjoram_claims *claims,
                          struct marjoram_attempt *attempt)
 {
   const struct marjoram_claim_answers *answers = &attempt->answers;
 
-  if (answers->done || answers->lost || answers->unsure
+  if (answers->done || answers->lost || answers->blocked_recovering
       || (answers->held && !answers->rival))
     decide (claims, attempt, MARJORAM_CLAIM_LOST, NULL);
   else if (answers->rival)
@@ -298,13 +300,14 @@
          || marjoram_claims_key_expired (claims, issued);
 }
 
-/* Stops a vote that the horizon of this host's next incarnation would not
-   cover, which could vote once more.  A horizon taken over from a peer is no
-   measure: that peer's clock may be ahead.  */
+/* Refuses keys that the next incarnation's horizon might not cover: after a
+   restart this host could vote for them a second time.  Only its own horizon
+   is used, since the clock of a peer may be ahead.  */
 static bool
-key_too_early (const marjoram_claims *claims, int64_t issued)
+key_too_far_ahead (const marjoram_claims *claims, int64_t issued)
 {
-  return issued > wall_now (claims) + LEAD_MS && issued > claims->own_horizon;
+  return issued > wall_now (claims) + KEY_LEAD_MAX_MS
+         && issued > claims->own_horizon;
 }
 
 void
@@ -315,7 +318,7 @@
                               claims->now + claims->options.replay_ms);
 }
 
-/* This host's own vote for ENTRY.  */
+/* Returns the local vote for ENTRY, and records it if granted.  */
 enum marjoram_claim_vote
 marjoram_claims_vote (marjoram_claims *claims,
                       const struct marjoram_claim_entry *entry)
@@ -334,13 +337,14 @@
           || held.state == MARJORAM_CLAIM_DONE)
         return MARJORAM_VOTE_HELD;
     }
-  if (key_too_early (claims, entry->issued))
+  if (key_too_far_ahead (claims, entry->issued))
     return MARJORAM_VOTE_NONE;
   marjoram_claims_remember (claims, entry);
   return MARJORAM_VOTE_YES;
 }
 
-/* Fills HELD with the attempts known for KEY; returns how many.  */
+/* Fills HELD with up to REPORTED_ATTEMPTS_MAX known attempts for KEY.  Returns
+   their count.  */
 size_t
 marjoram_claims_list (const marjoram_claims *claims,
                       struct marjoram_hash128 key,
@@ -353,7 +357,7 @@
   size_t count = 0;
   bool listed = false;
 
-  for (; record && count < HELD_MAX - 1; record = record->next)
+  for (; record && count < REPORTED_ATTEMPTS_MAX - 1; record = record->next)
     {
       marjoram_claim_record_entry (record, &held[count]);
       if (attempt && marjoram_claim_same (&held[count], &attempt->entry))
@@ -374,8 +378,8 @@
   return count;
 }
 
-/* Asks the owners of open attempts that stand in the way of ENTRY; an attempt
-   whose withdrawal was lost is dropped by what they answer.  */
+/* Asks the owners of pending attempts that conflict with ENTRY for their
+   outcome.  Their replies clear attempts whose WITHDRAW was lost.  */
 void
 marjoram_claims_check_owners (marjoram_claims *claims,
                               const struct marjoram_claim_entry *entry,
@@ -390,9 +394,9 @@
                             &held[i]);
 }
 
-/* A host that still recovers may yet vote when its peers have given back what
-   it knew, so that its refusal decides only when the time is up.  Then it
-   does: an attempt from before the restart may have run.  */
+/* The refusal of a recovering host is not final, as it may vote once it has
+   recovered.  If it is still recovering at the deadline, the verdict is LOST,
+   because an attempt from before its restart may have run.  */
 void
 marjoram_claims_note_blocked (struct marjoram_claim_answers *answers, int from,
                               bool recovered)
@@ -400,22 +404,23 @@
   if (recovered)
     answers->blocked |= marjoram_claims_bit (from);
   else
-    answers->unsure |= marjoram_claims_bit (from);
+    answers->blocked_recovering |= marjoram_claims_bit (from);
 }
 
-/* Looks at this host's own records for ATTEMPT, and votes if it may.  */
+/* Checks the local records for conflicts with ATTEMPT and casts the local
+   vote.  */
 void
 marjoram_claims_consult (marjoram_claims *claims,
                          struct marjoram_attempt *attempt)
 {
-  struct marjoram_claim_entry held[HELD_MAX];
+  struct marjoram_claim_entry held[REPORTED_ATTEMPTS_MAX];
   size_t count = marjoram_claims_list (claims, attempt->entry.key, held);
   struct marjoram_claim_answers *answers = &attempt->answers;
   uint64_t self = marjoram_claims_bit (claims->options.self);
 
-  answers->heard |= self;
+  answers->responded |= self;
   answers->blocked &= ~self;
-  answers->unsure &= ~self;
+  answers->blocked_recovering &= ~self;
   answers->held &= ~self;
   answers->lost &= ~self;
   answers->done &= ~self;
@@ -428,7 +433,8 @@
     {
     case MARJORAM_VOTE_YES:
       answers->yes |= self;
-      attempt->voters[claims->options.self] = claims->options.incarnation;
+      attempt->vote_incarnations[claims->options.self]
+          = claims->options.incarnation;
       attempt->phase = MARJORAM_ATTEMPT_ASKING;
       break;
     case MARJORAM_VOTE_BLOCKED:
@@ -452,7 +458,7 @@
                             &attempt->entry, 0);
 }
 
-/* Refused attempts leave nothing behind.  */
+/* Removes ATTEMPT if it was refused.  */
 void
 marjoram_claims_clean_up (marjoram_claims *claims,
                           struct marjoram_attempt *attempt)
@@ -469,8 +475,8 @@
 
   attempt->entry = *entry;
   attempt->deadline = claims->now + claims->options.timeout_ms;
-  attempt->voters
-      = marjoram_alloc (claims->options.slot_count * sizeof *attempt->voters);
+  attempt->vote_incarnations = marjoram_alloc (
+      claims->options.slot_count * sizeof *attempt->vote_incarnations);
   HASH_ADD (hh, claims->by_number, entry.number, sizeof entry->number,
             attempt);
   HASH_ADD (hh_key, claims->by_key, entry.key, sizeof entry->key, attempt);
--- a/src/claim_attempt.h
+++ b/src/claim_attempt.h
@@ -1,6 +1,6 @@
-/* The inside of the claims module, shared by its two parts: claim_attempt.c,
-   an attempt's life on the host that owns it, and claim.c, messages and time.
-   Private to them.  */
+/* Internal state and functions of the claims module, shared by
+   claim_attempt.c (attempts, votes and verdicts) and claim.c (public functions
+   and message handling).  */
 #ifndef MARJORAM_CLAIM_ATTEMPT_H
 #define MARJORAM_CLAIM_ATTEMPT_H
 
@@ -9,37 +9,38 @@
 
 enum
 {
-  /* How far ahead of this host's clock a key may be issued.  */
-  LEAD_MS = 10 * 1000,
-  /* How far a slot's clock may go back over a restart, and how far the clocks
-     of a zone's hosts may differ.  */
-  STEP_BACK_MS = 1000,
-  HELD_MAX = 8, /* attempts of one key told in an answer */
-  FINISH_TRIES = 8,
-  FINISH_RESEND_MS = 200,
-  STATE_BYTES = 256 * 1024 /* of kept answers in one message */
+  /* Maximum time by which a key's issue time may be ahead of the local
+     clock.  */
+  KEY_LEAD_MAX_MS = 10 * 1000,
+  /* Maximum backward step of a slot's clock across a restart, and maximum
+     clock skew between hosts of a zone.  */
+  CLOCK_STEP_MAX_MS = 1000,
+  REPORTED_ATTEMPTS_MAX = 8, /* attempts for one key listed in an ANSWER */
+  FINISH_SENDS_MAX = 8,
+  FINISH_RESEND_MS = 200,       /* doubled with each resend */
+  STATE_BODY_BYTES = 256 * 1024 /* soft limit on answer bodies in a STATE */
 };
 
 enum marjoram_attempt_phase
 {
-  MARJORAM_ATTEMPT_WAITING, /* another attempt is known here: no vote was asked
-                               for */
+  MARJORAM_ATTEMPT_WAITING, /* a conflicting attempt is known locally; no votes
+                               have been requested */
   MARJORAM_ATTEMPT_ASKING,
   MARJORAM_ATTEMPT_GRANTED,
-  MARJORAM_ATTEMPT_FINISHING /* tells the peers how it ended */
+  MARJORAM_ATTEMPT_FINISHING /* sending FINISH until peers acknowledge */
 };
 
-/* What the hosts last answered, a bit for each slot.  */
+/* The latest answer of each host, as bit masks indexed by slot.  */
 struct marjoram_claim_answers
 {
-  uint64_t heard;
+  uint64_t responded;
   uint64_t yes;
-  uint64_t blocked; /* by its horizon */
-  uint64_t unsure;  /* likewise, but it is still recovering */
-  uint64_t held;    /* by an attempt that may be alive */
-  uint64_t rival;   /* by a living attempt of its own */
-  uint64_t lost;    /* by one whose owner has restarted */
-  uint64_t done;    /* by one that ran, its answer no longer kept */
+  uint64_t blocked;            /* refused: key before its horizon */
+  uint64_t blocked_recovering; /* likewise, but the host is still recovering */
+  uint64_t held;  /* reports an attempt of another host, maybe pending */
+  uint64_t rival; /* reports a pending attempt of its own */
+  uint64_t lost;  /* reports an attempt whose owner has restarted */
+  uint64_t done;  /* reports a completed attempt with no stored answer */
 };
 
 struct marjoram_attempt
@@ -49,10 +50,11 @@
   bool decided;
   int64_t deadline;
   struct marjoram_claim_answers answers;
-  uint64_t *voters; /* incarnation of each slot's vote */
-  uint64_t told;    /* FINISH: peers that know */
-  int tries;
-  int64_t resend;
+  uint64_t *vote_incarnations; /* incarnation of each slot when it
+                                  answered */
+  uint64_t acknowledged;       /* mask of slots that acknowledged FINISH */
+  int send_count;
+  int64_t resend_at;
   UT_hash_handle hh;
   UT_hash_handle hh_key;
   TAILQ_ENTRY (marjoram_attempt) link;
@@ -73,15 +75,16 @@
   void *context;
   marjoram_claim_records *records;
   struct marjoram_claim_recovery recovery;
-  struct marjoram_claim_incarnation known[MARJORAM_ZONE_SLOTS_MAX];
+  struct marjoram_claim_incarnation
+      known_incarnations[MARJORAM_ZONE_SLOTS_MAX];
   bool started;
   int64_t started_at;
   int64_t now;
-  int64_t wall_offset; /* wall clock less NOW */
-  int64_t wall_max;    /* highest wall clock seen */
-  int64_t horizon;     /* keys issued before it are refused */
-  int64_t own_horizon; /* the one set when this host started */
-  int64_t issue_floor; /* highest horizon heard of in the zone */
+  int64_t wall_offset; /* wall clock minus NOW */
+  int64_t wall_max;    /* highest wall-clock time seen */
+  int64_t horizon;     /* keys issued earlier are refused */
+  int64_t own_horizon; /* HORIZON as set when this host started */
+  int64_t issue_floor; /* highest horizon reported in the zone */
   struct marjoram_attempt *by_number;
   struct marjoram_attempt *by_key;
   TAILQ_HEAD (marjoram_attempt_list, marjoram_attempt) attempts;
--- a/src/claim_message.c
+++ b/src/claim_message.c
@@ -40,7 +40,7 @@
 static const struct marjoram_field message_fields[] = {
   { MARJORAM_WIRE_UINT (MESSAGE, kind) },
   { MARJORAM_WIRE_UINT (MESSAGE, incarnation) },
-  { MARJORAM_WIRE_ARRAY (MESSAGE, known, MARJORAM_ZONE_SLOTS_MAX,
+  { MARJORAM_WIRE_ARRAY (MESSAGE, known_incarnations, MARJORAM_ZONE_SLOTS_MAX,
                          &incarnation_layout) },
   { MARJORAM_WIRE_INT (MESSAGE, horizon) },
   { MARJORAM_WIRE_ARRAY (MESSAGE, entries, MARJORAM_CLAIM_ENTRIES_MAX,
--- a/src/claim_recovery.c
+++ b/src/claim_recovery.c
@@ -9,7 +9,7 @@
   memset (recovery, 0, sizeof *recovery);
   recovery->slot_count = slot_count;
   recovery->self = self;
-  /* A zone of one host has nobody to ask: its horizon alone has to do.  */
+  /* A single host has no peers and relies on its horizon alone.  */
   recovery->done = slot_count == 1;
 }
 
@@ -31,28 +31,26 @@
   return true;
 }
 
-/* Stops a peer's old answer from standing for its present state: a peer that
-   has restarted since may have lost what it voted for in between, which shows
-   as a request that runs twice.  Peers tell each other of restarts with every
-   message, so of two answers that miss each other's news one is known to be
-   old.  */
+/* Ignores state that a peer sent before a later restart: it may lack votes
+   cast since, and a request could run twice.  Restarts are detected through
+   the incarnations carried in every message.  */
 static bool
-counts (const struct marjoram_claim_peer *peer, uint64_t known)
+is_current (const struct marjoram_claim_peer *peer, uint64_t known_incarnation)
 {
-  return peer->complete && peer->incarnation >= known;
+  return peer->complete && peer->incarnation >= known_incarnation;
 }
 
 struct tally
 {
   int complete;
   int recovered;
-  int64_t horizon;           /* of the complete ones */
-  int64_t recovered_horizon; /* of the recovered ones */
+  int64_t horizon;           /* highest of the complete peers */
+  int64_t recovered_horizon; /* highest of the recovered peers */
 };
 
 static struct tally
 count_peers (const struct marjoram_claim_recovery *recovery,
-             const struct marjoram_claim_incarnation *known)
+             const struct marjoram_claim_incarnation *known_incarnations)
 {
   struct tally tally = { 0 };
 
@@ -60,7 +58,8 @@
     {
       const struct marjoram_claim_peer *peer = &recovery->peers[i];
 
-      if (i == recovery->self || !counts (peer, known[i].value))
+      if (i == recovery->self
+          || !is_current (peer, known_incarnations[i].value))
         continue;
       tally.complete++;
       if (peer->horizon > tally.horizon)
@@ -74,7 +73,8 @@
   return tally;
 }
 
-/* As many peers as meet every majority without this host: n - q + 1.  */
+/* The smallest number of peers that intersects every majority of the zone:
+   n - q + 1.  */
 static int
 peers_needed (int slot_count)
 {
@@ -84,11 +84,12 @@
 }
 
 bool
-marjoram_claim_recovery_try (struct marjoram_claim_recovery *recovery,
-                             const struct marjoram_claim_incarnation *known,
-                             bool patient, int64_t *horizon)
+marjoram_claim_recovery_try (
+    struct marjoram_claim_recovery *recovery,
+    const struct marjoram_claim_incarnation *known_incarnations,
+    bool wait_for_recovering, int64_t *horizon)
 {
-  struct tally tally = count_peers (recovery, known);
+  struct tally tally = count_peers (recovery, known_incarnations);
   int needed = peers_needed (recovery->slot_count);
   bool all = tally.complete == recovery->slot_count - 1;
 
@@ -96,7 +97,7 @@
     return false;
   if (tally.recovered >= needed)
     *horizon = tally.recovered_horizon;
-  else if (tally.complete >= needed && (all || !patient))
+  else if (tally.complete >= needed && (all || !wait_for_recovering))
     *horizon = tally.horizon;
   else
     return false;
@@ -112,7 +113,7 @@
 
   if (recovery->done || peer == recovery->self)
     return false;
-  /* It may have recovered since, and then has more to give.  */
+  /* PEER may have recovered since it answered, and may have more records.  */
   if (p->complete && !p->recovered)
     *p = (struct marjoram_claim_peer){ .incarnation = p->incarnation };
   return !p->complete;
--- a/src/claim_recovery.h
+++ b/src/claim_recovery.h
@@ -1,6 +1,5 @@
-/* How a restarted host, whose memory is lost, gets the zone's claims back from
-   its peers.  Keeps track of who gave its state in full; the records
-   themselves go straight to the claims.  */
+/* Recovery of claim state from the peers after a restart.  Tracks which peers
+   have sent their complete state; the caller stores the records.  */
 #ifndef MARJORAM_CLAIM_RECOVERY_H
 #define MARJORAM_CLAIM_RECOVERY_H
 
@@ -11,8 +10,8 @@
   uint64_t incarnation;
   int64_t horizon;
   uint64_t cursor;
-  bool complete;  /* all its records have come */
-  bool recovered; /* it had recovered itself when it answered */
+  bool complete;  /* all records received */
+  bool recovered; /* the peer had finished its own recovery when it answered */
 };
 
 struct marjoram_claim_recovery
@@ -25,20 +24,20 @@
 
 void marjoram_claim_recovery_init (struct marjoram_claim_recovery *recovery,
                                    int slot_count, int self);
-/* A part of a peer's state.  Returns false for one that was not asked for, so
-   that its records are not to be taken.  */
+/* Processes a STATE message.  Returns false if PART is not the one expected
+   next; its records must then be discarded.  */
 bool marjoram_claim_recovery_hear (struct marjoram_claim_recovery *recovery,
                                    int from,
                                    const struct marjoram_claim_message *part);
-/* Finishes the recovery if enough peers have answered.  KNOWN are the latest
-   incarnations known of all slots; PATIENT says that peers which are
-   themselves recovering may still be waited for.  HORIZON then gets the
-   highest one of the peers that were relied on.  */
-bool
-marjoram_claim_recovery_try (struct marjoram_claim_recovery *recovery,
-                             const struct marjoram_claim_incarnation *known,
-                             bool patient, int64_t *horizon);
-/* Whether PEER is to be asked, from its cursor on.  */
+/* Finishes the recovery and returns true if enough peers have answered.
+   KNOWN_INCARNATIONS is indexed by slot.  If WAIT_FOR_RECOVERING, peers that
+   are still recovering count only once all peers have answered.  On success
+   HORIZON is set to the highest horizon of the peers counted.  */
+bool marjoram_claim_recovery_try (
+    struct marjoram_claim_recovery *recovery,
+    const struct marjoram_claim_incarnation *known_incarnations,
+    bool wait_for_recovering, int64_t *horizon);
+/* Returns true if the state of PEER, from its cursor on, is still needed.  */
 bool marjoram_claim_recovery_wants (struct marjoram_claim_recovery *recovery,
                                     int peer);
 
