--- a/src/register.c
+++ b/src/register.c
@@ -6,21 +6,21 @@
 #include <sodium.h>
 #include <string.h>
 
-/* What is made of PACKED for messages is made when first asked for and kept,
-   as a value goes to several keepers, several times.  */
+/* The hash and the compressed forms are computed on first use and cached,
+   since a value is sent repeatedly and to several keepers.  */
 struct marjoram_value
 {
   int references;
   struct marjoram_state *state;
   marjoram_bytes *packed;
-  struct marjoram_value_mark mark; /* zero until asked for */
+  struct marjoram_value_mark hash; /* zero until computed */
   marjoram_bytes *compressed;
-  marjoram_bytes *difference; /* from the value of mark BASE */
+  marjoram_bytes *delta; /* against the value identified by BASE */
   struct marjoram_value_mark base;
 };
 
 static int
-compare_number (uint64_t a, uint64_t b)
+compare_uint64 (uint64_t a, uint64_t b)
 {
   return (a > b) - (a < b);
 }
@@ -29,17 +29,17 @@
 marjoram_ballot_compare (const struct marjoram_ballot *a,
                          const struct marjoram_ballot *b)
 {
-  int order = compare_number (a->round, b->round);
+  int order = compare_uint64 (a->round, b->round);
 
   if (order == 0)
-    order = compare_number (a->incarnation, b->incarnation);
+    order = compare_uint64 (a->incarnation, b->incarnation);
   if (order == 0)
-    order = compare_number (a->proposer, b->proposer);
+    order = compare_uint64 (a->proposer, b->proposer);
   return order;
 }
 
 static marjoram_value *
-make_value (struct marjoram_state *state, marjoram_bytes *packed)
+create_value (struct marjoram_state *state, marjoram_bytes *packed)
 {
   marjoram_value *value = marjoram_alloc (sizeof *value);
 
@@ -52,8 +52,8 @@
 marjoram_value *
 marjoram_value_create (struct marjoram_state *state)
 {
-  return make_value (state,
-                     marjoram_wire_pack (&marjoram_state_layout, state));
+  return create_value (state,
+                       marjoram_wire_pack (&marjoram_state_layout, state));
 }
 
 static bool
@@ -84,11 +84,12 @@
     {
       marjoram_state_destroy (state);
       marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                          "a state without keepers; check that all keepers "
-                          "run the same release");
+                          "state has no keepers, or a keeper without slot or "
+                          "store id; check that all keepers run the same "
+                          "release");
       return NULL;
     }
-  return make_value (state, marjoram_bytes_retain (packed));
+  return create_value (state, marjoram_bytes_retain (packed));
 }
 
 marjoram_value *
@@ -107,7 +108,7 @@
   marjoram_state_destroy (value->state);
   marjoram_bytes_release (value->packed);
   marjoram_bytes_release (value->compressed);
-  marjoram_bytes_release (value->difference);
+  marjoram_bytes_release (value->delta);
   free (value);
 }
 
@@ -137,31 +138,31 @@
 
   if (!value)
     return none;
-  if (marjoram_value_mark_equal (&value->mark, &none))
-    crypto_generichash ((unsigned char *)&value->mark, sizeof value->mark,
+  if (marjoram_value_mark_equal (&value->hash, &none))
+    crypto_generichash ((unsigned char *)&value->hash, sizeof value->hash,
                         marjoram_bytes_data (value->packed),
                         marjoram_bytes_size (value->packed), NULL, 0);
-  return value->mark;
+  return value->hash;
 }
 
 static marjoram_bytes *
-difference_from (marjoram_value *value, marjoram_value *base)
+delta_against (marjoram_value *value, marjoram_value *base)
 {
-  struct marjoram_value_mark mark = marjoram_value_mark (base);
+  struct marjoram_value_mark hash = marjoram_value_mark (base);
 
-  if (value->difference && marjoram_value_mark_equal (&value->base, &mark))
-    return value->difference;
-  marjoram_bytes_release (value->difference);
-  value->difference = marjoram_compress (value->packed, base->packed);
-  value->base = mark;
-  return value->difference;
+  if (value->delta && marjoram_value_mark_equal (&value->base, &hash))
+    return value->delta;
+  marjoram_bytes_release (value->delta);
+  value->delta = marjoram_compress (value->packed, base->packed);
+  value->base = hash;
+  return value->delta;
 }
 
 marjoram_bytes *
 marjoram_value_compressed (marjoram_value *value, marjoram_value *base)
 {
   if (base)
-    return difference_from (value, base);
+    return delta_against (value, base);
   if (!value->compressed)
     value->compressed = marjoram_compress (value->packed, NULL);
   return value->compressed;
@@ -194,8 +195,8 @@
 }
 
 static void
-hold (struct marjoram_acceptor *acceptor, const struct marjoram_ballot *ballot,
-      marjoram_value *value)
+set_accepted (struct marjoram_acceptor *acceptor,
+              const struct marjoram_ballot *ballot, marjoram_value *value)
 {
   marjoram_value *earlier = acceptor->value;
 
@@ -222,12 +223,12 @@
   if (marjoram_ballot_compare (ballot, &acceptor->promised) < 0)
     return false;
   acceptor->promised = *ballot;
-  hold (acceptor, ballot, value);
+  set_accepted (acceptor, ballot, value);
   return true;
 }
 
-/* Safe against any promise: whoever was promised reads a quorum, which already
-   holds this chosen value.  */
+/* May ignore promises: a proposer that was promised a higher ballot reads a
+   quorum, which already contains the chosen value.  */
 bool
 marjoram_acceptor_learn (struct marjoram_acceptor *acceptor,
                          const struct marjoram_ballot *ballot,
@@ -238,13 +239,13 @@
     return false;
   if (marjoram_ballot_compare (ballot, &acceptor->promised) > 0)
     acceptor->promised = *ballot;
-  hold (acceptor, ballot, value);
+  set_accepted (acceptor, ballot, value);
   return true;
 }
 
 static bool
-majority (const struct marjoram_array *votes,
-          const struct marjoram_array *members)
+has_majority (const struct marjoram_array *votes,
+              const struct marjoram_array *members)
 {
   const struct marjoram_keeper_member *items = members->items;
   size_t count = 0;
@@ -259,10 +260,10 @@
 marjoram_quorum (const struct marjoram_array *votes,
                  const struct marjoram_state *state)
 {
-  if (!majority (votes, &state->members))
+  if (!has_majority (votes, &state->members))
     return false;
   return state->next_members.count == 0
-         || majority (votes, &state->next_members);
+         || has_majority (votes, &state->next_members);
 }
 
 void
@@ -360,7 +361,8 @@
 }
 
 static bool
-all (const struct marjoram_array *votes, const struct marjoram_array *members)
+has_all_members (const struct marjoram_array *votes,
+                 const struct marjoram_array *members)
 {
   const struct marjoram_keeper_member *items = members->items;
 
@@ -376,7 +378,7 @@
   const struct marjoram_state *state = attempt->proposed->state;
 
   if (marjoram_value_is_founding (attempt->proposed))
-    return all (&attempt->votes, &state->members);
+    return has_all_members (&attempt->votes, &state->members);
   return marjoram_quorum (&attempt->votes, attempt->best->state)
          && marjoram_quorum (&attempt->votes, state);
 }
--- a/src/register.h
+++ b/src/register.h
@@ -1,14 +1,15 @@
-/* The rules of the replicated register, without messages: ballots, acceptors,
-   quorums, and the two phases of one attempt to replace the value.  A value is
-   a whole state; it names the keepers whose majority chooses it, and during a
-   change of members it needs a majority of the old and of the new ones.  */
+/* Paxos rules of the replicated register, without messaging: ballots,
+   acceptors, quorums, and the prepare and accept phases of one attempt to
+   replace the value.  A value is a complete state and lists the member keepers
+   that choose it by majority.  During a membership change it needs a majority
+   of both the old and the new members.  */
 #ifndef MARJORAM_REGISTER_H
 #define MARJORAM_REGISTER_H
 
 #include "state.h"
 
-/* Used once: a proposer never repeats a round within a life of its store, and
-   a life's incarnation and the store's id belong to no other.  */
+/* Ballots are unique: a proposer does not reuse a round within one incarnation
+   of its store, and incarnation and store id identify that run.  */
 struct marjoram_ballot
 {
   uint64_t round;
@@ -19,49 +20,49 @@
 int marjoram_ballot_compare (const struct marjoram_ballot *a,
                              const struct marjoram_ballot *b);
 
-/* An immutable state and its packed form, with a reference count.  */
+/* An immutable, reference-counted state with its packed form.  */
 typedef struct marjoram_value marjoram_value;
 
-/* A cryptographic hash of a value's packed form, which stands for it: another
-   value's is another one.  Zero for no value.  */
+/* A cryptographic hash that identifies a value by its packed form.  Zero
+   stands for no value.  */
 struct marjoram_value_mark
 {
   uint64_t high;
   uint64_t low;
 };
 
-/* Takes over STATE.  */
+/* Takes ownership of STATE.  */
 marjoram_value *marjoram_value_create (struct marjoram_state *state);
-/* Null with ERR set if PACKED is no state.  */
+/* Returns null and sets ERR if PACKED is not a valid state.  */
 marjoram_value *marjoram_value_unpack (marjoram_bytes *packed,
                                        struct marjoram_error *err);
 marjoram_value *marjoram_value_retain (marjoram_value *value);
-/* A null pointer is allowed.  */
+/* VALUE may be null.  */
 void marjoram_value_release (marjoram_value *value);
 const struct marjoram_state *
 marjoram_value_state (const marjoram_value *value);
-/* Still owned by VALUE.  */
+/* The result is owned by VALUE.  */
 marjoram_bytes *marjoram_value_packed (const marjoram_value *value);
 struct marjoram_value_mark marjoram_value_mark (marjoram_value *value);
 bool marjoram_value_mark_equal (const struct marjoram_value_mark *a,
                                 const struct marjoram_value_mark *b);
-/* The packed form compressed, against that of BASE unless it is null; made
-   once.  Still owned by VALUE, for the last base only.  */
+/* Returns the compressed packed form, or a delta against BASE unless that is
+   null.  The result is cached and owned by VALUE; only the delta against the
+   most recent base is retained.  */
 marjoram_bytes *marjoram_value_compressed (marjoram_value *value,
                                            marjoram_value *base);
-/* Null equals null only.  */
+/* Compares packed forms.  Null is equal to null only.  */
 bool marjoram_value_equal (const marjoram_value *a, const marjoram_value *b);
-/* 0 for null.  */
+/* Returns the state's number, or 0 if VALUE is null.  */
 uint64_t marjoram_value_number (const marjoram_value *value);
 
-/* Whether VALUE has no changes yet, only the stores of the first keepers.  A
-   disk may be lost before or after such a value was accepted there, and comes
-   back as another store; counted by majorities, two founding values could both
-   win with its help.  So each needs all keepers, in both phases, and until one
-   is chosen a later one may take its place.  */
+/* Returns true if VALUE lists the stores of the first keepers and contains no
+   changes.  Such a value needs all keepers in both phases: a keeper that loses
+   its disk comes back with a new store id and could help two founding values
+   to a majority each.  Until one is chosen, a later one may replace it.  */
 bool marjoram_value_is_founding (const marjoram_value *value);
 
-/* What one keeper has promised and accepted; durable before it is told.  */
+/* Acceptor state of one keeper.  Must be durable before a reply is sent.  */
 struct marjoram_acceptor
 {
   struct marjoram_ballot promised;
@@ -69,21 +70,23 @@
   marjoram_value *value;
 };
 
-/* Whether BALLOT is promised, so that no lower one will be accepted.  */
+/* Promises to accept no ballot below BALLOT.  Returns false if a higher ballot
+   was already promised.  */
 bool marjoram_acceptor_prepare (struct marjoram_acceptor *acceptor,
                                 const struct marjoram_ballot *ballot);
 bool marjoram_acceptor_accept (struct marjoram_acceptor *acceptor,
                                const struct marjoram_ballot *ballot,
                                marjoram_value *value);
-/* Takes a value known to be chosen at BALLOT, whatever was promised; false if
-   a later one is held.  */
+/* Stores a value known to be chosen at BALLOT, regardless of promises.
+   Returns false if a value with the same or a higher ballot is present.  */
 bool marjoram_acceptor_learn (struct marjoram_acceptor *acceptor,
                               const struct marjoram_ballot *ballot,
                               marjoram_value *value);
 
-/* Whether VOTES, a list of members, hold a majority of the members of STATE,
-   and of its next ones.  A slot with another store than the member's does not
-   count: that disk has forgotten what the member promised.  */
+/* Returns true if VOTES, a list of members, contains a majority of STATE's
+   members and, during a membership change, of its next members.  A vote with a
+   store id other than the member's does not count, since a new store lacks the
+   member's promises.  */
 bool marjoram_quorum (const struct marjoram_array *votes,
                       const struct marjoram_state *state);
 
@@ -94,41 +97,44 @@
   MARJORAM_PHASE_ACCEPT
 };
 
-/* One proposer's attempt.  */
+/* One proposal attempt.  */
 struct marjoram_attempt
 {
   enum marjoram_phase phase;
   struct marjoram_ballot ballot;
-  struct marjoram_array votes;    /* of the phase's answers */
+  struct marjoram_array votes;    /* received in the current phase */
   struct marjoram_array promised; /* ACCEPT: the votes of PREPARE */
   struct marjoram_ballot best_ballot;
-  marjoram_value *best; /* the highest accepted value that was read */
+  marjoram_value *best; /* accepted value with the highest ballot seen */
   marjoram_value *proposed;
 };
 
 void marjoram_attempt_start (struct marjoram_attempt *attempt,
                              const struct marjoram_ballot *ballot);
 void marjoram_attempt_stop (struct marjoram_attempt *attempt);
-/* ACCEPTED and VALUE are what the voter had accepted; VALUE may be null.  */
+/* Records a promise.  ACCEPTED and VALUE are the ballot and value that the
+   voter had accepted; VALUE may be null.  */
 void marjoram_attempt_promised (struct marjoram_attempt *attempt,
                                 const char *slot, const char *store_id,
                                 const struct marjoram_ballot *accepted,
                                 marjoram_value *value);
-/* Whether the read is whole: a quorum of the highest value that was found.  A
-   founding value is built upon only if it is CHOSEN, the one known to be.  */
+/* Returns true if the promises form a quorum of the members of the best value.
+   A founding value must also equal CHOSEN, the value known to be chosen.  */
 bool marjoram_attempt_read (const struct marjoram_attempt *attempt,
                             const marjoram_value *chosen);
-/* Whether each slot of FIRST promised and none holds more than a founding
-   value: only then may one be formed, so that emptied disks can't form a
-   second one beside a keeper that remembers what the first became.  */
+/* Returns true if a founding value may be proposed: every slot of FIRST has
+   promised, and no value beyond a founding one was reported.  This keeps
+   keepers with empty disks from starting a second history next to an existing
+   one.  */
 bool marjoram_attempt_may_form (const struct marjoram_attempt *attempt,
                                 char *const *first, size_t count);
 void marjoram_attempt_propose (struct marjoram_attempt *attempt,
                                marjoram_value *value);
 void marjoram_attempt_accepted (struct marjoram_attempt *attempt,
                                 const char *slot, const char *store_id);
-/* Whether the proposed value is chosen: accepted by a quorum of its own
-   members and of those of the value before it; a founding value by all.  */
+/* Returns true if the proposed value is chosen: accepted by a quorum both of
+   its own members and of its predecessor's.  A founding value must be accepted
+   by all its members.  */
 bool marjoram_attempt_chosen (const struct marjoram_attempt *attempt);
 
 #endif
