--- a/src/agree.c
+++ b/src/agree.c
@@ -7,11 +7,11 @@
 
 /* ---- Configuration.  ---- */
 
-/* Where this host stands in the configuration.  Claims and orders are made
-   when it first has a slot; a later change of the number of its zone's slots
-   is taken up by restarting the zone's hosts one by one.  */
+/* Looks up this host's slot in the configuration.  Claims and orders are
+   created when a slot is first found; a later change of the zone's slot count
+   takes effect when the zone's hosts are restarted one by one.  */
 static void
-find_self (marjoram_host *host)
+locate_self (marjoram_host *host)
 {
   int index = marjoram_config_find_slot (host->config, host->settings->slot);
 
@@ -22,7 +22,7 @@
     {
       marjoram_log (MARJORAM_LOG_WARNING,
                     "configuration %llu has no slot %s in zone %s; add it to "
-                    "the operators' files or mend [host]",
+                    "the operators' files or correct the [host] section",
                     (unsigned long long)marjoram_config_number (host->config),
                     host->settings->slot, host->settings->zone);
       host->zone = -1;
@@ -35,7 +35,8 @@
 }
 
 static void
-adopt (marjoram_host *host, int64_t now, const struct marjoram_state *state)
+apply_configuration (marjoram_host *host, int64_t now,
+                     const struct marjoram_state *state)
 {
   struct marjoram_error err = { 0 };
   marjoram_config *config;
@@ -47,7 +48,7 @@
   config = marjoram_config_create (state, NULL, &err);
   if (!config)
     {
-      marjoram_log (MARJORAM_LOG_ERROR, "configuration %llu not taken: %s",
+      marjoram_log (MARJORAM_LOG_ERROR, "configuration %llu rejected: %s",
                     (unsigned long long)state->number, err.message);
       return;
     }
@@ -56,15 +57,15 @@
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_CONFIG_APPLIED, 1);
   marjoram_log (MARJORAM_LOG_NOTICE, "configuration %llu is in force",
                 (unsigned long long)state->number);
-  find_self (host);
+  locate_self (host);
   marjoram_router_configure (host->router, now, config);
   marjoram_links_plan (host);
   marjoram_links_tell (host, now);
 }
 
 static void
-spread_ask (void *context, const char *slot,
-            const struct marjoram_state_ask *ask)
+on_spread_ask (void *context, const char *slot,
+               const struct marjoram_state_ask *ask)
 {
   marjoram_host *host = context;
 
@@ -72,8 +73,8 @@
 }
 
 static void
-spread_piece (void *context, const char *slot,
-              const struct marjoram_state_piece *piece)
+on_spread_piece (void *context, const char *slot,
+                 const struct marjoram_state_piece *piece)
 {
   marjoram_host *host = context;
 
@@ -81,15 +82,15 @@
 }
 
 static void
-spread_adopted (void *context, const struct marjoram_state *state)
+on_spread_adopted (void *context, const struct marjoram_state *state)
 {
   marjoram_host *host = context;
 
-  adopt (host, host->now, state);
+  apply_configuration (host, host->now, state);
 }
 
 static const struct marjoram_spread_ops spread_ops
-    = { spread_ask, spread_piece, spread_adopted };
+    = { on_spread_ask, on_spread_piece, on_spread_adopted };
 
 marjoram_spread *
 marjoram_host_create_spread (marjoram_host *host, int64_t now)
@@ -136,8 +137,8 @@
   marjoram_apply_answered (context, request, answer);
 }
 
-/* A state that does not fit into one frame could be agreed on, but not be
-   taken by any host.  */
+/* Rejects states that exceed one frame: the keepers could choose them, but no
+   host could receive them.  */
 static bool
 fits_frame (const struct marjoram_state *state, struct marjoram_error *err)
 {
@@ -149,9 +150,8 @@
   if (size <= MARJORAM_STATE_MAX)
     return true;
   return marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
-                             "the files together have %zu bytes, over the "
-                             "16 MiB that hosts can hand on; make them "
-                             "smaller",
+                             "files total %zu bytes, over the 16 MiB limit of "
+                             "a state transfer; make them smaller",
                              size);
 }
 
