--- a/src/agreed.c
+++ b/src/agreed.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The list that has no zones, as names can't be "none".  */
+/* Text of an empty zone list.  */
 #define NO_ZONES ""
 
 struct marjoram_names
--- a/src/agreed.h
+++ b/src/agreed.h
@@ -1,5 +1,5 @@
-/* What hosts and keepers read from the agreed state: the routes and the
-   evacuated zones, each one file of the register.  */
+/* Accessors for the routes and the evacuated zones, each stored as one file of
+   the replicated state.  */
 #ifndef MARJORAM_AGREED_H
 #define MARJORAM_AGREED_H
 
@@ -10,18 +10,20 @@
 #define MARJORAM_FILE_ROUTES "routes"
 #define MARJORAM_FILE_EVACUATIONS "evacuations"
 
-/* The evacuated zones of STATE, which may be null; to be cleared.  */
+/* Returns the evacuated zones of STATE, which may be null.  The caller frees
+   the result with marjoram_names_clear.  */
 struct marjoram_names
 marjoram_agreed_evacuations (const struct marjoram_state *state);
 bool marjoram_agreed_is_evacuated (const struct marjoram_names *zones,
                                    const char *zone);
-/* The file that adds ZONE to the evacuated ones of STATE, or takes it off; its
-   version is one higher.  To be cleared with marjoram_file_layout.  */
+/* Fills FILE with the next version of the evacuations file, with ZONE added
+   or, if EVACUATED is false, removed.  STATE may be null.  The caller clears
+   FILE through marjoram_file_layout.  */
 void marjoram_agreed_evacuate (const struct marjoram_state *state,
                                const char *zone, bool evacuated,
                                struct marjoram_file *file);
-/* The routes in STATE; null if there are none, or with ERR set if they can't
-   be read.  */
+/* Parses the routes in STATE, which may be null.  Returns null if there are
+   none, or with ERR set if they are invalid.  */
 struct marjoram_route_table *
 marjoram_agreed_routes (const struct marjoram_state *state,
                         const struct marjoram_dialect *dialect,
