--- a/test/test_register.c
+++ b/test/test_register.c
@@ -1,5 +1,5 @@
-/* The rules of the register one by one, and schedules of three or four keepers
-   that random ones meet too rarely to rely on.  */
+/* Unit tests of the register rules, and fixed schedules of three or four
+   keepers that random schedules rarely reach.  */
 #include "suite.h"
 
 #include "change.h"
@@ -19,7 +19,7 @@
 };
 
 static struct marjoram_state *
-state_of (const char *members, const char *next)
+make_state (const char *members, const char *next)
 {
   struct marjoram_state *state = marjoram_state_copy (NULL);
   const struct marjoram_change change = { .id = (char *)"earlier" };
@@ -41,7 +41,7 @@
 }
 
 static struct marjoram_array
-votes_of (const char *slots)
+make_votes (const char *slots)
 {
   struct marjoram_array votes = { NULL, 0 };
   char name[2] = "";
@@ -71,8 +71,8 @@
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
       struct marjoram_state *state
-          = state_of (cases[i].members, cases[i].next);
-      struct marjoram_array votes = votes_of (cases[i].votes);
+          = make_state (cases[i].members, cases[i].next);
+      struct marjoram_array votes = make_votes (cases[i].votes);
 
       ck_assert_msg (marjoram_quorum (&votes, state) == cases[i].quorum,
                      "case %zu", i);
@@ -82,13 +82,12 @@
 }
 END_TEST
 
-/* A keeper's disk is lost and its machine comes back with an empty one.  Were
-   its slot counted, a majority could be made of keepers that have forgotten
-   what they accepted.  */
+/* A keeper that restarts with an empty disk must not count as the member it
+   replaces: it has lost the promises and values that it had accepted.  */
 START_TEST (emptied_disk_does_not_count)
 {
-  struct marjoram_state *state = state_of ("abc", "");
-  struct marjoram_array votes = votes_of ("a");
+  struct marjoram_state *state = make_state ("abc", "");
+  struct marjoram_array votes = make_votes ("a");
 
   marjoram_voters_add (&votes, "b", "another store");
   ck_assert (!marjoram_quorum (&votes, state));
@@ -97,16 +96,16 @@
 }
 END_TEST
 
-/* The old members are dropped while most of them still wait for the step
-   before.  Chosen by the new ones alone, the drop would be unknown to an old
-   majority, which could go on and choose something else.  */
+/* Removing old members needs a majority of the old set as well as of the new
+   one.  Otherwise an old majority that missed the change could choose a
+   different value.  */
 START_TEST (dropping_old_members_needs_them_too)
 {
   struct marjoram_attempt attempt = { .phase = MARJORAM_PHASE_IDLE };
   const struct marjoram_ballot ballot = { 2, 1, 1 };
   const struct marjoram_ballot before = { 1, 1, 1 };
-  marjoram_value *joint = marjoram_value_create (state_of ("abc", "ade"));
-  marjoram_value *dropped = marjoram_value_create (state_of ("ade", ""));
+  marjoram_value *joint = marjoram_value_create (make_state ("abc", "ade"));
+  marjoram_value *dropped = marjoram_value_create (make_state ("ade", ""));
 
   marjoram_attempt_start (&attempt, &ballot);
   marjoram_attempt_promised (&attempt, "b", "b", &before, joint);
@@ -124,10 +123,9 @@
 }
 END_TEST
 
-/* Two of three keepers took up a first state that the third had not seen; then
-   one lost its disk, came back empty and helped the third to take up another.
-   Both had majorities.  A first state needs all keepers, and nothing is built
-   on one that is not known chosen.  */
+/* A founding value must be accepted by all keepers and must not be built upon
+   until it is known to be chosen.  With majorities, a keeper that lost its
+   disk could help a second founding value to be chosen.  */
 START_TEST (founding_value_needs_all)
 {
   static char *const first[] = { (char *)"a", (char *)"b", (char *)"c" };
@@ -161,8 +159,8 @@
 
 START_TEST (replacement_keeps_old_members_beside_new_ones)
 {
-  struct marjoram_state *state = state_of ("abc", "");
-  struct marjoram_array votes = votes_of ("bd");
+  struct marjoram_state *state = make_state ("abc", "");
+  struct marjoram_array votes = make_votes ("bd");
 
   ck_assert_int_eq (marjoram_change_replace (state, "id", "c", "d", "d"),
                     MARJORAM_CHANGE_ACCEPTED);
@@ -176,8 +174,8 @@
 }
 END_TEST
 
-/* A few keepers whose messages are passed on at once, but for those that a
-   test holds back.  */
+/* Keepers connected by a network that delivers messages immediately, unless
+   the test's filter drops them.  */
 struct net;
 
 struct peer
@@ -191,7 +189,7 @@
   marjoram_bytes *record;
 };
 
-struct flight
+struct packet
 {
   int from, to;
   struct marjoram_keeper_message *message;
@@ -202,14 +200,14 @@
   struct peer peers[KEEPERS];
   marjoram_random *random;
   int64_t now;
-  struct flight flights[256];
-  size_t flight_count;
-  bool (*passes) (struct net *net, const struct flight *flight);
+  struct packet packets[256];
+  size_t packet_count;
+  bool (*filter) (struct net *net, const struct packet *packet);
   bool disks_stall;
   struct marjoram_ballot prepares[PREPARES_MAX];
   size_t prepare_count;
   int accepts;
-  bool first_accept_has_next; /* members */
+  bool first_accept_has_next; /* whether it lists next members */
   int answers;
   enum marjoram_apply_outcome outcome;
   enum marjoram_change_result result;
@@ -217,7 +215,7 @@
 };
 
 static void
-watch (struct net *net, const struct marjoram_keeper_message *message)
+record_message (struct net *net, const struct marjoram_keeper_message *message)
 {
   marjoram_value *value;
 
@@ -239,17 +237,17 @@
 {
   struct peer *peer = context;
   struct net *net = peer->net;
-  struct flight flight = { peer->index, slot[1] - '0', NULL };
+  struct packet packet = { peer->index, slot[1] - '0', NULL };
   marjoram_bytes *packed
       = marjoram_wire_pack (&marjoram_keeper_layout, message);
 
-  watch (net, message);
-  flight.message = marjoram_wire_unpack (&marjoram_keeper_layout,
+  record_message (net, message);
+  packet.message = marjoram_wire_unpack (&marjoram_keeper_layout,
                                          marjoram_bytes_data (packed),
                                          marjoram_bytes_size (packed), NULL);
   marjoram_bytes_release (packed);
-  ck_assert_uint_lt (net->flight_count, 256);
-  net->flights[net->flight_count++] = flight;
+  ck_assert_uint_lt (net->packet_count, 256);
+  net->packets[net->packet_count++] = packet;
 }
 
 static void
@@ -334,19 +332,19 @@
 }
 
 static void
-pass_on (struct net *net)
+deliver_packets (struct net *net)
 {
-  for (size_t i = 0; i < net->flight_count; i++)
+  for (size_t i = 0; i < net->packet_count; i++)
     {
-      struct flight flight = net->flights[i];
-      marjoram_keeper *keeper = net->peers[flight.to].keeper;
+      struct packet packet = net->packets[i];
+      marjoram_keeper *keeper = net->peers[packet.to].keeper;
 
-      if (keeper && (!net->passes || net->passes (net, &flight)))
+      if (keeper && (!net->filter || net->filter (net, &packet)))
         marjoram_keeper_receive (keeper, net->now,
-                                 net->peers[flight.from].slot, flight.message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, flight.message);
+                                 net->peers[packet.from].slot, packet.message);
+      marjoram_wire_destroy (&marjoram_keeper_layout, packet.message);
     }
-  net->flight_count = 0;
+  net->packet_count = 0;
 }
 
 static void
@@ -357,12 +355,12 @@
       {
         if (net->peers[i].keeper)
           marjoram_keeper_tick (net->peers[i].keeper, net->now);
-        pass_on (net);
+        deliver_packets (net);
       }
 }
 
 static struct net *
-make_net (void)
+create_net (void)
 {
   struct net *net = marjoram_alloc (sizeof *net);
 
@@ -385,8 +383,8 @@
 static void
 destroy_net (struct net *net)
 {
-  net->passes = NULL;
-  pass_on (net);
+  net->filter = NULL;
+  deliver_packets (net);
   for (int i = 0; i < KEEPERS; i++)
     {
       stop (net, i);
@@ -406,35 +404,34 @@
 }
 
 static bool
-holds (struct net *net, int index, const char *id)
+has_change (struct net *net, int index, const char *id)
 {
   return marjoram_state_change (
       marjoram_keeper_state (net->peers[index].keeper), id);
 }
 
 static bool
-accepts_reach_only_k1 (struct net *net, const struct flight *flight)
+accepts_reach_only_k1 (struct net *net, const struct packet *packet)
 {
   (void)net;
-  if (flight->message->kind == MARJORAM_KEEPER_ACCEPT)
-    return flight->to == 1;
-  return flight->message->kind != MARJORAM_KEEPER_ACCEPTED;
+  if (packet->message->kind == MARJORAM_KEEPER_ACCEPT)
+    return packet->to == 1;
+  return packet->message->kind != MARJORAM_KEEPER_ACCEPTED;
 }
 
-/* k0 starts to replace k2 by k3 and stops when only k1 has accepted the step
-   with old and new members.  k1 reads it and goes on.  Dropping the old
-   members at once, it would build on a value that was never chosen: an old
-   majority may still choose another in its place.  */
+/* k0 fails during a membership change, when only k1 has accepted the joint
+   value.  k1 must get that value chosen before it removes the old members, as
+   an old majority could still choose another value in its place.  */
 START_TEST (old_members_stay_until_the_step_is_known_chosen)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
 
-  net->passes = accepts_reach_only_k1;
+  net->filter = accepts_reach_only_k1;
   marjoram_keeper_replace (net->peers[0].keeper, net->now, 1, "id", "k2",
                            "k3");
   run (net, 300);
   stop (net, 0);
-  net->passes = NULL;
+  net->filter = NULL;
   net->accepts = 0;
   run (net, 10000);
   ck_assert_int_gt (net->accepts, 1);
@@ -448,33 +445,32 @@
 END_TEST
 
 static bool
-nothing_passes (struct net *net, const struct flight *flight)
+drop_all (struct net *net, const struct packet *packet)
 {
   (void)net;
-  (void)flight;
+  (void)packet;
   return false;
 }
 
-/* A keeper asks for promises and loses power before its own is on disk; so
-   does its next life, and another keeper asks at the same time.  Two different
-   values under one ballot would both seem chosen.  */
+/* Ballots must stay unique when proposers restart before their promise is
+   durable.  Two values proposed with one ballot could both appear chosen.  */
 START_TEST (ballots_are_used_once)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
 
-  net->passes = nothing_passes;
+  net->filter = drop_all;
   net->disks_stall = true;
   net->prepare_count = 0;
-  for (int life = 0; life < 3; life++)
+  for (int restart = 0; restart < 3; restart++)
     {
       for (int i = 0; i < 2; i++)
         {
           size_t before = net->prepare_count;
 
           apply (net, i, "id", 1);
-          pass_on (net);
+          deliver_packets (net);
           ck_assert_uint_gt (net->prepare_count, before);
-          /* One stands for its copies to all keepers.  */
+          /* The PREPARE is sent to every keeper; record it once.  */
           net->prepare_count = before + 1;
         }
       stop (net, 0);
@@ -490,13 +486,12 @@
 }
 END_TEST
 
-/* An operator hurries: k2's disk is lost, and its repair is asked for before
-   the new store was heard.  Going by what was heard last, the lost store would
-   be "a keeper already" and the repair reported done; the next loss would then
-   stop all changes for good.  */
+/* A repair requested before the new store has announced itself must wait for
+   it.  Comparing with the lost store would report the repair as done, and the
+   next disk failure would leave the keepers without a majority.  */
 START_TEST (repair_waits_for_the_new_store)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
 
   lose_disk (net, 2);
   marjoram_keeper_replace (net->peers[0].keeper, net->now, 1, "id", "k2",
@@ -517,12 +512,12 @@
 }
 END_TEST
 
-/* Keepers k1 and k2 are gone for good, and a whole set of empty disks comes up
-   under the first keepers' names beside hosts that still have the state.  A
-   second first state would make them go back to number 1.  */
+/* Empty disks under the names of all first keepers must not create a new
+   founding value while other hosts still have the state: the number would
+   restart at 1.  */
 START_TEST (empty_disks_form_no_second_state)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
 
   for (int i = 0; i < FIRST; i++)
     lose_disk (net, i);
@@ -538,38 +533,37 @@
 }
 END_TEST
 
-/* A cut-off keeper is told to apply a change.  No other has seen it, and it
-   says so when the time is up; once back it must not bring the change.  A
-   keeper whose proposal did go out must not promise that.  */
+/* A change that reached no other keeper times out as NOT_RUN and must not be
+   applied later.  If its proposal was sent, the outcome must be UNKNOWN.  */
 START_TEST (says_not_run_only_when_proven)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
 
-  net->passes = nothing_passes;
+  net->filter = drop_all;
   apply (net, 0, "cut-off", 1);
   run (net, 11000);
   ck_assert_int_eq (net->outcome, MARJORAM_APPLY_NOT_RUN);
-  net->passes = NULL;
+  net->filter = NULL;
   run (net, 5000);
-  ck_assert (!holds (net, 1, "cut-off"));
+  ck_assert (!has_change (net, 1, "cut-off"));
 
-  net->passes = accepts_reach_only_k1;
+  net->filter = accepts_reach_only_k1;
   apply (net, 0, "half-way", 2);
   run (net, 11000);
   ck_assert_int_eq (net->outcome, MARJORAM_APPLY_UNKNOWN);
-  net->passes = NULL;
+  net->filter = NULL;
   run (net, 5000);
-  ck_assert (holds (net, 2, "half-way"));
+  ck_assert (has_change (net, 2, "half-way"));
   destroy_net (net);
 }
 END_TEST
 
-/* The confirmation is lost; the operator sends the change again, to another
-   keeper, after a later change.  It was applied once and is answered as it
-   was.  The same id with another file is a mistake and is told so.  */
+/* A change that is sent again with the same id, to another keeper, must not be
+   applied twice and gets the original answer.  The same id with different
+   content is rejected.  */
 START_TEST (answers_a_change_sent_again_as_before)
 {
-  struct net *net = make_net ();
+  struct net *net = create_net ();
   uint64_t number;
 
   apply (net, 0, "id", 1);
