--- a/test/fuzz.h
+++ b/test/fuzz.h
@@ -1,5 +1,5 @@
-/* Random input for the fuzz tests: bytes to be mutated, and messages of any
-   layout whose form is right.  */
+/* Random input for the fuzz tests: byte buffers to mutate, and messages that
+   are well-formed for a given layout.  */
 #ifndef MARJORAM_TEST_FUZZ_H
 #define MARJORAM_TEST_FUZZ_H
 
@@ -19,7 +19,7 @@
   SMALL_NUMBERS = 8
 };
 
-/* What is mutated.  */
+/* A buffer to mutate and its source of randomness.  */
 struct input
 {
   marjoram_random *random;
@@ -48,13 +48,14 @@
 static void fill_message (struct input *in,
                           const struct marjoram_layout *layout, char *base);
 
-/* Now and then a name that the decision modules know.  */
+/* Returns a random string of at most LIMIT bytes or, in about half of the
+   cases, a fixed name that the modules under test may know.  */
 static char *
 random_string (struct input *in, size_t limit)
 {
-  static const char *const known[]
+  static const char *const names[]
       = { "", "hba-1", "hba-1-a", "hba-1-b", "recipe-lm", "10.30.1.1:9" };
-  const char *name = known[below (in, sizeof known / sizeof *known)];
+  const char *name = names[below (in, sizeof names / sizeof *names)];
   size_t size = below (in, (limit < STRING_MAX ? limit : STRING_MAX) + 1);
   char *text;
 
@@ -80,9 +81,9 @@
 fill_array (struct input *in, const struct marjoram_field *field,
             struct marjoram_array *array)
 {
-  size_t most = field->limit < ITEMS_MAX ? field->limit : ITEMS_MAX;
+  size_t max_items = field->limit < ITEMS_MAX ? field->limit : ITEMS_MAX;
 
-  array->count = below (in, most + 1);
+  array->count = below (in, max_items + 1);
   array->items = marjoram_alloc (array->count * field->layout->size);
   for (size_t i = 0; i < array->count; i++)
     fill_message (in, field->layout,
@@ -96,32 +97,32 @@
   for (size_t i = 0; i < layout->field_count; i++)
     {
       const struct marjoram_field *field = &layout->fields[i];
-      char *place = base + field->offset;
+      char *target = base + field->offset;
       marjoram_auto_free char *text = NULL;
 
       switch (field->kind)
         {
         case MARJORAM_FIELD_UINT:
-          *(uint64_t *)place = random_number (in);
+          *(uint64_t *)target = random_number (in);
           break;
         case MARJORAM_FIELD_INT:
-          *(int64_t *)place = -(int64_t)(random_number (in) / 2);
+          *(int64_t *)target = -(int64_t)(random_number (in) / 2);
           break;
         case MARJORAM_FIELD_BOOL:
-          *(bool *)place = below (in, 2) != 0;
+          *(bool *)target = below (in, 2) != 0;
           break;
         case MARJORAM_FIELD_STRING:
           if (below (in, 4))
-            *(char **)place = random_string (in, field->limit);
+            *(char **)target = random_string (in, field->limit);
           break;
         case MARJORAM_FIELD_BYTES:
           text = random_string (in, field->limit);
           if (below (in, 4))
-            *(marjoram_bytes **)place
+            *(marjoram_bytes **)target
                 = marjoram_bytes_create (text, strlen (text));
           break;
         case MARJORAM_FIELD_ARRAY:
-          fill_array (in, field, (struct marjoram_array *)place);
+          fill_array (in, field, (struct marjoram_array *)target);
           break;
         }
     }
--- a/test/test_fuzz_message.c
+++ b/test/test_fuzz_message.c
@@ -1,4 +1,4 @@
-/* Messages from peers whose form is right and whose content is not.  */
+/* Fuzz test of well-formed peer messages with invalid content.  */
 #include "fuzz.h"
 #include "suite.h"
 
@@ -18,7 +18,7 @@
   HOUR_MS = 3600 * 1000
 };
 
-/* The decision modules of one host, which peers can send messages to.  */
+/* The modules of one host that process messages from peers.  */
 struct host
 {
   marjoram_claims *claims;
@@ -28,7 +28,7 @@
   marjoram_members *members;
   marjoram_router *router;
   marjoram_random *random;
-  uint64_t written; /* the keeper's last ticket */
+  uint64_t pending_ticket; /* ticket of the last record to persist */
 };
 
 static void
@@ -81,7 +81,7 @@
 keeper_persist (void *context, uint64_t ticket, marjoram_bytes *record)
 {
   (void)record;
-  ((struct host *)context)->written = ticket;
+  ((struct host *)context)->pending_ticket = ticket;
 }
 
 static void
@@ -187,9 +187,9 @@
   marjoram_claims_tick (host->claims, now, HOUR_MS + now);
   marjoram_orders_tick (host->orders, now);
   marjoram_keeper_tick (host->keeper, now);
-  if (host->written)
-    marjoram_keeper_persisted (host->keeper, now, host->written, true);
-  host->written = 0;
+  if (host->pending_ticket)
+    marjoram_keeper_persisted (host->keeper, now, host->pending_ticket, true);
+  host->pending_ticket = 0;
   marjoram_suspects_tick (host->suspects, now);
   marjoram_members_tick (host->members, now, NULL, NULL);
 }
@@ -218,10 +218,9 @@
   return config;
 }
 
-/* A peer of another release, or one with a fault, sends messages whose form is
-   right and whose content makes no sense: missing names, ordinals and kinds
-   out of range, numbers without bound.  The decision modules must live on, and
-   whatever they send must stay within the layouts' limits.  */
+/* Messages with missing names, or with ordinals, kinds and numbers out of
+   range, must not crash a module or make it send a message that exceeds the
+   limits of its layout.  */
 START_TEST (decisions_survive_senseless_messages)
 {
   static const enum marjoram_frame_type types[]
