--- a/src/keeper.c
+++ b/src/keeper.c
@@ -108,8 +108,8 @@
     marjoram_keeper_start_attempt (keeper);
 }
 
-/* Brings all to rest: what this keeper told itself, news for the owner, and
-   the next write.  */
+/* Processes messages to itself, then delivers the chosen state and starts the
+   next write.  */
 static void
 settle (marjoram_keeper *keeper)
 {
@@ -226,9 +226,9 @@
 {
   if (name && name[0] && strlen (name) <= MARJORAM_NAME_MAX)
     return true;
-  return marjoram_error_set (
-      err, MARJORAM_ERROR_INVALID,
-      "change ids and slots have 1 to %d bytes; give them", MARJORAM_NAME_MAX);
+  return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
+                             "change ids and slots must have 1 to %d bytes",
+                             MARJORAM_NAME_MAX);
 }
 
 /* OLD is null where a further keeper is admitted.  */
@@ -314,7 +314,8 @@
     check_rolled_back (keeper, message);
   if (!peer)
     {
-      /* Tells that store what was seen of it.  */
+      /* Reports what was seen of that store, so that it can detect a
+         rollback.  */
       marjoram_keeper_post (
           keeper, marjoram_keeper_envelope_create (from, message->store_id,
                                                    MARJORAM_KEEPER_GREETED,
@@ -344,7 +345,8 @@
       value = marjoram_keeper_unwrap (keeper, message);
       if (!value)
         {
-          /* Tells the sender what is held here.  */
+          /* The heartbeat names the value held here, which the sender can
+             encode against.  */
           marjoram_keeper_greet (keeper, from, message->store_id);
           return;
         }
@@ -370,7 +372,8 @@
   keeper->writing = false;
   if (ok)
     {
-      /* The record holds all of the memory, what failed before included.  */
+      /* Each record is complete, so this one also covers writes that
+         failed.  */
       keeper->durable = ticket;
       keeper->broken = false;
     }
@@ -396,11 +399,11 @@
          const struct marjoram_keeper_request *request)
 {
   if (!keeper->chosen)
-    return "no first state was formed yet (all first keepers have to be up "
-           "together once)";
+    return "the configuration is not bootstrapped yet: all initial keepers "
+           "must be up at the same time once";
   if (!request->file.name && !request->read && !request->sent
       && !marjoram_keeper_ready_store (keeper, request))
-    return "the new keeper was not heard from, or does not hold the state yet";
+    return "the new keeper has not answered, or does not hold the state yet";
   return "no majority of the keepers answered in time";
 }
 
@@ -442,8 +445,8 @@
   return ours;
 }
 
-/* Not while a peer knows of a state that was not learned yet: it may be more
-   than a founding one.  */
+/* Bootstrapping is unsafe while a peer knows a state not learned yet: it may
+   be more than a founding one.  */
 bool
 marjoram_keeper_may_form (const marjoram_keeper *keeper)
 {
@@ -456,9 +459,9 @@
   return !keeper->formed;
 }
 
-/* What nobody else may finish: a first state, a value that a majority may have
-   accepted before all were restarted, a change of members whose proposer is
-   gone.  */
+/* Whether there may be unfinished work without a live proposer: bootstrapping,
+   a value that a majority may have accepted before a restart of all, or a
+   membership change.  */
 static bool
 unsettled (const marjoram_keeper *keeper)
 {
@@ -474,7 +477,7 @@
   return true;
 }
 
-/* Waits a random while, so that one keeper does it and not all at once.  */
+/* Randomized delay, so that keepers don't start competing attempts.  */
 static bool
 should_settle (marjoram_keeper *keeper)
 {
@@ -580,7 +583,7 @@
 marjoram_keeper_trouble (const marjoram_keeper *keeper)
 {
   if (keeper->broken)
-    return "a write to the data folder failed: no vote; mend the disk and "
+    return "a write to the data folder failed: no vote; repair the disk and "
            "restart this host";
   if (keeper->barred)
     return "the data folder was restored from an older copy: no vote; empty "
@@ -588,14 +591,15 @@
            "SLOT\"";
   if (!marjoram_keeper_current (keeper))
     return keeper->formed
-               ? "this disk is empty while others have a state: no vote; run "
+               ? "this store is empty while other keepers have a state: no "
+                 "vote; run "
                  "\"marjoramctl replace-keeper SLOT SLOT\""
-               : "no first state yet: all first keepers have to be up";
+               : "not bootstrapped yet: all initial keepers must be up";
   if (!is_member (keeper))
-    return "this store is no keeper: no vote; run \"marjoramctl "
-           "replace-keeper OLD "
-           "SLOT\" if it should be one";
+    return "this store is not a member: no vote; run \"marjoramctl "
+           "replace-keeper OLD SLOT\" if it should be one";
   if (!keeper->met)
-    return "no majority of the keepers was heard since the start: no vote yet";
+    return "no majority of the keepers has answered since the start: no vote "
+           "yet";
   return NULL;
 }
