--- a/src/keeper_accept.c
+++ b/src/keeper_accept.c
@@ -48,7 +48,6 @@
   return keeper->met && !keeper->barred && !keeper->broken;
 }
 
-/* The value whose members this keeper goes by.  */
 marjoram_value *
 marjoram_keeper_current (const marjoram_keeper *keeper)
 {
@@ -95,11 +94,10 @@
   return false;
 }
 
-/* After a start no vote is given before a majority has met this life of the
-   store: had the disk been restored from an older copy, one of them would
-   remember writes that it lacks.  The members that this disk names may have
-   been replaced since, so that waiting for them could last for ever; after a
-   while any keeper will do.  */
+/* After a start, no vote is given before a majority has seen this incarnation
+   of the store: if the disk was restored from an older copy, one of them
+   remembers writes that it lacks.  The members named on this disk may all have
+   been replaced, so after a timeout any one keeper is enough.  */
 void
 marjoram_keeper_check_met (marjoram_keeper *keeper)
 {
@@ -111,8 +109,8 @@
                 || (keeper->now >= keeper->met_by && met_any (keeper));
 }
 
-/* Given to the owner once it is on disk, so that no restart can bring back an
-   older one; a keeper whose disk failed still serves the newest.  */
+/* Delivered once durable, so that a restart can't go back to an older state.
+   After a failed write the latest state is delivered anyway.  */
 void
 marjoram_keeper_announce (marjoram_keeper *keeper)
 {
@@ -125,7 +123,7 @@
                        marjoram_value_state (keeper->announced));
 }
 
-/* News may come late, after a later value that contains this one; numbers grow
+/* A value may be learned after a later one that includes it; numbers increase
    along the chain of chosen values.  */
 void
 marjoram_keeper_learn (marjoram_keeper *keeper,
@@ -164,8 +162,8 @@
   struct marjoram_acceptor *acceptor = &keeper->acceptor;
   struct marjoram_ballot before = acceptor->promised;
 
-  /* An empty disk among hosts that have a configuration: it must not help to
-     form a second first state.  */
+  /* An empty store among hosts that have a configuration must not help to
+     bootstrap a second initial state.  */
   if (!marjoram_keeper_may_vote (keeper)
       || (keeper->formed && !acceptor->value))
     return;
@@ -222,8 +220,7 @@
       marjoram_value_release (value);
       return;
     }
-  /* The value itself was lost on its way: telling what is known here brings
-     it.  */
+  /* The value was lost in transit; a heartbeat makes the peer send it.  */
   marjoram_keeper_greet (keeper, envelope->slot, envelope->store_id);
 }
 
@@ -275,7 +272,8 @@
   marjoram_wire_destroy (&marjoram_keeper_record_layout, record);
   if (ok)
     return true;
-  return marjoram_error_set (err, MARJORAM_ERROR_CORRUPT,
-                             "the store's record is whole but can't be read; "
-                             "start the release that wrote it");
+  return marjoram_error_set (
+      err, MARJORAM_ERROR_CORRUPT,
+      "the stored record is intact but can't be decoded; "
+      "start the release that wrote it");
 }
