--- a/src/keeper_care.c
+++ b/src/keeper_care.c
@@ -8,15 +8,14 @@
 
 enum
 {
-  /* A store heard in a slot within this time is there now; greetings come once
-     a second.  */
+  /* A store heard from within this time is present; heartbeats are sent once a
+     second.  */
   HEARD_MS = 1500,
-  /* A member that is silent for longer gives its place to a spare keeper.  A
-     restart takes less, and a replaced machine must count as a member within
-     some four seconds.  */
+  /* A member silent for longer is replaced.  Longer than a restart takes, and
+     short enough to replace a machine within 4 s.  */
   SILENT_MS = 2200,
-  /* The first member acts first, the others later, so that they don't compete;
-     and no sooner again than a replacement takes.  */
+  /* Delay per rank of the member, so that members don't compete, and minimum
+     interval between requests, no shorter than a replacement takes.  */
   TURN_MS = 600,
   AGAIN_MS = 1500
 };
@@ -24,8 +23,9 @@
 struct marjoram_keeper_care
 {
   char *slot;
-  size_t members;   /* wanted */
-  int64_t found_at; /* since when the same change is due; 0: none is */
+  size_t members; /* target number */
+  int64_t
+      found_at; /* when the pending change was first needed; 0 if none is */
   int64_t asked_at;
   struct marjoram_keeper_change due;
 };
@@ -57,7 +57,7 @@
   snprintf (change->new, sizeof change->new, "%s", new);
 }
 
-/* Members of REGION that are there.  */
+/* Number of live members in REGION.  */
 static size_t
 members_in (const marjoram_keeper *keeper, const struct marjoram_state *state,
             marjoram_host_list *hosts, const char *region)
@@ -77,8 +77,8 @@
   return count;
 }
 
-/* A spare: a keeper that is heard and no member; of the region with the fewest
-   members, so that the loss of a region leaves a majority.  */
+/* A live keeper that is not a member, from the region with the fewest members,
+   so that a majority survives the loss of a region.  */
 static const char *
 find_spare (const marjoram_keeper *keeper, const struct marjoram_state *state,
             marjoram_host_list *hosts)
@@ -104,7 +104,7 @@
   return best;
 }
 
-/* A member whose slot has another store now.  */
+/* Finds a member whose slot has a different store.  */
 static bool
 find_lost_disk (const marjoram_keeper *keeper,
                 const struct marjoram_state *state,
@@ -148,8 +148,8 @@
   return true;
 }
 
-/* A keeper that starts empty at a new address knows of no other one, and none
-   of it: each would wait for the other's greeting.  */
+/* An empty keeper at a new address and the other keepers don't know each
+   other, so neither would send the first heartbeat.  */
 static void
 meet_new (marjoram_keeper *keeper, int64_t now, marjoram_host_list *hosts)
 {
@@ -198,7 +198,8 @@
       || (care->asked_at && now < care->asked_at + AGAIN_MS))
     return false;
   care->asked_at = now;
-  /* A change id is decided once; the state's number makes it a new one.  */
+  /* The state's number makes the id unique: a change id is decided only
+     once.  */
   snprintf (change->change_id, sizeof change->change_id,
             "care-%" PRIu64 "-%.32s", state->number, change->new);
   return true;
