--- a/src/keeper_mail.c
+++ b/src/keeper_mail.c
@@ -46,12 +46,11 @@
   return envelope;
 }
 
-/* One large message is on its way to a peer at a time; a further one is
-   dropped here, as if lost, and its sender asks again.  Without this a
-   connection slower than the repetition carries ever more copies, changes are
-   not answered and memory grows.  The greeting that follows a large message on
-   the same connection is answered only after it, and after a broken connection
-   over the next one; so this holds back no longer than the peer is silent.  */
+/* At most one large message is in flight to a peer; a further one is dropped
+   as if lost, and is requested again.  Otherwise a connection slower than the
+   resend interval queues ever more copies.  Connections keep the order, so an
+   answer to a heartbeat sent after the large message shows that the message,
+   or the connection that carried it, is gone.  */
 static bool
 may_go (marjoram_keeper *keeper, struct marjoram_keeper_peer *peer,
         const struct marjoram_keeper_message *message)
@@ -102,7 +101,6 @@
     keeper->ops->send (keeper->context, envelope->slot, &message);
 }
 
-/* Takes over LETTER.  */
 void
 marjoram_keeper_post (marjoram_keeper *keeper,
                       struct marjoram_keeper_envelope *envelope)
@@ -116,9 +114,8 @@
   marjoram_keeper_envelope_destroy (envelope);
 }
 
-/* An answer that rests on what the disk must hold goes out once it does.  A
-   keeper that answered first and then lost its memory would break a promise
-   that others had already built on.  */
+/* A promise or acceptance is sent only once it is durable; otherwise a crash
+   could break a vote that others have relied on.  */
 void
 marjoram_keeper_post_when_durable (marjoram_keeper *keeper,
                                    struct marjoram_keeper_envelope *envelope)
@@ -165,7 +162,6 @@
   return add_targets (targets, count, &state->next_members);
 }
 
-/* All slots that may be keepers, this one included.  */
 size_t
 marjoram_keeper_targets (const marjoram_keeper *keeper, const char **targets)
 {
@@ -214,8 +210,8 @@
     marjoram_keeper_greet (keeper, targets[i], NULL);
 }
 
-/* Not at the moment of the large message itself: an answer to an earlier
-   greeting of that moment could be taken for one to this.  */
+/* Not at the time of the large message itself: an answer to an earlier
+   heartbeat of that time could not be told apart.  */
 void
 marjoram_keeper_greet_busy (marjoram_keeper *keeper)
 {
@@ -246,7 +242,7 @@
                   &keeper->chosen_ballot, NULL, keeper->chosen));
 }
 
-/* PEER has answered our greeting of the time ECHO.  */
+/* PEER answered our heartbeat sent at time ECHO.  */
 static void
 take_echo (marjoram_keeper *keeper, struct marjoram_keeper_peer *peer,
            int64_t echo)
