--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -12,7 +12,7 @@
         0, NULL                                                               \
   }
 #define COUNT(array) (sizeof (array) / sizeof *(array))
-/* The three fields of a ballot that lies in MEMBER of a TYPE.  */
+/* The three fields of the ballot at MEMBER of TYPE.  */
 #define BALLOT_PART(type, member, part)                                       \
   {                                                                           \
     MARJORAM_FIELD_UINT,                                                      \
