--- a/src/keeper_parcel.c
+++ b/src/keeper_parcel.c
@@ -52,7 +52,7 @@
                 == 0;
 }
 
-/* States are large and come several times; one that is held is not unpacked
+/* States are large and repeated; one that is already held is not unpacked
    again.  */
 static marjoram_value *
 read_packed (const marjoram_keeper *keeper, marjoram_bytes *packed)
@@ -77,11 +77,11 @@
   return packed ? read_packed (keeper, packed) : NULL;
 }
 
-/* Against what the receiver itself says that it accepted last, as its number
-   would not tell two values apart that were proposed side by side.  Should it
-   hold that no more when the message comes, it can't read it and says at once
-   what it holds; the message counts as lost.  The mark and the checksum of the
-   compressed bytes keep it from reading another value.  */
+/* Encodes VALUE against the value that the receiver reported as last accepted.
+   The mark identifies that value, as the state number is not unique among
+   competing proposals.  A receiver that no longer holds it drops the message
+   and reports what it holds.  The mark and the checksum of the compressed data
+   prevent decoding to a different value.  */
 static void
 wrap_against (const marjoram_keeper *keeper,
               const struct marjoram_value_mark *held, marjoram_value *value,
