--- a/src/keeper_peer.c
+++ b/src/keeper_peer.c
@@ -50,7 +50,7 @@
   free (peer);
 }
 
-/* The list is in the order of the last message, oldest first.  */
+/* The list is ordered by time of last message, oldest first.  */
 static void
 drop_oldest (struct marjoram_keeper_peers *peers)
 {
