--- a/src/keeper_private.h
+++ b/src/keeper_private.h
@@ -1,7 +1,6 @@
-/* The parts of a keeper, shared by keeper.c (the owner's calls), keeper_mail.c
-   (messages), keeper_parcel.c (values in messages), keeper_accept.c (votes,
-   disk, what is chosen) and keeper_propose.c (attempts to replace the value).
- */
+/* Internals of a keeper, shared by keeper.c (public calls), keeper_mail.c
+   (messages), keeper_parcel.c (encoding of values), keeper_accept.c (acceptor,
+   disk, learning) and keeper_propose.c (proposer).  */
 #ifndef MARJORAM_KEEPER_PRIVATE_H
 #define MARJORAM_KEEPER_PRIVATE_H
 
@@ -14,8 +13,8 @@
 {
   MARJORAM_KEEPER_GREET_MS = 1000,
   MARJORAM_KEEPER_MEET_MS = 10000,
-  /* A peer silent for longer is not counted on for a first start, or as the
-     new keeper of a replacement.  */
+  /* A peer silent for longer is not relied on for bootstrapping, nor admitted
+     as the new keeper of a replacement.  */
   MARJORAM_KEEPER_ALIVE_MS = 3500,
   MARJORAM_KEEPER_LEARN_AGAIN_MS = 2000,
   MARJORAM_KEEPER_RESEND_MS = 500,
@@ -25,21 +24,21 @@
   MARJORAM_KEEPER_SETTLE_MS = 1000,
   MARJORAM_KEEPER_SETTLE_SPREAD_MS = 2000,
   MARJORAM_KEEPER_BATCH_MAX = 64,
-  /* A disk that was full, or refused a write, may take the next one.  */
+  /* A full or failing disk may accept the next write.  */
   MARJORAM_KEEPER_REWRITE_MS = 500,
   MARJORAM_KEEPER_TARGETS_MAX = 64,
-  /* Bytes; what fits into a few packets is not worth holding back or
-     compressing.  */
+  /* Bytes; messages up to this size are neither held back nor compressed.  */
   MARJORAM_KEEPER_SMALL = 4096
 };
 
-/* A message as it waits, for the disk or for this keeper itself.  */
+/* A message waiting for a disk write, or to be processed by this keeper
+   itself.  */
 struct marjoram_keeper_envelope
 {
   STAILQ_ENTRY (marjoram_keeper_envelope) link;
-  uint64_t after; /* the write that has to be durable */
-  char *slot;     /* of the other side */
-  char *store_id; /* of the other side, null if unknown */
+  uint64_t after; /* the write that must be durable first */
+  char *slot;     /* of the other keeper */
+  char *store_id; /* of the other keeper; null if unknown */
   uint64_t kind;
   int64_t echo;
   struct marjoram_ballot ballot;
@@ -62,36 +61,36 @@
   int64_t now;
 
   struct marjoram_acceptor acceptor;
-  marjoram_value *chosen; /* the highest known to be chosen */
+  marjoram_value *chosen; /* the latest value known to be chosen */
   struct marjoram_ballot chosen_ballot;
-  marjoram_value *former;    /* chosen before it; others may hold it still */
-  marjoram_value *announced; /* the one given to the owner */
-  marjoram_bytes *nothing;   /* no bytes, for values that need none */
+  marjoram_value *former; /* chosen before CHOSEN; peers may still hold it */
+  marjoram_value *announced; /* the one last delivered to the owner */
+  marjoram_bytes *nothing;   /* zero bytes, for MARJORAM_KEEPER_SAME */
   uint64_t announce_after;
 
-  uint64_t base;     /* writes on disk when this life began */
-  uint64_t sequence; /* of the last change in memory */
-  uint64_t durable;  /* of the last change on disk */
+  uint64_t base;     /* durable writes at the start of this incarnation */
+  uint64_t sequence; /* of the latest change in memory */
+  uint64_t durable;  /* of the latest durable change */
   bool writing;
-  bool broken;        /* a write failed: memory is ahead of the disk */
-  int64_t rewrite_at; /* when the failed write is tried again */
+  bool broken;        /* the last write failed: memory is ahead of the disk */
+  int64_t rewrite_at; /* when the failed write is retried */
   bool barred;        /* the store was restored from an older copy */
-  bool met;           /* a majority knows this life of the store */
-  int64_t met_by;     /* when fewer will do; 0 before the first event */
-  bool formed;        /* somewhere a change was chosen */
+  bool met;           /* a majority has seen this incarnation */
+  int64_t met_by;     /* when one peer is enough; 0 before the first event */
+  bool formed;        /* a state beyond the founding one exists */
 
   struct marjoram_keeper_peers peers;
   struct marjoram_keeper_requests requests;
-  struct marjoram_keeper_envelopes replies; /* until the disk is done */
+  struct marjoram_keeper_envelopes replies; /* waiting for a disk write */
   struct marjoram_keeper_envelopes inbox;   /* from this keeper to itself */
 
   struct marjoram_attempt attempt;
-  uint64_t round; /* the highest met */
+  uint64_t round; /* the highest ballot round seen */
   int failures;
   int64_t started_at;
   int64_t resend_at;
   int64_t retry_at;
-  int64_t settle_at; /* 0 while there is nothing to settle */
+  int64_t settle_at; /* 0 if there is no unfinished work */
   int64_t greet_at;
 };
 
@@ -103,60 +102,62 @@
 marjoram_keeper_envelope_destroy (struct marjoram_keeper_envelope *envelope);
 void
 marjoram_keeper_envelopes_clear (struct marjoram_keeper_envelopes *envelopes);
-/* keeper_parcel.c: puts VALUE into MESSAGE, as briefly as PEER can read it.
-   MESSAGE borrows from VALUE; PEER may be null.  */
+/* Encodes VALUE into MESSAGE in the most compact form that PEER can read; PEER
+   may be null.  MESSAGE borrows from VALUE.  */
 void marjoram_keeper_wrap (const marjoram_keeper *keeper,
                            const struct marjoram_keeper_peer *peer,
                            marjoram_value *value,
                            struct marjoram_keeper_message *message);
-/* The value in MESSAGE; null if it can't be read here.  */
+/* Decodes the value in MESSAGE; null if that is not possible here.  */
 marjoram_value *
 marjoram_keeper_unwrap (const marjoram_keeper *keeper,
                         const struct marjoram_keeper_message *message);
-/* Sends ENVELOPE and takes it over.  */
+/* Sends ENVELOPE and takes ownership of it.  */
 void marjoram_keeper_post (marjoram_keeper *keeper,
                            struct marjoram_keeper_envelope *envelope);
 void
 marjoram_keeper_post_when_durable (marjoram_keeper *keeper,
                                    struct marjoram_keeper_envelope *envelope);
-/* Fills TARGETS with all slots that may be keepers, this one included.  */
+/* Fills TARGETS with the slots of all possible keepers, including this one. */
 size_t marjoram_keeper_targets (const marjoram_keeper *keeper,
                                 const char **targets);
 /* STORE_ID is the receiver's, null if unknown.  */
 void marjoram_keeper_greet (marjoram_keeper *keeper, const char *slot,
                             const char *store_id);
 void marjoram_keeper_greet_all (marjoram_keeper *keeper);
-/* Greets those that were sent a large message since they were greeted.  */
+/* Sends a heartbeat to each peer that was sent a large message since its last
+   one.  */
 void marjoram_keeper_greet_busy (marjoram_keeper *keeper);
 
-/* The value whose members this keeper goes by, null before any.  */
+/* The value that defines the current members; null before any.  */
 marjoram_value *marjoram_keeper_current (const marjoram_keeper *keeper);
 bool marjoram_keeper_may_vote (const marjoram_keeper *keeper);
 void marjoram_keeper_check_met (marjoram_keeper *keeper);
 void marjoram_keeper_learn (marjoram_keeper *keeper,
                             const struct marjoram_ballot *ballot,
                             marjoram_value *value);
-/* Gives news to the owner, if there are any.  */
+/* Delivers the chosen state to the owner if it changed.  */
 void marjoram_keeper_announce (marjoram_keeper *keeper);
 /* Starts the next write, if one is due.  */
 void marjoram_keeper_flush (marjoram_keeper *keeper);
 bool marjoram_keeper_load (marjoram_keeper *keeper,
                            const marjoram_bytes *packed,
                            struct marjoram_error *err);
-/* Whether a first state may be formed, as far as this keeper knows.  */
+/* Whether bootstrapping is allowed, as far as this keeper knows.  */
 bool marjoram_keeper_may_form (const marjoram_keeper *keeper);
 void marjoram_keeper_answer_decided (marjoram_keeper *keeper);
 
-/* A majority has confirmed the chosen state: answers the reads that came
-   before the attempt that did so.  */
+/* A majority has confirmed the chosen state: answers the reads that were
+   received before the attempt started.  */
 void marjoram_keeper_answer_reads (marjoram_keeper *keeper);
 void marjoram_keeper_start_attempt (marjoram_keeper *keeper);
 void marjoram_keeper_fail_attempt (marjoram_keeper *keeper);
-/* Asks each target that has not answered in this phase.  */
+/* Sends the current phase's request to each target that has not answered
+   it.  */
 void marjoram_keeper_ask_phase (marjoram_keeper *keeper);
-/* The store that REQUEST would admit: it answered a greeting sent since the
-   request came, and holds all that is known chosen.  Null if it is not
-   ready.  */
+/* The id of the store that REQUEST would admit; null unless it has answered a
+   heartbeat sent after the request was received, and holds the latest chosen
+   state.  */
 const char *
 marjoram_keeper_ready_store (const marjoram_keeper *keeper,
                              const struct marjoram_keeper_request *request);
