--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Asks SLOT what this phase asks.  */
+/* Sends the current phase's request to SLOT.  */
 static void
 ask (marjoram_keeper *keeper, const char *slot)
 {
@@ -19,7 +19,6 @@
                                     attempt->proposed));
 }
 
-/* Asks each target that has not answered in this phase.  */
 void
 marjoram_keeper_ask_phase (marjoram_keeper *keeper)
 {
@@ -64,8 +63,8 @@
                                  MARJORAM_KEEPER_BACKOFF_MS << doublings);
 }
 
-/* The stores that answered are the first members; a founding value that names
-   just these is proposed again.  */
+/* The stores that answered become the first members; an earlier founding value
+   with exactly these members is proposed again.  */
 static marjoram_value *
 founding_value (const marjoram_keeper *keeper)
 {
@@ -91,8 +90,6 @@
   return marjoram_value_retain (attempt->best);
 }
 
-/* The store to admit: heard lately and holding all that is known chosen.
-   Null if it is not ready.  */
 const char *
 marjoram_keeper_ready_store (const marjoram_keeper *keeper,
                              const struct marjoram_keeper_request *request)
@@ -103,7 +100,7 @@
     return NULL;
   if (strcmp (request->new, keeper->slot) == 0)
     return keeper->announced == keeper->chosen ? keeper->store_id : NULL;
-  /* A store last heard before the request may be the very one that was
+  /* A store last heard from before the request may be the one that was
      lost.  */
   peer = marjoram_keeper_peers_answered (&keeper->peers, request->new,
                                          request->received_at);
@@ -128,7 +125,7 @@
   return true;
 }
 
-/* Adds the changes that wait, in their order; a replacement goes alone.  */
+/* Adds pending changes in order; a membership change is proposed alone.  */
 static size_t
 add_changes (marjoram_keeper *keeper, struct marjoram_state *state)
 {
@@ -157,9 +154,9 @@
   return count;
 }
 
-/* Old members are dropped only where the step before is itself known to be
-   chosen: merely read, it might be replaced by another that still counts on
-   them.  */
+/* Old members are removed only once the joint membership is known to be
+   chosen.  If it was merely read, another value may still be chosen that
+   counts their votes.  */
 static marjoram_value *
 next_value (marjoram_keeper *keeper, marjoram_value *best)
 {
@@ -183,10 +180,10 @@
   return marjoram_value_retain (best);
 }
 
-/* Whether SLOT is asked to accept at once.  A large value waits for its
-   promise, which tells what is held there; what was known of that before may
-   be as old as a greeting, and the value would go whole.  A promise that never
-   comes is not waited for: the next repetition asks all.  */
+/* Whether the accept request to SLOT is sent without waiting for its promise.
+   A large value waits, as the promise names the value held there, against
+   which it can be compressed.  If no promise comes, the next resend covers
+   all.  */
 static bool
 asked_at_once (const struct marjoram_attempt *attempt, const char *slot)
 {
@@ -238,8 +235,7 @@
   marjoram_keeper_answer_reads (keeper);
 }
 
-/* The others are told first: they are named by values that learning may
-   release.  */
+/* Peers are notified first: learning may release the values that name them. */
 static void
 finish_write (marjoram_keeper *keeper)
 {
@@ -285,7 +281,7 @@
                              envelope->store_id, &envelope->accepted,
                              envelope->value);
   if (keeper->attempt.best != best)
-    keeper->resend_at = keeper->now; /* it may name further members */
+    keeper->resend_at = keeper->now; /* it may name more members */
   finish_read (keeper);
 }
 
