--- a/src/keeper_request.h
+++ b/src/keeper_request.h
@@ -1,4 +1,4 @@
-/* The changes that wait at one keeper, and the answers they get.  */
+/* Requests pending at one keeper, and their answers.  */
 #ifndef MARJORAM_KEEPER_REQUEST_H
 #define MARJORAM_KEEPER_REQUEST_H
 
@@ -11,7 +11,8 @@
 {
   MARJORAM_ANSWER_TEXT_MAX = 512,
   MARJORAM_KEEPER_APPLY_MS = 10000,
-  /* Two rounds through the farthest keepers, and a disk's sync in each.  */
+  /* Allows for two round trips to the farthest keepers, with a disk sync in
+     each.  */
   MARJORAM_KEEPER_READ_MS = 900,
   MARJORAM_KEEPER_REPLACE_MS = 20000
 };
@@ -21,19 +22,19 @@
   TAILQ_ENTRY (marjoram_keeper_request) link;
   uint64_t request;
   char *change_id;
-  struct marjoram_file file; /* no name: replaces a keeper */
+  struct marjoram_file file; /* without a name: a membership change */
   char *old;
   char *new;
   int64_t received_at;
   int64_t deadline;
-  bool sent;  /* part of a value that was sent out: may be chosen yet */
-  bool read;  /* asks for the newest state; no file, no replacement */
-  bool asked; /* READ: the attempt under way began after it came */
+  bool sent;  /* part of a value that was proposed: may still be chosen */
+  bool read;  /* a read: no file and no membership change */
+  bool asked; /* READ: received before the current attempt started */
 };
 
 TAILQ_HEAD (marjoram_keeper_requests, marjoram_keeper_request);
 
-/* FILE passed its check; it is copied, with its digest.  */
+/* FILE has been checked; it is copied, with its digest.  */
 void marjoram_keeper_requests_add_file (
     struct marjoram_keeper_requests *requests, uint64_t request,
     const char *change_id, const struct marjoram_file *file, int64_t now);
@@ -49,14 +50,14 @@
 void
 marjoram_keeper_requests_clear (struct marjoram_keeper_requests *requests);
 
-/* Whether STATE, which is chosen, decides REQUEST.  Fills ANSWER, whose
-   message is written to TEXT.  */
+/* Whether the chosen STATE decides REQUEST.  Fills ANSWER, whose message is
+   written to TEXT.  */
 bool
 marjoram_keeper_request_decided (const struct marjoram_keeper_request *request,
                                  const struct marjoram_state *state,
                                  struct marjoram_apply_answer *answer,
                                  char *text);
-/* The answer at the deadline; WHY tells what was missing.  */
+/* The answer when the deadline has passed; WHY is the reason.  */
 void marjoram_keeper_request_give_up (
     const struct marjoram_keeper_request *request, const char *why,
     struct marjoram_apply_answer *answer, char *text);
