--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -1,5 +1,5 @@
-/* The role of a keeper: agrees on the configuration with the other keepers,
-   hears upstreams and operators, tells all hosts.  */
+/* The keeper role: replicates the configuration with the other keepers, serves
+   upstreams and operators, and publishes state to all hosts.  */
 #include "keeper_role_private.h"
 
 #include "cleanup.h"
@@ -14,13 +14,13 @@
 {
   CARE_EVERY_MS = 200,
   TICK_KEEPER_MS = 100,
-  /* After the signal to stop, for answers to leave the sockets.  */
+  /* Time for answers to leave the sockets after a stop signal.  */
   LINGER_MS = 300,
   STATUS_OK = 200,
   STATUS_UNAVAILABLE = 503
 };
 
-/* Requests of the caretaker have numbers that the registrar never uses.  */
+/* Request number of automatic repairs; the registrar never uses it.  */
 #define CARE_REQUEST UINT64_MAX
 
 int64_t
@@ -82,7 +82,7 @@
                   answer->message ? answer->message : "");
 }
 
-/* What operators send is checked before it is proposed.  */
+/* Operators' files are validated before they are proposed.  */
 static bool
 op_valid (void *context, const struct marjoram_state *state,
           struct marjoram_error *err)
@@ -394,8 +394,8 @@
   options.store_id = marjoram_disk_id (self->disk);
   options.incarnation = marjoram_disk_incarnation (self->disk);
   options.record = marjoram_disk_read (self->disk);
-  /* A keeper that starts empty later on must not help to form a second first
-     state beside the one that the others hold.  */
+  /* Only on the first start of the deployment: an empty keeper that joins
+     later must not help to bootstrap a second initial state.  */
   if (settings->first_start)
     {
       options.first = (const char *const *)settings->seeds;
