--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -1,5 +1,5 @@
-/* The parts of the role keeper: keeper_role.c (tasks, course, members) and
-   keeper_tell.c (what it tells other hosts).  */
+/* Internals of the keeper role: keeper_role.c (event handling, repair,
+   lifecycle) and keeper_tell.c (messages to other hosts).  */
 #ifndef MARJORAM_KEEPER_ROLE_PRIVATE_H
 #define MARJORAM_KEEPER_ROLE_PRIVATE_H
 
@@ -21,7 +21,7 @@
   marjoram_disk *disk;
   marjoram_keeper *keeper;
   marjoram_keeper_care *care;
-  marjoram_crash_list *crashes; /* for hosts that have just started */
+  marjoram_crash_list *crashes; /* sent to hosts that have just started */
   int64_t cared_at;
   int64_t ticked_at;
   marjoram_state_giver *giver;
@@ -32,32 +32,34 @@
 int64_t marjoram_keeper_role_now (const struct marjoram_keeper_role *self);
 
 /* keeper_tell.c */
-/* There is a new state: to the hosts of this region at once.  */
+/* Announces a new state to the hosts of this region.  */
 void marjoram_keeper_tell_state (struct marjoram_keeper_role *self);
-/* News that tell something new, to all keepers and the hosts of the upstreams'
-   regions; returns to how many.  */
+/* Sends changes of upstreams to all keepers, and to the hosts in the
+   upstreams' regions.  Returns the number of recipients.  */
 size_t marjoram_keeper_tell_news (struct marjoram_keeper_role *self,
                                   const struct marjoram_news_batch *batch);
-/* That upstreams live, to the keepers and hosts of their regions.  */
+/* Sends registration renewals to the keepers and hosts in the upstreams'
+   regions.  */
 void marjoram_keeper_tell_renewals (struct marjoram_keeper_role *self,
                                     const struct marjoram_news_batch *batch);
-/* What is known, to a host whose session is new.  */
+/* Sends the known upstreams and crash reports to a host with a new session. */
 void marjoram_keeper_welcome (struct marjoram_keeper_role *self,
                               const char *host, uint64_t session,
                               const struct marjoram_host_beat *beat);
-/* Tells HOST of the newest state, if by its BEAT it lacks it.  */
+/* Announces the latest state to HOST if BEAT shows that it lacks it.  */
 void marjoram_keeper_offer_state (struct marjoram_keeper_role *self,
                                   const char *host, uint64_t session,
                                   const struct marjoram_host_beat *beat);
-/* Gives HOST the piece of the state that it asks for.  */
+/* Sends HOST the part of the state that it requested.  */
 void marjoram_keeper_give_state (struct marjoram_keeper_role *self,
                                  const char *host, uint64_t session,
                                  const struct marjoram_state_ask *ask);
-/* Counts what HOST repeated, and tells it what all hosts did, if it asks.  */
+/* Adds the retries that HOST reports, and replies with the totals over all
+   hosts if it asks for them.  */
 void marjoram_keeper_tell_repeats (struct marjoram_keeper_role *self,
                                    const char *host, uint64_t session,
                                    const struct marjoram_host_beat *beat);
-/* A host's report, for the hosts of this region too.  */
+/* Stores a host's crash report and forwards it to the hosts of this region. */
 void marjoram_keeper_hear_crashes (struct marjoram_keeper_role *self,
                                    const char *host,
                                    const struct marjoram_crash_report *report);
