--- a/src/keeper_tell.c
+++ b/src/keeper_tell.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* ---- The state.  ---- */
+/* ---- State.  ----  */
 
 static void
 hold_newest (struct marjoram_keeper_role *self)
@@ -15,10 +15,9 @@
     marjoram_state_giver_set (self->giver, state);
 }
 
-/* Hosts are told of the number alone and ask for what they lack.  Given
-   unasked, a large state would be on its way to a host from several keepers
-   at once, fill its link for seconds, and hold up the answers of upstreams
-   until these seem dead and streams are cut.  */
+/* Only the number is announced; hosts request what they lack.  Pushing a large
+   state would send it to each host from several keepers at once, and delay
+   upstream traffic on the same link until upstreams look dead.  */
 void
 marjoram_keeper_tell_state (struct marjoram_keeper_role *self)
 {
@@ -59,10 +58,10 @@
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
-/* ---- News of upstreams.  ---- */
+/* ---- Upstreams.  ----  */
 
-/* The part of BATCH that concerns REGION; of one that only its leave was heard
-   the zone is not known, so that it concerns all.  */
+/* Copies the items of BATCH in REGION to PART.  An item whose zone is unknown,
+   as when only its departure was reported, belongs to all regions.  */
 static void
 pick_region (const struct marjoram_gateway_settings *settings,
              const char *region, const struct marjoram_news_batch *batch,
@@ -94,8 +93,8 @@
   return false;
 }
 
-/* Hosts use upstreams of their own region only, and hear of no others: that
-   saves most of the bytes between regions.  */
+/* Hosts only use upstreams of their own region, so updates stay within it,
+   which saves most of the traffic between regions.  */
 static size_t
 tell_regions (struct marjoram_keeper_role *self,
               const struct marjoram_news_batch *batch, bool keepers_too)
@@ -122,8 +121,8 @@
   return told;
 }
 
-/* Of what changes all keepers hear: a late word of an upstream's former life,
-   or one from before its leave, may come to any of them.  */
+/* Changes go to all keepers: a delayed message from an earlier incarnation of
+   an upstream, or from before it left, may reach any of them.  */
 size_t
 marjoram_keeper_tell_news (struct marjoram_keeper_role *self,
                            const struct marjoram_news_batch *batch)
@@ -141,7 +140,7 @@
   tell_regions (self, batch, true);
 }
 
-/* Of all upstreams to a keeper, of those of its region to a host.  */
+/* Sends all upstreams to a keeper, and those of its region to a host.  */
 static void
 give_news (struct marjoram_keeper_role *self, const char *host,
            uint64_t session, const struct marjoram_host_beat *beat)
@@ -172,8 +171,9 @@
   marjoram_wire_clear (&marjoram_crash_report_layout, &all);
 }
 
-/* The sender has told the hosts of its own region.  A keeper passes it on in
-   its own region only, so that no host hears it from each keeper.  */
+/* The sender has notified the hosts of its own region.  A keeper forwards the
+   report in its own region only, so that hosts don't get a copy from each
+   keeper.  */
 void
 marjoram_keeper_hear_crashes (struct marjoram_keeper_role *self,
                               const char *host,
