--- a/test/test_keeper.c
+++ b/test/test_keeper.c
@@ -1,6 +1,6 @@
-/* The agreement among keepers, under seeded schedules of faults.  SEEDS and
-   FIRST_SEED in the environment set how many and from which on; a soak run is
-   SEEDS=200000.  */
+/* Consensus among keepers under seeded fault schedules.  SEEDS and FIRST_SEED
+   in the environment set the number of seeds and the first one; a soak run
+   uses SEEDS=200000.  */
 #include "suite.h"
 
 #include "lib_keepers.h"
@@ -39,8 +39,9 @@
 print_counts (uint64_t seeds, const struct sim_counts *sum)
 {
   printf ("%llu seeds: %llu accepted, %llu refused, %llu not run, "
-          "%llu unknown, %llu sent again; %llu crashes, %llu within a write, "
-          "%llu freezes, %llu cuts, %llu lost disks, %llu older disks, "
+          "%llu unknown, %llu resent; %llu crashes, %llu during a write, "
+          "%llu freezes, %llu partitions, %llu lost disks, "
+          "%llu restored older disks, "
           "%llu repairs\n",
           (unsigned long long)seeds, (unsigned long long)sum->accepted,
           (unsigned long long)sum->refused, (unsigned long long)sum->not_run,
@@ -52,7 +53,7 @@
           (unsigned long long)sum->repairs);
 }
 
-/* Seeds of soak runs that found a fault.  */
+/* Regression seeds: soak runs failed on these.  */
 static const uint64_t kept[] = { 143387, 213326, 229332 };
 
 static int
@@ -73,12 +74,9 @@
   return failed;
 }
 
-/* Operators race with equal versions and send changes again after their
-   confirmations were lost, while keepers crash between write and sync, freeze,
-   are cut off, lose their disks one after the other, each right after the
-   repair before was reported finished, and now and then start from an older
-   copy.  No accepted change may be lost, no refused one appear, no reader see
-   a number go down, and once all is healed a change must go through.  */
+/* Guards against lost accepted changes, refused changes that appear, reads
+   that go back, and no progress after recovery, under crashes, torn writes,
+   freezes, partitions, lost disks and restored older disks.  */
 START_TEST (holds_under_faults)
 {
   uint64_t first = setting ("FIRST_SEED", 1);
@@ -101,10 +99,8 @@
 }
 END_TEST
 
-/* Operators read the configuration at any keeper, also at one that was cut off
-   and believes that it knows the newest.  A read that is answered shows all
-   that was acknowledged before it was asked for; one that can't be sure ends
-   unanswered, in time, and breaks nothing.  */
+/* Guards against stale reads: a confirmed read must include everything
+   acknowledged before it was requested, also at a partitioned keeper.  */
 START_TEST (confirmed_reads_are_not_older_than_what_was_answered)
 {
   struct sim_counts sum = { 0 };
@@ -127,10 +123,8 @@
 }
 END_TEST
 
-/* Large values go compressed, against one that the other end named, or as a
-   mere name of one it holds, among all the faults above: disks lost and
-   brought back, messages that overtake each other.  A keeper that took a value
-   for another would lose or mix accepted changes.  */
+/* Guards against decoding to the wrong value: large values are sent
+   compressed, as differences and as references, under all faults above.  */
 START_TEST (large_values_hold_under_faults)
 {
   struct sim_counts sum = { 0 };
@@ -153,7 +147,7 @@
       sim_destroy (sim);
     }
   printf ("large values: %llu plain, %llu compressed, %llu as a difference, "
-          "%llu as a name\n",
+          "%llu as a reference\n",
           (unsigned long long)sum.forms[0], (unsigned long long)sum.forms[1],
           (unsigned long long)sum.forms[2], (unsigned long long)sum.forms[3]);
   ck_assert_int_eq (failed, 0);
