--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -1,4 +1,5 @@
-/* Keepers that keep themselves whole: lost disks, machines gone for good.  */
+/* Automatic repair of the keepers' membership after lost disks and
+   machines.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -30,7 +31,7 @@
   char slot[16];
   char store[16];
   int stores;
-  marjoram_keeper *keeper; /* null while its machine is off */
+  marjoram_keeper *keeper; /* null while the machine is off */
   marjoram_keeper_care *care;
   marjoram_host_list *hosts;
   marjoram_random *random;
@@ -43,7 +44,7 @@
 static int64_t now;
 static int decided;
 static const char *regions[NODES];
-static size_t losses; /* of disks, to be survived at once */
+static size_t losses; /* simultaneous disk losses to tolerate */
 static uint64_t tickets[NODES];
 
 static int
@@ -112,7 +113,7 @@
 static const struct marjoram_keeper_ops ops
     = { on_send, on_persist, on_chosen, on_answered, on_valid };
 
-/* Starts the machine; FIRST_START only when the whole system is new.  */
+/* Starts the machine; FIRST_START only if the whole deployment is new.  */
 static void
 start (int index, bool first_start, bool empty_disk)
 {
@@ -284,9 +285,8 @@
   ck_assert_int_ge (decided, 1);
 }
 
-/* A keeper's disk is lost and it comes back empty at its old address.  Four
-   seconds later another one's is lost.  What was acknowledged must be there
-   still, though no operator did anything.  */
+/* Guards against data loss when disks fail one after another, 4 s apart,
+   without an operator.  */
 START_TEST (two_disks_lost_one_after_the_other)
 {
   form ();
@@ -310,9 +310,8 @@
 }
 END_TEST
 
-/* A keeper's machine is gone for good, and an empty one comes at another
-   address.  It becomes a member by itself, within the time after which another
-   loss must be survived.  */
+/* Guards against a dead member that is not replaced by a keeper at another
+   address before the next loss.  */
 START_TEST (machine_is_replaced_at_another_address)
 {
   form ();
@@ -328,9 +327,8 @@
 }
 END_TEST
 
-/* Six keepers, of which two may lose their disks at the same moment, right
-   after they have acknowledged a change.  Three members of which two lose it
-   leave one copy that nobody may trust: the change would be gone.  */
+/* Guards against losing an acknowledged change when two of six keepers lose
+   their disks at once, which three members could not survive.  */
 START_TEST (two_disks_lost_at_once)
 {
   losses = 2;
@@ -358,8 +356,7 @@
 }
 END_TEST
 
-/* One loss is to be survived: three members are enough, and a fourth would
-   make every change slower.  */
+/* Guards against excess members, which would slow every change.  */
 START_TEST (no_more_members_than_needed)
 {
   for (int i = 0; i < NODES; i++)
@@ -370,8 +367,8 @@
 }
 END_TEST
 
-/* The first keepers are of one region, which may be lost as a whole: those
-   that are added are of the others, so that a majority is left.  */
+/* Guards against a majority in one region: members are added from the
+   others.  */
 START_TEST (added_members_are_of_other_regions)
 {
   static const char *const of[NODES] = { "r1", "r1", "r2", "r1", "r3", "r2" };
@@ -389,7 +386,7 @@
 }
 END_TEST
 
-/* A keeper is only restarted; nothing is to be repaired.  */
+/* Guards against replacing a member that merely restarts.  */
 START_TEST (restart_changes_no_member)
 {
   form ();
@@ -401,7 +398,7 @@
 }
 END_TEST
 
-/* The whole system has lost power, and all come back with their disks.  */
+/* Guards against no progress after all keepers restart with their disks.  */
 START_TEST (all_restart)
 {
   form ();
