--- a/test/test_keeper_net.c
+++ b/test/test_keeper_net.c
@@ -1,5 +1,5 @@
-/* What agreement costs between regions: bytes, copies, and time on slow
-   connections.  */
+/* Cost of consensus between regions: bytes, copies of values, and latency on
+   slow connections.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -16,9 +16,9 @@
   BYTES_PER_S = 600 * 1000,
   SLOW_BYTES_PER_S = 40 * 1000,
   SLOWER_BYTES_PER_S = 4 * 1000,
-  CHANGE_BYTES = 64 * 1024, /* of one route changed, at most */
+  CHANGE_BYTES = 64 * 1024, /* limit for a change of one route */
   FORM_MS = 20000,
-  WANTED_MS = 4000, /* from a change's sending to its answer */
+  WANTED_MS = 4000, /* limit from request to answer */
   LONG_MS = 30000
 };
 
@@ -27,7 +27,7 @@
 static const struct keeper_net_options slower = { 3, 55, SLOWER_BYTES_PER_S };
 static const struct keeper_net_options very_slow = { 3, 55, SLOW_BYTES_PER_S };
 
-/* Keepers that have formed a first state.  */
+/* Creates keepers and waits until they are bootstrapped.  */
 static struct keeper_net *
 formed (const struct keeper_net_options *options)
 {
@@ -55,13 +55,11 @@
 
   ck_assert_ptr_nonnull (file);
   ck_assert_msg (strcmp (file->text, text) == 0,
-                 "keeper %d holds another configuration", index);
+                 "keeper %d holds a different configuration", index);
 }
 
-/* Changes of one route among thousands were answered late: each message that
-   carries the value carried all routes, some fifteen times for one change,
-   over connections of some 0.6 MB a second between regions.  What the other
-   end holds already must not go there again.  */
+/* Guards against resending whole values: a change of one route among thousands
+   must only send the difference.  */
 START_TEST (bytes_of_a_change_among_4200_routes)
 {
   struct keeper_net *net = formed (&between_regions);
@@ -84,10 +82,8 @@
 }
 END_TEST
 
-/* Operators' changes came to one keeper after the other, each as soon as the
-   one before was answered.  A proposer knew only by the last greetings what
-   the keepers outside its quorum held, a value that it held no more itself,
-   and sent them all routes.  */
+/* Guards against proposers that send whole values to keepers outside the
+   previous quorum.  */
 START_TEST (proposers_in_turn_send_what_changed)
 {
   struct keeper_net *net = formed (&between_regions);
@@ -106,9 +102,8 @@
 }
 END_TEST
 
-/* A configuration grew three times by 1,400 routes; operators waited up to
-   seven seconds for the second growth, and the third was never acknowledged:
-   whole values, sent again every half second, filled the connections.  */
+/* Guards against late or missing answers as the configuration grows, when
+   repeated whole values saturate the connections.  */
 START_TEST (growth_is_answered_in_time)
 {
   struct keeper_net *net = formed (&between_regions);
@@ -130,10 +125,8 @@
 }
 END_TEST
 
-/* A connection slower than the repetition got a further copy of the value
-   every half second behind the one that was still on its way, so that it
-   never came to an end with them and the keepers' memory grew.  One copy is
-   on its way at a time.  */
+/* Guards against piling up copies of a value on a connection slower than the
+   resend interval.  */
 START_TEST (slow_connection_gets_one_copy)
 {
   struct keeper_net *net = formed (&very_slow);
@@ -141,13 +134,13 @@
 
   keeper_net_forget (net);
   took = change (net, 0, 1400, -1);
-  printf ("1400 routes over 40 kB a second: %d and %d copies, %llu bytes on "
-          "their way at most, answered after %lld ms\n",
+  printf ("1400 routes over 40 kB a second: %d and %d copies, at most %llu "
+          "bytes in flight, answered after %lld ms\n",
           keeper_net_large (net, 0, 1), keeper_net_large (net, 0, 2),
           (unsigned long long)keeper_net_most_waiting (net), (long long)took);
   ck_assert_int_ge (took, 0);
   ck_assert (keeper_net_agree (net, LONG_MS));
-  /* No second copy comes behind either.  */
+  /* No second copy follows later.  */
   keeper_net_run (net, LONG_MS);
   ck_assert_int_eq (keeper_net_large (net, 0, 1), 1);
   ck_assert_int_eq (keeper_net_large (net, 0, 2), 1);
@@ -155,9 +148,8 @@
 }
 END_TEST
 
-/* Where a value takes longer than one attempt, each attempt began it anew and
-   none came to an end.  The value that has come by the next one is not sent
-   again.  */
+/* Guards against starting a transfer anew with each attempt when it takes
+   longer than one attempt.  */
 START_TEST (value_slower_than_an_attempt_is_agreed_on)
 {
   struct keeper_net *net = formed (&slower);
@@ -174,9 +166,8 @@
 }
 END_TEST
 
-/* A keeper's process stood still while its connections stayed open; all that
-   was sent to it, a value every half second and one for each attempt, was
-   kept for it in the others' memory.  */
+/* Guards against unbounded memory for messages to a stalled keeper whose
+   connections stay open.  */
 START_TEST (stalled_keeper_is_kept_one_value)
 {
   struct keeper_net *net = formed (&between_regions);
@@ -193,7 +184,7 @@
       ck_assert_int_ge (change (net, 0, ROUTES + 400 * (i + 1), i), 0);
       keeper_net_run (net, 10000);
     }
-  printf ("%llu bytes of text; %llu wait for the stalled keeper\n",
+  printf ("%llu bytes of text; %llu in flight to the stalled keeper\n",
           (unsigned long long)size,
           (unsigned long long)keeper_net_most_waiting (net));
   ck_assert_uint_lt (keeper_net_most_waiting (net), size);
@@ -205,9 +196,8 @@
 }
 END_TEST
 
-/* A connection broke with the only copy of the value on it.  It is sent again
-   once the keeper there is heard over the next connection, soon enough for
-   the change.  */
+/* Guards against losing a value when a connection breaks with the only copy in
+   flight: it must be resent in time.  */
 START_TEST (lost_copy_is_sent_again)
 {
   struct keeper_net *net = formed (&very_slow);
@@ -224,9 +214,8 @@
 }
 END_TEST
 
-/* A keeper that was cut off while the configuration went on holds none of the
-   values that the others name as known to it last; it must get the newest
-   whole, and no other configuration.  */
+/* Guards against encoding against a value that a keeper returning from a
+   partition does not hold: it must get the latest state.  */
 START_TEST (keeper_left_behind_gets_the_newest)
 {
   struct keeper_net *net = formed (&between_regions);
@@ -247,9 +236,8 @@
 }
 END_TEST
 
-/* While hosts are updated one after the other, keepers of two releases agree
-   together; one of the earlier release would drop a compressed value and never
-   vote.  */
+/* Guards against sending compressed values to keepers of an earlier release
+   during a rolling update, which would drop them and never vote.  */
 START_TEST (keepers_of_the_earlier_release_get_plain_values)
 {
   struct keeper_net *net = keeper_net_create (&between_regions);
@@ -266,8 +254,8 @@
 }
 END_TEST
 
-/* Twenty thousand routes at once are more than a connection carries within
-   the time of one repetition, also compressed.  */
+/* Guards against late answers when a compressed value takes longer to send
+   than the resend interval.  */
 START_TEST (many_routes_at_once_are_answered)
 {
   struct keeper_net *net = formed (&between_regions);
