--- a/test/lib_keepers.c
+++ b/test/lib_keepers.c
@@ -20,7 +20,7 @@
   CHANGE_EVERY_MS = 330,
   REPAIR_EVERY_MS = 900,
   READ_EVERY_MS = 150,
-  READS_KEPT = 4096, /* under way at once, at most */
+  READS_KEPT = 4096, /* maximum concurrent reads */
   TEXT_MAX = 64,
   LARGE_TEXT = 12000,
   COUNTER_SHIFT = 32,
@@ -70,7 +70,7 @@
   marjoram_bytes *older;
   int life;
   int64_t frozen_until;
-  uint64_t reader; /* the highest number read from this disk's keeper */
+  uint64_t reader; /* highest state number read from this store */
 };
 
 struct sim
@@ -84,17 +84,17 @@
   int loss; /* percent */
   int stores;
   bool healed;
-  int lost; /* node whose disk is to be replaced, or -1 */
+  int lost; /* node whose store is to be replaced, or -1 */
   const char *lost_slot;
   char repair_id[24];
-  const char *repair_slot; /* the new keeper's, null before it is picked */
+  const char *repair_slot; /* the new keeper's; null until picked */
   int repairs;
-  uint64_t refused_number; /* of the last refused repair, or 0 */
+  uint64_t refused_number; /* state number of the last refused repair, or 0 */
   int rolled_back;         /* node that must not vote, or -1 */
   int64_t rolled_back_at;
   struct checks *checks;
-  uint64_t reads;                  /* asked for */
-  uint64_t read_floor[READS_KEPT]; /* answered before each was asked for */
+  uint64_t reads;                  /* requested */
+  uint64_t read_floor[READS_KEPT]; /* minimum state number of each read */
   bool large;
   char text[LARGE_TEXT + TEXT_MAX];
   struct sim_counts counts;
@@ -239,8 +239,8 @@
   return REPAIR_REQUEST + (uint64_t)sim->repairs;
 }
 
-/* A confirmed read shows at least what any operator was answered about before
-   it was asked for.  */
+/* A confirmed read must not be older than the latest state reported to any
+   operator before the read was requested.  */
 static void
 on_read (struct node *node, uint64_t request,
          const struct marjoram_apply_answer *answer)
@@ -284,7 +284,7 @@
     {
       sim->refused_number = answer->number;
       sim->repair_slot = NULL;
-      sim->repairs++; /* the next attempt needs an id of its own */
+      sim->repairs++; /* the next attempt needs a new id */
     }
   else
     {
@@ -340,7 +340,7 @@
   sim->counts.crashes++;
   if (node->writing)
     sim->counts.torn++;
-  /* A write under way either took effect whole or not at all.  */
+  /* An interrupted write is either complete or has no effect.  */
   if (node->writing && chance (sim, 50))
     {
       marjoram_bytes_release (node->record);
@@ -408,9 +408,9 @@
   return writes;
 }
 
-/* An older copy can be told from a good one only by keepers that remember a
-   later write, here all of them; otherwise this would lose more than the one
-   disk that the rules allow for.  */
+/* A rollback is detectable only by keepers that remember a later write;
+   requires that all of them do, as otherwise the fault would exceed the one
+   lost disk that is tolerated.  */
 static bool
 others_would_tell (const struct sim *sim, const struct node *node)
 {
@@ -501,8 +501,8 @@
     restore_older_disk (sim, node);
 }
 
-/* At no time a vote; and it has to say why once the others were heard, which
-   cuts, freezes and lost messages may put off.  */
+/* A rolled-back store must never vote, and must report the reason once others
+   were heard from, which partitions, freezes and lost messages may delay.  */
 static void
 check_rolled_back (struct sim *sim)
 {
@@ -510,7 +510,7 @@
   const char *trouble = marjoram_keeper_trouble (node->keeper);
 
   if (marjoram_keeper_votes (node->keeper))
-    checks_breach (sim->checks, "%s votes on an older copy of its disk",
+    checks_breach (sim->checks, "%s votes with a rolled-back store",
                    node->slot);
   if (trouble && strstr (trouble, "older copy"))
     {
@@ -518,7 +518,7 @@
       lose_disk (sim, node);
     }
   else if (sim->now > sim->rolled_back_at + TELL_MS)
-    checks_breach (sim->checks, "%s does not say what is wrong", node->slot);
+    checks_breach (sim->checks, "%s does not report the rollback", node->slot);
 }
 
 static struct node *
@@ -534,7 +534,7 @@
   return NULL;
 }
 
-/* The same text gives the same large one.  */
+/* Deterministic: the same text is extended in the same way.  */
 static void
 enlarge (struct sim *sim, struct marjoram_file *file)
 {
@@ -582,7 +582,7 @@
   marjoram_keeper_read (node->keeper, sim->now, request);
 }
 
-/* An id always asks for the same change, so the new slot is picked once.  */
+/* The new slot is picked once for each change id.  */
 static void
 pick_repair (struct sim *sim)
 {
@@ -602,7 +602,7 @@
 
   if (sim->refused_number
       && checks_is_gone (sim->checks, sim->refused_number, sim->lost_slot))
-    sim->lost = -1; /* it was no keeper */
+    sim->lost = -1; /* it was not a member */
   if (!node || sim->lost < 0)
     return;
   if (!sim->repair_slot)
@@ -642,7 +642,7 @@
   marjoram_keeper_persisted (node->keeper, sim->now, event->ticket, true);
 }
 
-/* Returns whether the event is used up; a frozen process takes it later.  */
+/* Returns false if the event was deferred because the node is frozen.  */
 static bool
 run_node_event (struct sim *sim, struct event *event)
 {
@@ -763,7 +763,7 @@
     sim->nodes[i].frozen_until = 0;
 }
 
-/* A last change, sent again until its outcome is known.  */
+/* Submits a last change and resends it until its outcome is known.  */
 static void
 run_last_change (struct sim *sim)
 {
@@ -785,9 +785,9 @@
       run_until (sim, sim->now + QUIET_MS);
     }
   if (!checks_is_decided (sim->checks, request))
-    checks_breach (sim->checks, "no change can be made after all is healed");
+    checks_breach (sim->checks, "no change is accepted after recovery");
   if (sim->lost >= 0)
-    checks_breach (sim->checks, "the repair did not end after all is healed");
+    checks_breach (sim->checks, "the repair did not complete after recovery");
 }
 
 static void
@@ -800,7 +800,7 @@
                     : NULL);
 }
 
-/* Requests from before the end may be decided yet.  */
+/* Earlier requests may still be decided.  */
 static void
 run_until_quiet (struct sim *sim)
 {
