--- a/test/lib_keepers_check.c
+++ b/test/lib_keepers_check.c
@@ -15,7 +15,7 @@
   DIGEST_SIZE = 65
 };
 
-/* One operator's change and what was answered.  */
+/* A submitted change and its answer.  */
 struct change
 {
   char id[NAME_SIZE];
@@ -38,7 +38,7 @@
   uint64_t versions[FILES];
   marjoram_bytes *chain[CHAIN_MAX]; /* packed states by number */
   struct marjoram_state *latest;
-  uint64_t answered_number; /* the highest in an operator's answer */
+  uint64_t answered_number; /* highest number in an answer */
 };
 
 static const char *const file_names[FILES] = { "a.ini", "b.ini" };
@@ -90,8 +90,8 @@
                 == 0;
 }
 
-/* The change list only grows in these runs, so that a state that holds all
-   changes of the one before extends it.  */
+/* In these runs the change list only grows, so a state extends an earlier one
+   if it has all its changes.  */
 static bool
 extends (const struct marjoram_state *later,
          const struct marjoram_state *earlier)
@@ -197,7 +197,7 @@
   if (change->decided
       && (change->result != answer->result || change->number != answer->number
           || strcmp (change->digest, digest) != 0))
-    checks_breach (checks, "%s was answered in two ways", change->id);
+    checks_breach (checks, "%s got two different answers", change->id);
   change->decided = true;
   change->result = answer->result;
   change->number = answer->number;
@@ -277,9 +277,10 @@
           = marjoram_state_change (state, change->id);
 
       if (change->decided && (!kept || kept->result != change->result))
-        checks_breach (checks, "%s was decided and is lost", change->id);
+        checks_breach (checks, "%s was decided but is missing", change->id);
       if (kept && change->not_run == change->sent)
-        checks_breach (checks, "%s was told not run and is there", change->id);
+        checks_breach (checks, "%s was reported as not run but is present",
+                       change->id);
     }
 }
 
@@ -294,7 +295,7 @@
     }
   checks_chosen (checks, state);
   if (state->number != checks->latest->number)
-    checks_breach (checks, "%s is at %llu and not at %llu", slot,
+    checks_breach (checks, "%s is at number %llu, expected %llu", slot,
                    (unsigned long long)state->number,
                    (unsigned long long)checks->latest->number);
   check_changes (checks, state);
