--- a/test/lib_keeper_net.c
+++ b/test/lib_keeper_net.c
@@ -43,7 +43,7 @@
   char store_id[NAME_SIZE];
   marjoram_keeper *keeper;
   uint64_t ticket;
-  int64_t written_at; /* 0 while nothing is written */
+  int64_t written_at; /* 0 if no write is pending */
   bool cut;
   bool stalled;
   bool earlier;
@@ -59,7 +59,7 @@
   uint64_t version;
   uint64_t bytes;
   uint64_t most_waiting;
-  uint64_t answered; /* the last request */
+  uint64_t answered; /* number of the last answered request */
   bool decided;
 };
 
@@ -251,7 +251,7 @@
       node->written_at = 0;
       marjoram_keeper_persisted (node->keeper, net->now, node->ticket, true);
     }
-  /* Not all at the same moment.  */
+  /* Staggers the ticks of the nodes.  */
   if ((net->now + (int64_t)node->index * 7) % TICK_MS == 0)
     marjoram_keeper_tick (node->keeper, net->now);
 }
