--- a/test/lib_keeper_net.h
+++ b/test/lib_keeper_net.h
@@ -1,6 +1,6 @@
-/* Keepers on connections that keep the order and carry so many bytes a second,
-   for tests and benches of what agreement costs there; disks are fast.  The
-   clock is simulated.  */
+/* Simulation of keepers on ordered connections of limited bandwidth, for tests
+   and benchmarks of the cost of consensus.  Disks are fast and the clock is
+   simulated.  */
 #ifndef MARJORAM_TEST_LIB_KEEPER_NET_H
 #define MARJORAM_TEST_LIB_KEEPER_NET_H
 
@@ -12,39 +12,40 @@
 {
   int keepers;
   int64_t one_way_ms;
-  int64_t bytes_per_s; /* of each connection; 0: no limit */
+  int64_t bytes_per_s; /* of each connection; 0: unlimited */
 };
 
 struct keeper_net *
 keeper_net_create (const struct keeper_net_options *options);
 void keeper_net_destroy (struct keeper_net *net);
 void keeper_net_run (struct keeper_net *net, int64_t ms);
-/* Until all hold the same state, with the last change; false if they don't
-   within LIMIT_MS.  */
+/* Runs until all keepers hold the same state, with the last change; false on
+   timeout.  */
 bool keeper_net_agree (struct keeper_net *net, int64_t limit_ms);
 /* Applies TEXT as the next version of the file "routes" at keeper AT and runs
-   on until it is answered; the time that took, or -1 if it is not decided
+   until it is answered.  Returns the time taken, or -1 if it is not accepted
    within LIMIT_MS.  */
 int64_t keeper_net_change (struct keeper_net *net, int at, const char *text,
                            int64_t limit_ms);
-/* The newest state that the keeper knows chosen; null before any.  */
+/* The latest state that the keeper knows to be chosen; null before any.  */
 const struct marjoram_state *keeper_net_state (const struct keeper_net *net,
                                                int index);
 
-/* What keeper INDEX sends and is sent is lost, or no more.  */
+/* Partitions keeper INDEX from all others, or reconnects it.  */
 void keeper_net_cut (struct keeper_net *net, int index, bool cut);
-/* What is on its way to keeper INDEX is lost, as when its connections break.
- */
+/* Drops all messages in flight to keeper INDEX, as when its connections
+   break.  */
 void keeper_net_break (struct keeper_net *net, int index);
-/* Nothing comes to keeper INDEX, though its connections stay, or no more.  */
+/* Stops delivery to keeper INDEX while its connections stay open, or resumes
+   it.  */
 void keeper_net_stall (struct keeper_net *net, int index, bool stalled);
 
-/* Makes keeper INDEX one of a release that knows plain values only: says
-   nothing of what it reads and drops what is not plain.  */
+/* Makes keeper INDEX behave as an earlier release that supports plain values
+   only.  */
 void keeper_net_make_earlier (struct keeper_net *net, int index);
 
-/* Bytes and messages of more than LARGE bytes sent since the last call to
-   keeper_net_forget.  */
+/* Counts since the last keeper_net_forget: bytes, and messages of more than
+   KEEPER_NET_LARGE bytes.  */
 enum
 {
   KEEPER_NET_LARGE = 4096
@@ -53,11 +54,11 @@
 void keeper_net_forget (struct keeper_net *net);
 uint64_t keeper_net_bytes (const struct keeper_net *net);
 int keeper_net_large (const struct keeper_net *net, int from, int to);
-/* The most bytes that were on their way on one connection.  */
+/* The maximum number of bytes in flight on one connection.  */
 uint64_t keeper_net_most_waiting (const struct keeper_net *net);
 
-/* The text of COUNT routes, of which the one numbered CHANGED has another
-   timeout; -1: none.  To be freed.  */
+/* Text of COUNT routes, of which number CHANGED has a different timeout; -1
+   for none.  To be freed by the caller.  */
 char *keeper_net_routes (int count, int changed);
 
 #endif
