--- a/src/keeper_mail.c
+++ b/src/keeper_mail.c
@@ -81,8 +81,8 @@
     .echo = envelope->echo,
     .ballot = envelope->ballot,
     .accepted = envelope->accepted,
-    .reads = MARJORAM_KEEPER_SAME,
-    .held = marjoram_value_mark (keeper->acceptor.value),
+    .max_encoding = MARJORAM_KEEPER_SAME,
+    .accepted_mark = marjoram_value_mark (keeper->acceptor.value),
   };
   struct marjoram_keeper_peer *peer
       = envelope->store_id
--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -40,10 +40,10 @@
   BALLOT (struct marjoram_keeper_message, accepted),
   { MARJORAM_WIRE_BYTES (struct marjoram_keeper_message, value,
                          MARJORAM_FRAME_MAX) },
-  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, form) },
-  MARK (struct marjoram_keeper_message, against),
-  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, reads) },
-  MARK (struct marjoram_keeper_message, held),
+  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, encoding) },
+  MARK (struct marjoram_keeper_message, base_mark),
+  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, max_encoding) },
+  MARK (struct marjoram_keeper_message, accepted_mark),
 };
 const struct marjoram_layout marjoram_keeper_layout
     = { "marjoram_keeper_message", sizeof (struct marjoram_keeper_message),
--- a/src/keeper_message.h
+++ b/src/keeper_message.h
@@ -45,11 +45,11 @@
   int64_t echo;    /* sender's clock; in a reply, that of the heartbeat */
   struct marjoram_ballot ballot;
   struct marjoram_ballot accepted;
-  marjoram_bytes *value; /* marjoram_state_layout, encoded as FORM */
-  uint64_t form;         /* enum marjoram_keeper_encoding */
-  struct marjoram_value_mark against; /* DIFFERENCE, SAME */
-  uint64_t reads; /* the highest encoding that the sender can read */
-  struct marjoram_value_mark held; /* the value last accepted by the sender */
+  marjoram_bytes *value; /* marjoram_state_layout, in ENCODING */
+  uint64_t encoding;     /* enum marjoram_keeper_encoding */
+  struct marjoram_value_mark base_mark; /* DELTA, REFERENCE */
+  uint64_t max_encoding; /* the highest encoding that the sender can read */
+  struct marjoram_value_mark accepted_mark; /* its last accepted value */
 };
 
 /* What was last seen of a store.  */
--- a/src/keeper_parcel.c
+++ b/src/keeper_parcel.c
@@ -13,30 +13,30 @@
 
 static void
 list_held_values (const marjoram_keeper *keeper,
-                  marjoram_value *held[HELD_VALUES])
+                  marjoram_value *values[HELD_VALUES])
 {
-  held[0] = keeper->acceptor.value;
-  held[1] = keeper->chosen;
-  held[2] = keeper->attempt.best;
-  held[3] = keeper->attempt.proposed;
-  held[4] = keeper->delivered;
-  held[5] = keeper->previous_chosen;
+  values[0] = keeper->acceptor.value;
+  values[1] = keeper->chosen;
+  values[2] = keeper->attempt.best;
+  values[3] = keeper->attempt.proposed;
+  values[4] = keeper->delivered;
+  values[5] = keeper->previous_chosen;
 }
 
 static marjoram_value *
 find_marked (const marjoram_keeper *keeper,
              const struct marjoram_value_mark *mark)
 {
-  marjoram_value *held[HELD_VALUES];
+  marjoram_value *values[HELD_VALUES];
 
-  list_held_values (keeper, held);
+  list_held_values (keeper, values);
   for (size_t i = 0; i < HELD_VALUES; i++)
-    if (held[i])
+    if (values[i])
       {
-        struct marjoram_value_mark other = marjoram_value_mark (held[i]);
+        struct marjoram_value_mark other = marjoram_value_mark (values[i]);
 
         if (marjoram_value_mark_equal (&other, mark))
-          return held[i];
+          return values[i];
       }
   return NULL;
 }
@@ -58,12 +58,12 @@
 static marjoram_value *
 decode_packed (const marjoram_keeper *keeper, marjoram_bytes *packed)
 {
-  marjoram_value *held[HELD_VALUES];
+  marjoram_value *values[HELD_VALUES];
 
-  list_held_values (keeper, held);
+  list_held_values (keeper, values);
   for (size_t i = 0; i < HELD_VALUES; i++)
-    if (held[i] && has_bytes (held[i], packed))
-      return marjoram_value_retain (held[i]);
+    if (values[i] && has_bytes (values[i], packed))
+      return marjoram_value_retain (values[i]);
   return marjoram_value_unpack (packed, NULL);
 }
 
@@ -85,18 +85,19 @@
    prevent decoding to a different value.  */
 static void
 encode_against (const marjoram_keeper *keeper,
-                const struct marjoram_value_mark *held, marjoram_value *value,
-                struct marjoram_keeper_message *message)
+                const struct marjoram_value_mark *accepted_mark,
+                marjoram_value *value, struct marjoram_keeper_message *message)
 {
   struct marjoram_value_mark mark = marjoram_value_mark (value);
-  marjoram_value *base = find_marked (keeper, held);
+  marjoram_value *base = find_marked (keeper, accepted_mark);
 
-  message->against = *held;
-  message->form = MARJORAM_KEEPER_SAME;
+  message->base_mark = *accepted_mark;
+  message->encoding = MARJORAM_KEEPER_SAME;
   message->value = keeper->empty_bytes;
-  if (marjoram_value_mark_equal (&mark, held))
+  if (marjoram_value_mark_equal (&mark, accepted_mark))
     return;
-  message->form = base ? MARJORAM_KEEPER_DELTA : MARJORAM_KEEPER_COMPRESSED;
+  message->encoding
+      = base ? MARJORAM_KEEPER_DELTA : MARJORAM_KEEPER_COMPRESSED;
   message->value = marjoram_value_compressed (value, base);
 }
 
@@ -106,11 +107,11 @@
                               marjoram_value *value,
                               struct marjoram_keeper_message *message)
 {
-  message->form = MARJORAM_KEEPER_PLAIN;
+  message->encoding = MARJORAM_KEEPER_PLAIN;
   message->value = marjoram_value_packed (value);
   if (marjoram_bytes_size (message->value) > MARJORAM_KEEPER_SMALL && peer
-      && peer->reads >= MARJORAM_KEEPER_SAME)
-    encode_against (keeper, &peer->held, value, message);
+      && peer->max_encoding >= MARJORAM_KEEPER_SAME)
+    encode_against (keeper, &peer->accepted_mark, value, message);
 }
 
 marjoram_value *
@@ -119,14 +120,14 @@
 {
   marjoram_value *base = NULL;
 
-  if (message->form == MARJORAM_KEEPER_PLAIN)
+  if (message->encoding == MARJORAM_KEEPER_PLAIN)
     return decode_packed (keeper, message->value);
-  if (message->form == MARJORAM_KEEPER_COMPRESSED)
+  if (message->encoding == MARJORAM_KEEPER_COMPRESSED)
     return decode_compressed (keeper, message->value, NULL);
-  base = find_marked (keeper, &message->against);
-  if (!base || message->form > MARJORAM_KEEPER_SAME)
+  base = find_marked (keeper, &message->base_mark);
+  if (!base || message->encoding > MARJORAM_KEEPER_SAME)
     return NULL;
-  if (message->form == MARJORAM_KEEPER_SAME)
+  if (message->encoding == MARJORAM_KEEPER_SAME)
     return marjoram_value_retain (base);
   return decode_compressed (keeper, message->value, base);
 }
--- a/src/keeper_peer.c
+++ b/src/keeper_peer.c
@@ -116,8 +116,8 @@
       peer->slot = marjoram_strdup (slot);
     }
   peer->last_seen_at = now;
-  peer->reads = message->reads;
-  peer->held = message->held;
+  peer->max_encoding = message->max_encoding;
+  peer->accepted_mark = message->accepted_mark;
 }
 
 struct marjoram_keeper_peer *
--- a/src/keeper_peer.h
+++ b/src/keeper_peer.h
@@ -17,8 +17,8 @@
   int64_t state_sent_at;  /* when a state was last sent to it, or INT64_MIN */
   uint64_t number;        /* latest state that it knows to be chosen */
   bool knows_incarnation; /* it has seen this incarnation of our store */
-  uint64_t reads;         /* the highest value encoding that it can read */
-  struct marjoram_value_mark held; /* the value that it accepted last */
+  uint64_t max_encoding;  /* the highest value encoding that it can read */
+  struct marjoram_value_mark accepted_mark; /* its last accepted value */
   int64_t large_sent_at; /* when a large message was last sent, or INT64_MIN */
   bool large_probed;     /* a heartbeat was sent since, to confirm receipt */
   bool large_dropped;    /* another was dropped while it was in flight */
--- a/test/lib_keeper_net.c
+++ b/test/lib_keeper_net.c
@@ -94,12 +94,12 @@
 
   if (node->partitioned || net->nodes[to].partitioned
       || (net->nodes[to].earlier_release
-          && message->form != MARJORAM_KEEPER_PLAIN))
+          && message->encoding != MARJORAM_KEEPER_PLAIN))
     return;
   if (node->earlier_release)
     {
-      sent.reads = MARJORAM_KEEPER_PLAIN;
-      sent.held = (struct marjoram_value_mark){ 0 };
+      sent.max_encoding = MARJORAM_KEEPER_PLAIN;
+      sent.accepted_mark = (struct marjoram_value_mark){ 0 };
     }
   packet = marjoram_alloc (sizeof *packet);
   packet->packed = marjoram_wire_pack (&marjoram_keeper_layout, &sent);
