--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -12,7 +12,7 @@
         0, NULL                                                               \
   }
 #define COUNT(array) (sizeof (array) / sizeof *(array))
-/* The three fields of a ballot that lies in MEMBER of a TYPE.  */
+/* The three fields of the ballot at MEMBER of TYPE.  */
 #define BALLOT_PART(type, member, part)                                       \
   {                                                                           \
     MARJORAM_FIELD_UINT,                                                      \
@@ -40,10 +40,10 @@
   BALLOT (struct marjoram_keeper_message, accepted),
   { MARJORAM_WIRE_BYTES (struct marjoram_keeper_message, value,
                          MARJORAM_FRAME_MAX) },
-  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, form) },
-  MARK (struct marjoram_keeper_message, against),
-  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, reads) },
-  MARK (struct marjoram_keeper_message, held),
+  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, encoding) },
+  MARK (struct marjoram_keeper_message, base_mark),
+  { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, max_encoding) },
+  MARK (struct marjoram_keeper_message, accepted_mark),
 };
 const struct marjoram_layout marjoram_keeper_layout
     = { "marjoram_keeper_message", sizeof (struct marjoram_keeper_message),
@@ -61,7 +61,7 @@
 
 static const struct marjoram_field record_fields[] = {
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_record, writes) },
-  { MARJORAM_WIRE_BOOL (struct marjoram_keeper_record, barred) },
+  { MARJORAM_WIRE_BOOL (struct marjoram_keeper_record, rolled_back) },
   BALLOT (struct marjoram_keeper_record, promised),
   BALLOT (struct marjoram_keeper_record, accepted),
   { MARJORAM_WIRE_BYTES (struct marjoram_keeper_record, value,
--- a/test/lib_keepers.c
+++ b/test/lib_keepers.c
@@ -13,18 +13,18 @@
 enum
 {
   TICK_MS = 100,
-  CHAOS_MS = 9000,
+  FAULTS_MS = 9000,
   HEALED_MS = 60000,
-  QUIET_MS = 2500,
+  SETTLE_MS = 2500,
   FAULT_EVERY_MS = 450,
   CHANGE_EVERY_MS = 330,
   REPAIR_EVERY_MS = 900,
   READ_EVERY_MS = 150,
-  READS_KEPT = 4096, /* under way at once, at most */
+  READS_KEPT = 4096, /* maximum concurrent reads */
   TEXT_MAX = 64,
   LARGE_TEXT = 12000,
   COUNTER_SHIFT = 32,
-  TELL_MS = 12000,
+  DETECT_MS = 12000,
   REPAIR_REQUEST = 1 << 20,
   READ_REQUEST = 1 << 24
 };
@@ -35,7 +35,7 @@
   EVENT_MESSAGE,
   EVENT_WRITTEN,
   EVENT_RESTART,
-  EVENT_HEAL_CUT,
+  EVENT_HEAL_PARTITION,
   EVENT_FAULT,
   EVENT_CHANGE,
   EVENT_REPAIR,
@@ -49,7 +49,7 @@
   enum event_kind kind;
   int node;
   int from;
-  int life;
+  int generation;
   uint64_t ticket;
   struct marjoram_keeper_message *message;
 };
@@ -67,10 +67,10 @@
   marjoram_random *random;
   marjoram_bytes *record;
   marjoram_bytes *writing;
-  marjoram_bytes *older;
-  int life;
+  marjoram_bytes *older_record;
+  int generation;
   int64_t frozen_until;
-  uint64_t reader; /* the highest number read from this disk's keeper */
+  uint64_t highest_read; /* highest state number read from this store */
 };
 
 struct sim
@@ -80,21 +80,21 @@
   int64_t now;
   marjoram_random *random;
   struct node nodes[SIM_KEEPERS];
-  bool cut[SIM_KEEPERS][SIM_KEEPERS];
+  bool partitioned[SIM_KEEPERS][SIM_KEEPERS];
   int loss; /* percent */
   int stores;
   bool healed;
-  int lost; /* node whose disk is to be replaced, or -1 */
+  int lost; /* node whose store is to be replaced, or -1 */
   const char *lost_slot;
   char repair_id[24];
-  const char *repair_slot; /* the new keeper's, null before it is picked */
+  const char *repair_slot; /* the new keeper's; null until picked */
   int repairs;
-  uint64_t refused_number; /* of the last refused repair, or 0 */
+  uint64_t refused_number; /* state number of the last refused repair, or 0 */
   int rolled_back;         /* node that must not vote, or -1 */
   int64_t rolled_back_at;
   struct checks *checks;
-  uint64_t reads;                  /* asked for */
-  uint64_t read_floor[READS_KEPT]; /* answered before each was asked for */
+  uint64_t reads;                  /* requested */
+  uint64_t read_floor[READS_KEPT]; /* minimum state number of each read */
   bool large;
   char text[LARGE_TEXT + TEXT_MAX];
   struct sim_counts counts;
@@ -126,7 +126,7 @@
   event->kind = kind;
   event->node = node;
   if (node >= 0)
-    event->life = sim->nodes[node].life;
+    event->generation = sim->nodes[node].generation;
   TAILQ_FOREACH_REVERSE (place, &sim->events, event_list, link)
   if (place->at <= event->at)
     break;
@@ -138,7 +138,7 @@
 }
 
 static void
-put_aside (struct sim *sim, struct event *event)
+recycle_event (struct sim *sim, struct event *event)
 {
   marjoram_wire_destroy (&marjoram_keeper_layout, event->message);
   event->message = NULL;
@@ -170,7 +170,7 @@
 }
 
 static int64_t
-travel_ms (struct sim *sim)
+delivery_delay_ms (struct sim *sim)
 {
   if (!sim->healed && chance (sim, 3))
     return 1 + below (sim, 4000);
@@ -199,13 +199,14 @@
   int to = find_node (sim, slot);
   int copies = chance (sim, sim->loss) ? 0 : chance (sim, sim->loss) ? 2 : 1;
 
-  if (message->value && message->form < SIM_FORMS)
-    sim->counts.forms[message->form]++;
-  if (to < 0 || sim->cut[node->index][to])
+  if (message->value && message->encoding < SIM_FORMS)
+    sim->counts.forms[message->encoding]++;
+  if (to < 0 || sim->partitioned[node->index][to])
     return;
   for (int i = 0; i < copies; i++)
     {
-      struct event *event = schedule (sim, travel_ms (sim), EVENT_MESSAGE, to);
+      struct event *event
+          = schedule (sim, delivery_delay_ms (sim), EVENT_MESSAGE, to);
 
       event->from = node->index;
       event->message = copy_message (message);
@@ -239,8 +240,8 @@
   return REPAIR_REQUEST + (uint64_t)sim->repairs;
 }
 
-/* A confirmed read shows at least what any operator was answered about before
-   it was asked for.  */
+/* A confirmed read must not be older than the latest state reported to any
+   operator before the read was requested.  */
 static void
 on_read (struct node *node, uint64_t request,
          const struct marjoram_apply_answer *answer)
@@ -251,13 +252,13 @@
 
   if (answer->outcome != MARJORAM_APPLY_DECIDED)
     {
-      sim->counts.unread++;
+      sim->counts.unconfirmed_reads++;
       return;
     }
   sim->counts.reads++;
   if ((state ? state->number : 0) < floor)
-    checks_breach (sim->checks, "%s read a state older than %llu", node->slot,
-                   (unsigned long long)floor);
+    checks_fail (sim->checks, "%s read a state older than %llu", node->slot,
+                 (unsigned long long)floor);
 }
 
 static void
@@ -284,7 +285,7 @@
     {
       sim->refused_number = answer->number;
       sim->repair_slot = NULL;
-      sim->repairs++; /* the next attempt needs an id of its own */
+      sim->repairs++; /* the next attempt needs a new id */
     }
   else
     {
@@ -323,7 +324,7 @@
   };
 
   node->counter++;
-  node->life++;
+  node->generation++;
   options.incarnation
       = node->counter << COUNTER_SHIFT | (uint64_t)below (sim, 1 << 30);
   node->keeper
@@ -340,7 +341,7 @@
   sim->counts.crashes++;
   if (node->writing)
     sim->counts.torn++;
-  /* A write under way either took effect whole or not at all.  */
+  /* An interrupted write is either complete or has no effect.  */
   if (node->writing && chance (sim, 50))
     {
       marjoram_bytes_release (node->record);
@@ -350,7 +351,7 @@
   node->writing = NULL;
   marjoram_keeper_destroy (node->keeper);
   node->keeper = NULL;
-  node->life++;
+  node->generation++;
 }
 
 static void
@@ -363,11 +364,11 @@
 new_store (struct sim *sim, struct node *node)
 {
   marjoram_bytes_release (node->record);
-  marjoram_bytes_release (node->older);
+  marjoram_bytes_release (node->older_record);
   node->record = NULL;
-  node->older = NULL;
+  node->older_record = NULL;
   node->counter = 0;
-  node->reader = 0;
+  node->highest_read = 0;
   snprintf (node->store_id, sizeof node->store_id, "store-%d-%d", node->index,
             sim->stores++);
 }
@@ -408,13 +409,13 @@
   return writes;
 }
 
-/* An older copy can be told from a good one only by keepers that remember a
-   later write, here all of them; otherwise this would lose more than the one
-   disk that the rules allow for.  */
+/* A rollback is detectable only by keepers that remember a later write;
+   requires that all of them do, as otherwise the fault would exceed the one
+   lost disk that is tolerated.  */
 static bool
-others_would_tell (const struct sim *sim, const struct node *node)
+rollback_is_detectable (const struct sim *sim, const struct node *node)
 {
-  uint64_t writes = record_writes (node->older, NULL);
+  uint64_t writes = record_writes (node->older_record, NULL);
 
   for (int i = 0; i < SIM_KEEPERS; i++)
     if (i != node->index
@@ -426,13 +427,13 @@
 static void
 restore_older_disk (struct sim *sim, struct node *node)
 {
-  if (!node->older || !others_would_tell (sim, node))
+  if (!node->older_record || !rollback_is_detectable (sim, node))
     return;
   stop_node (sim, node);
   marjoram_bytes_release (node->record);
-  node->record = node->older;
-  node->older = NULL;
-  node->reader = 0;
+  node->record = node->older_record;
+  node->older_record = NULL;
+  node->highest_read = 0;
   sim->counts.older_disks++;
   sim->rolled_back = node->index;
   sim->rolled_back_at = sim->now;
@@ -440,17 +441,18 @@
 }
 
 static void
-cut_links (struct sim *sim)
+partition_nodes (struct sim *sim)
 {
   int side = 1 + below (sim, (1 << SIM_KEEPERS) - 2);
   bool one_way = chance (sim, 25);
 
-  sim->counts.cuts++;
+  sim->counts.partitions++;
   for (int i = 0; i < SIM_KEEPERS; i++)
     for (int j = 0; j < SIM_KEEPERS; j++)
-      sim->cut[i][j] = (side >> i & 1) > (side >> j & 1)
-                       || (!one_way && (side >> i & 1) != (side >> j & 1));
-  schedule (sim, 500 + below (sim, 4000), EVENT_HEAL_CUT, -1);
+      sim->partitioned[i][j]
+          = (side >> i & 1) > (side >> j & 1)
+            || (!one_way && (side >> i & 1) != (side >> j & 1));
+  schedule (sim, 500 + below (sim, 4000), EVENT_HEAL_PARTITION, -1);
 }
 
 static void
@@ -472,7 +474,7 @@
 }
 
 static void
-strike (struct sim *sim)
+inject_fault (struct sim *sim)
 {
   struct node *node = &sim->nodes[below (sim, SIM_KEEPERS)];
   int kind = below (sim, 100);
@@ -487,7 +489,7 @@
   else if (kind < 55)
     freeze (sim, node);
   else if (kind < 70)
-    cut_links (sim);
+    partition_nodes (sim);
   else if (kind < 75)
     crash_all (sim);
   else if (sim->lost >= 0)
@@ -501,8 +503,8 @@
     restore_older_disk (sim, node);
 }
 
-/* At no time a vote; and it has to say why once the others were heard, which
-   cuts, freezes and lost messages may put off.  */
+/* A rolled-back store must never vote, and must report the reason once others
+   were heard from, which partitions, freezes and lost messages may delay.  */
 static void
 check_rolled_back (struct sim *sim)
 {
@@ -510,15 +512,14 @@
   const char *trouble = marjoram_keeper_trouble (node->keeper);
 
   if (marjoram_keeper_votes (node->keeper))
-    checks_breach (sim->checks, "%s votes on an older copy of its disk",
-                   node->slot);
+    checks_fail (sim->checks, "%s votes with a rolled-back store", node->slot);
   if (trouble && strstr (trouble, "older copy"))
     {
       sim->rolled_back = -1;
       lose_disk (sim, node);
     }
-  else if (sim->now > sim->rolled_back_at + TELL_MS)
-    checks_breach (sim->checks, "%s does not say what is wrong", node->slot);
+  else if (sim->now > sim->rolled_back_at + DETECT_MS)
+    checks_fail (sim->checks, "%s does not report the rollback", node->slot);
 }
 
 static struct node *
@@ -534,7 +535,7 @@
   return NULL;
 }
 
-/* The same text gives the same large one.  */
+/* Deterministic: the same text is extended in the same way.  */
 static void
 enlarge (struct sim *sim, struct marjoram_file *file)
 {
@@ -582,7 +583,7 @@
   marjoram_keeper_read (node->keeper, sim->now, request);
 }
 
-/* An id always asks for the same change, so the new slot is picked once.  */
+/* The new slot is picked once for each change id.  */
 static void
 pick_repair (struct sim *sim)
 {
@@ -601,8 +602,8 @@
   struct node *node = running_node (sim);
 
   if (sim->refused_number
-      && checks_is_gone (sim->checks, sim->refused_number, sim->lost_slot))
-    sim->lost = -1; /* it was no keeper */
+      && checks_is_removed (sim->checks, sim->refused_number, sim->lost_slot))
+    sim->lost = -1; /* it was not a member */
   if (!node || sim->lost < 0)
     return;
   if (!sim->repair_slot)
@@ -621,11 +622,11 @@
   state = marjoram_keeper_state (node->keeper);
   if (!state)
     return;
-  if (state->number < node->reader)
-    checks_breach (sim->checks, "%s went back from %llu to %llu", node->slot,
-                   (unsigned long long)node->reader,
-                   (unsigned long long)state->number);
-  node->reader = state->number;
+  if (state->number < node->highest_read)
+    checks_fail (sim->checks, "%s went back from %llu to %llu", node->slot,
+                 (unsigned long long)node->highest_read,
+                 (unsigned long long)state->number);
+  node->highest_read = state->number;
 }
 
 static void
@@ -633,8 +634,8 @@
 {
   if (node->record && chance (sim, 20))
     {
-      marjoram_bytes_release (node->older);
-      node->older = marjoram_bytes_retain (node->record);
+      marjoram_bytes_release (node->older_record);
+      node->older_record = marjoram_bytes_retain (node->record);
     }
   marjoram_bytes_release (node->record);
   node->record = node->writing;
@@ -642,7 +643,7 @@
   marjoram_keeper_persisted (node->keeper, sim->now, event->ticket, true);
 }
 
-/* Returns whether the event is used up; a frozen process takes it later.  */
+/* Returns false if the event was deferred because the node is frozen.  */
 static bool
 run_node_event (struct sim *sim, struct event *event)
 {
@@ -655,7 +656,8 @@
       return true;
     }
   if (!node->keeper
-      || (event->kind != EVENT_MESSAGE && event->life != node->life))
+      || (event->kind != EVENT_MESSAGE
+          && event->generation != node->generation))
     return true;
   if (node->frozen_until > sim->now)
     {
@@ -677,13 +679,13 @@
 {
   switch (event->kind)
     {
-    case EVENT_HEAL_CUT:
-      memset (sim->cut, 0, sizeof sim->cut);
+    case EVENT_HEAL_PARTITION:
+      memset (sim->partitioned, 0, sizeof sim->partitioned);
       break;
     case EVENT_FAULT:
       if (sim->healed)
         break;
-      strike (sim);
+      inject_fault (sim);
       schedule (sim, below (sim, 2 * FAULT_EVERY_MS), EVENT_FAULT, -1);
       break;
     case EVENT_CHANGE:
@@ -707,7 +709,7 @@
 }
 
 static void
-put_back (struct sim *sim, struct event *event)
+requeue_event (struct sim *sim, struct event *event)
 {
   struct event *place;
 
@@ -725,7 +727,7 @@
 {
   struct event *event = TAILQ_FIRST (&sim->events);
 
-  if (!event || event->at > end || sim_breach (sim)[0])
+  if (!event || event->at > end || sim_violation (sim)[0])
     return NULL;
   TAILQ_REMOVE (&sim->events, event, link);
   return event;
@@ -746,9 +748,9 @@
       else
         run_sim_event (sim, event);
       if (done)
-        put_aside (sim, event);
+        recycle_event (sim, event);
       else
-        put_back (sim, event);
+        requeue_event (sim, event);
     }
   sim->now = end;
 }
@@ -758,12 +760,12 @@
 {
   sim->healed = true;
   sim->loss = 0;
-  memset (sim->cut, 0, sizeof sim->cut);
+  memset (sim->partitioned, 0, sizeof sim->partitioned);
   for (int i = 0; i < SIM_KEEPERS; i++)
     sim->nodes[i].frozen_until = 0;
 }
 
-/* A last change, sent again until its outcome is known.  */
+/* Submits a last change and resends it until its outcome is known.  */
 static void
 run_last_change (struct sim *sim)
 {
@@ -774,7 +776,7 @@
       = checks_pick_change (sim->checks, sim->random, false, &file, &id);
 
   enlarge (sim, &file);
-  while (sim->now < end && !sim_breach (sim)[0]
+  while (sim->now < end && !sim_violation (sim)[0]
          && (!checks_is_decided (sim->checks, request) || sim->lost >= 0
              || sim->rolled_back >= 0))
     {
@@ -782,12 +784,12 @@
 
       if (node && !checks_is_decided (sim->checks, request))
         marjoram_keeper_apply (node->keeper, sim->now, request, id, &file);
-      run_until (sim, sim->now + QUIET_MS);
+      run_until (sim, sim->now + SETTLE_MS);
     }
   if (!checks_is_decided (sim->checks, request))
-    checks_breach (sim->checks, "no change can be made after all is healed");
+    checks_fail (sim->checks, "no change is accepted after recovery");
   if (sim->lost >= 0)
-    checks_breach (sim->checks, "the repair did not end after all is healed");
+    checks_fail (sim->checks, "the repair did not complete after recovery");
 }
 
 static void
@@ -800,7 +802,7 @@
                     : NULL);
 }
 
-/* Requests from before the end may be decided yet.  */
+/* Earlier requests may still be decided.  */
 static void
 run_until_quiet (struct sim *sim)
 {
@@ -809,20 +811,20 @@
   do
     {
       number = checks_number (sim->checks);
-      run_until (sim, sim->now + QUIET_MS);
+      run_until (sim, sim->now + SETTLE_MS);
     }
-  while (number < checks_number (sim->checks) && !sim_breach (sim)[0]);
+  while (number < checks_number (sim->checks) && !sim_violation (sim)[0]);
 }
 
 void
 sim_run (struct sim *sim)
 {
-  run_until (sim, CHAOS_MS);
+  run_until (sim, FAULTS_MS);
   heal (sim);
-  run_until (sim, sim->now + QUIET_MS);
+  run_until (sim, sim->now + SETTLE_MS);
   run_last_change (sim);
   run_until_quiet (sim);
-  if (!sim_breach (sim)[0])
+  if (!sim_violation (sim)[0])
     check_end (sim);
 }
 
@@ -856,13 +858,13 @@
 }
 
 void
-sim_large (struct sim *sim)
+sim_use_large_texts (struct sim *sim)
 {
   sim->large = true;
 }
 
 void
-sim_read_too (struct sim *sim)
+sim_enable_reads (struct sim *sim)
 {
   schedule (sim, READ_EVERY_MS, EVENT_READ, -1);
 }
@@ -880,7 +882,7 @@
       marjoram_random_destroy (node->random);
       marjoram_bytes_release (node->record);
       marjoram_bytes_release (node->writing);
-      marjoram_bytes_release (node->older);
+      marjoram_bytes_release (node->older_record);
     }
   checks_destroy (sim->checks);
   marjoram_random_destroy (sim->random);
@@ -888,9 +890,9 @@
 }
 
 const char *
-sim_breach (const struct sim *sim)
+sim_violation (const struct sim *sim)
 {
-  return checks_text (sim->checks);
+  return checks_violation (sim->checks);
 }
 
 const struct sim_counts *
--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -1,4 +1,5 @@
-/* Keepers that keep themselves whole: lost disks, machines gone for good.  */
+/* Automatic repair of the keepers' membership after lost disks and
+   machines.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -17,9 +18,9 @@
   TICK_MS = 50
 };
 
-struct letter
+struct queued_message
 {
-  STAILQ_ENTRY (letter) link;
+  STAILQ_ENTRY (queued_message) link;
   int from;
   int to;
   struct marjoram_keeper_message *message;
@@ -30,8 +31,8 @@
   char slot[16];
   char store[16];
   int stores;
-  marjoram_keeper *keeper; /* null while its machine is off */
-  marjoram_keeper_care *care;
+  marjoram_keeper *keeper; /* null while the machine is off */
+  marjoram_keeper_care *repair;
   marjoram_host_list *hosts;
   marjoram_random *random;
   marjoram_bytes *record;
@@ -39,11 +40,12 @@
 };
 
 static struct node nodes[NODES];
-static STAILQ_HEAD (, letter) mail = STAILQ_HEAD_INITIALIZER (mail);
+static STAILQ_HEAD (, queued_message)
+    message_queue = STAILQ_HEAD_INITIALIZER (message_queue);
 static int64_t now;
 static int decided;
 static const char *regions[NODES];
-static size_t losses; /* of disks, to be survived at once */
+static size_t losses; /* simultaneous disk losses to tolerate */
 static uint64_t tickets[NODES];
 
 static int
@@ -62,15 +64,16 @@
   const struct node *node = context;
   marjoram_bytes *packed
       = marjoram_wire_pack (&marjoram_keeper_layout, message);
-  struct letter *letter = marjoram_alloc (sizeof *letter);
-
-  letter->from = (int)(node - nodes);
-  letter->to = index_of (slot);
-  letter->message = marjoram_wire_unpack (&marjoram_keeper_layout,
-                                          marjoram_bytes_data (packed),
-                                          marjoram_bytes_size (packed), NULL);
+  struct queued_message *queued_message
+      = marjoram_alloc (sizeof *queued_message);
+
+  queued_message->from = (int)(node - nodes);
+  queued_message->to = index_of (slot);
+  queued_message->message = marjoram_wire_unpack (
+      &marjoram_keeper_layout, marjoram_bytes_data (packed),
+      marjoram_bytes_size (packed), NULL);
   marjoram_bytes_release (packed);
-  STAILQ_INSERT_TAIL (&mail, letter, link);
+  STAILQ_INSERT_TAIL (&message_queue, queued_message, link);
 }
 
 static void
@@ -112,7 +115,7 @@
 static const struct marjoram_keeper_ops ops
     = { on_send, on_persist, on_chosen, on_answered, on_valid };
 
-/* Starts the machine; FIRST_START only when the whole system is new.  */
+/* Starts the machine; FIRST_START only if the whole deployment is new.  */
 static void
 start (int index, bool first_start, bool empty_disk)
 {
@@ -135,16 +138,16 @@
   tickets[index] = 0;
   node->keeper
       = marjoram_keeper_create (&options, &ops, node, node->random, NULL);
-  node->care = marjoram_keeper_care_create (node->slot, losses);
+  node->repair = marjoram_keeper_repair_create (node->slot, losses);
 }
 
 static void
 stop (int index)
 {
   marjoram_keeper_destroy (nodes[index].keeper);
-  marjoram_keeper_care_destroy (nodes[index].care);
+  marjoram_keeper_repair_destroy (nodes[index].repair);
   nodes[index].keeper = NULL;
-  nodes[index].care = NULL;
+  nodes[index].repair = NULL;
 }
 
 static void
@@ -166,13 +169,13 @@
 static void
 teardown (void)
 {
-  struct letter *letter;
+  struct queued_message *queued_message;
 
-  while ((letter = STAILQ_FIRST (&mail)))
+  while ((queued_message = STAILQ_FIRST (&message_queue)))
     {
-      STAILQ_REMOVE_HEAD (&mail, link);
-      marjoram_wire_destroy (&marjoram_keeper_layout, letter->message);
-      free (letter);
+      STAILQ_REMOVE_HEAD (&message_queue, link);
+      marjoram_wire_destroy (&marjoram_keeper_layout, queued_message->message);
+      free (queued_message);
     }
   for (int i = 0; i < NODES; i++)
     {
@@ -199,23 +202,24 @@
 static void
 deliver (void)
 {
-  struct letter *letter;
+  struct queued_message *queued_message;
 
   write_disks ();
-  while ((letter = STAILQ_FIRST (&mail)))
+  while ((queued_message = STAILQ_FIRST (&message_queue)))
     {
-      STAILQ_REMOVE_HEAD (&mail, link);
-      if (letter->to >= 0 && nodes[letter->to].keeper)
-        marjoram_keeper_receive (nodes[letter->to].keeper, now,
-                                 nodes[letter->from].slot, letter->message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, letter->message);
-      free (letter);
+      STAILQ_REMOVE_HEAD (&message_queue, link);
+      if (queued_message->to >= 0 && nodes[queued_message->to].keeper)
+        marjoram_keeper_receive (nodes[queued_message->to].keeper, now,
+                                 nodes[queued_message->from].slot,
+                                 queued_message->message);
+      marjoram_wire_destroy (&marjoram_keeper_layout, queued_message->message);
+      free (queued_message);
       write_disks ();
     }
 }
 
 static void
-hear_keepers (marjoram_host_list *hosts)
+announce_hosts (marjoram_host_list *hosts)
 {
   for (int i = 0; i < NODES; i++)
     {
@@ -242,11 +246,11 @@
 
         if (!nodes[i].keeper)
           continue;
-        hear_keepers (nodes[i].hosts);
+        announce_hosts (nodes[i].hosts);
         marjoram_keeper_tick (nodes[i].keeper, now);
-        if (marjoram_keeper_care_tick (nodes[i].care, now, nodes[i].keeper,
-                                       nodes[i].hosts, &change))
-          marjoram_keeper_care_apply (&change, nodes[i].keeper, now, 1);
+        if (marjoram_keeper_repair_tick (nodes[i].repair, now, nodes[i].keeper,
+                                         nodes[i].hosts, &change))
+          marjoram_keeper_repair_apply (&change, nodes[i].keeper, now, 1);
         deliver ();
       }
 }
@@ -275,7 +279,7 @@
 }
 
 static void
-form (void)
+bootstrap (void)
 {
   for (int i = 0; i < FIRST; i++)
     start (i, true, true);
@@ -284,12 +288,11 @@
   ck_assert_int_ge (decided, 1);
 }
 
-/* A keeper's disk is lost and it comes back empty at its old address.  Four
-   seconds later another one's is lost.  What was acknowledged must be there
-   still, though no operator did anything.  */
+/* Guards against data loss when disks fail one after another, 4 s apart,
+   without an operator.  */
 START_TEST (two_disks_lost_one_after_the_other)
 {
-  form ();
+  bootstrap ();
   stop (0);
   start (0, false, true);
   run (4000);
@@ -310,12 +313,11 @@
 }
 END_TEST
 
-/* A keeper's machine is gone for good, and an empty one comes at another
-   address.  It becomes a member by itself, within the time after which another
-   loss must be survived.  */
+/* Guards against a dead member that is not replaced by a keeper at another
+   address before the next loss.  */
 START_TEST (machine_is_replaced_at_another_address)
 {
-  form ();
+  bootstrap ();
   stop (0);
   run (1000);
   start (3, false, true);
@@ -328,9 +330,8 @@
 }
 END_TEST
 
-/* Six keepers, of which two may lose their disks at the same moment, right
-   after they have acknowledged a change.  Three members of which two lose it
-   leave one copy that nobody may trust: the change would be gone.  */
+/* Guards against losing an acknowledged change when two of six keepers lose
+   their disks at once, which three members could not survive.  */
 START_TEST (two_disks_lost_at_once)
 {
   losses = 2;
@@ -358,8 +359,7 @@
 }
 END_TEST
 
-/* One loss is to be survived: three members are enough, and a fourth would
-   make every change slower.  */
+/* Guards against excess members, which would slow every change.  */
 START_TEST (no_more_members_than_needed)
 {
   for (int i = 0; i < NODES; i++)
@@ -370,16 +370,17 @@
 }
 END_TEST
 
-/* The first keepers are of one region, which may be lost as a whole: those
-   that are added are of the others, so that a majority is left.  */
+/* Guards against a majority in one region: members are added from the
+   others.  */
 START_TEST (added_members_are_of_other_regions)
 {
-  static const char *const of[NODES] = { "r1", "r1", "r2", "r1", "r3", "r2" };
+  static const char *const host_regions[NODES]
+      = { "r1", "r1", "r2", "r1", "r3", "r2" };
 
   losses = 2;
   for (int i = 0; i < NODES; i++)
     {
-      regions[i] = of[i];
+      regions[i] = host_regions[i];
       start (i, i < FIRST, true);
     }
   run (12000);
@@ -389,10 +390,10 @@
 }
 END_TEST
 
-/* A keeper is only restarted; nothing is to be repaired.  */
+/* Guards against replacing a member that merely restarts.  */
 START_TEST (restart_changes_no_member)
 {
-  form ();
+  bootstrap ();
   stop (0);
   run (1500);
   start (0, false, false);
@@ -401,10 +402,10 @@
 }
 END_TEST
 
-/* The whole system has lost power, and all come back with their disks.  */
+/* Guards against no progress after all keepers restart with their disks.  */
 START_TEST (all_restart)
 {
-  form ();
+  bootstrap ();
   for (int i = 0; i < FIRST; i++)
     stop (i);
   for (int i = 0; i < FIRST; i++)
