--- a/src/placement.c
+++ b/src/placement.c
@@ -4,32 +4,30 @@
 
 #include <string.h>
 
-/* Tokens of a prompt that an engine reads in a ms, until it has shown its own
-   speed.  */
+/* Initial estimate of an engine's prefill speed, in tokens per ms.  */
 #define FIRST_SPEED 40.0
-/* Share that a new observation has in a mean of speed or time.  */
+/* Weight of a new sample in the moving means.  */
 #define LEARN 0.1
-/* The same of how late an engine's first events are: it must show within a few
-   requests, and be forgotten as soon.  */
+/* The same for first-event delays, which must adapt within a few requests.  */
 #define LEARN_LATE 0.3
-/* Share of unread tokens of a lower priority that delay an urgent request: it
-   is admitted before those that wait, not before those being read.  */
+/* Share of lower-priority unread tokens that delay an urgent request: it is
+   scheduled ahead of queued prompts but not of those in prefill.  */
 #define LOWER_SHARE 0.3
 
 enum
 {
-  /* Until an upstream has shown its own time for a request.  */
+  /* Initial estimate of a request's duration.  */
   FIRST_TIME_MS = 20,
-  /* One that says it is full is left alone for about a request's time.  */
+  /* Backoff after an upstream reports that it is at capacity.  */
   FULL_PAUSE_MS = 50,
-  /* One that can't be reached is left alone for this long, doubled each time,
-     so that a restart of a second or two is found soon.  */
+  /* Backoff after a connection failure, doubled on each failure up to
+     UNREACHED_DOUBLINGS times.  */
   UNREACHED_PAUSE_MS = 300,
   UNREACHED_DOUBLINGS = 4,
-  /* Broken answers in a row, above which it is not one request's fault.  */
+  /* Consecutive broken responses after which the upstream is suspected.  */
   BROKEN_IN_ROW = 3,
   DOUBT_MS = 500,
-  /* Shortest prompt that tells an engine's speed, in tokens.  */
+  /* Shortest prompt, in tokens, used to measure prefill speed.  */
   SPEED_TOKENS_MIN = 1500
 };
 
@@ -69,7 +67,7 @@
 static void
 forget_spot (marjoram_placement *placement, struct marjoram_spot *spot)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, placement->spots, spot);
   marjoram_engine_memory_destroy (spot->memory);
   free (spot->id);
@@ -115,7 +113,7 @@
   }
   marjoram_placement_forget_placed (placement);
   while (!TAILQ_EMPTY (&placement->reporters_by_age))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     marjoram_reporter_destroy (placement,
                                TAILQ_FIRST (&placement->reporters_by_age));
   HASH_ITER (hh, placement->spots, spot, next_spot)
@@ -124,7 +122,7 @@
   }
   HASH_ITER (hh, placement->speeds, speed, next_speed)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, placement->speeds, speed);
     free (speed->service);
     free (speed);
@@ -151,14 +149,15 @@
   return speed;
 }
 
-/* A start of the same upstream holds nothing of before.  */
+/* Discards the state of an earlier instance of the same upstream.  */
 static void
 check_life (struct marjoram_spot *spot,
             const struct marjoram_registered *upstream)
 {
   if (spot->born == upstream->news.born)
     return;
-  /* What other hosts placed may be heard of before its own news.  */
+  /* Other hosts' reports may have filled the cache model before the upstream's
+     first heartbeat.  */
   if (spot->born != MARJORAM_BORN_UNKNOWN)
     marjoram_engine_memory_clear (spot->memory);
   spot->born = upstream->news.born;
@@ -216,7 +215,7 @@
                                                 : facts->answer_tokens_max);
 }
 
-/* ---- The course of attempts.  ---- */
+/* ---- Attempt lifecycle.  ---- */
 
 static void
 use_part (marjoram_placement *placement, struct marjoram_spot *spot,
@@ -230,7 +229,7 @@
   STAILQ_INSERT_TAIL (&placement->placed, placed, link);
 }
 
-/* Parts that come first must be kept for later ones to be of use, so they are
+/* Earlier parts are needed for later ones to be usable, so they are marked as
    used last.  */
 static void
 use_parts (marjoram_placement *placement, struct marjoram_spot *spot,
@@ -304,8 +303,7 @@
   *mean += LEARN * (value - *mean);
 }
 
-/* An engine that is slower than all that is known of it explains shows it only
-   by its answers.  */
+/* Tracks engines that are slower than the load model predicts.  */
 static void
 note_late (struct marjoram_placed_attempt *attempt, int64_t now)
 {
@@ -446,8 +444,8 @@
   marjoram_spot_find (placement, upstream)->cold_until = now + cold_ms;
 }
 
-/* What is kept back from a cold upstream is lost to callers, so this lasts
-   only until its next heartbeat says whether it is cold.  */
+/* Marks the zone's upstreams as disconnected, so that they count as cold only
+   until their next heartbeat.  */
 void
 marjoram_placement_restored (marjoram_placement *placement, int64_t now,
                              const char *zone)
@@ -480,8 +478,8 @@
          || marjoram_registry_find (placement->options.registry, spot->id);
 }
 
-/* Upstreams that the registry has forgotten are forgotten here too, once
-   nothing runs there and nothing more is to be told of them.  */
+/* Drops endpoints that are no longer registered, once nothing runs there and
+   no placed part is waiting to be reported.  */
 void
 marjoram_placement_tick (marjoram_placement *placement, int64_t now)
 {
--- a/src/placement.h
+++ b/src/placement.h
@@ -1,10 +1,7 @@
-/* Which upstream of the own region gets a request, and which request none can
-   serve in time.  Pure decisions, by what this host has running, what the
-   other hosts of the region tell, and a model of each engine's memory.
-
-   A model engine reads prompts at some speed and answers in batches.  Parts of
-   prompts that it keeps need not be read again, so a request goes where the
-   work still to be read, its own unread parts included, is least.  */
+/* Selects the upstream of the local region for each request and rejects
+   requests that no upstream can serve in time.  Pure decision logic: inputs
+   are the requests running on this host, load reports from the region's other
+   hosts, and a model of each engine's prefix cache.  */
 #ifndef MARJORAM_PLACEMENT_H
 #define MARJORAM_PLACEMENT_H
 
@@ -21,18 +18,18 @@
   marjoram_host_list *hosts;   /* borrowed */
   const char *host;            /* this host's name */
   const char *region;
-  /* Region of a zone; null if the zone is unknown.  */
+  /* Region of a zone; NULL if the zone is unknown.  */
   const char *(*region_of) (void *context, const char *zone);
   bool (*is_evacuated) (void *context, const char *zone);
-  /* Whether the evacuation of ZONE began just now, so that its upstreams may
-     still be sent what nothing else may run.  */
+  /* Whether the evacuation of ZONE has just begun, so that its upstreams
+     remain available as a last resort.  */
   bool (*is_leaving) (void *context, const char *zone);
   void *context;
 };
 
 enum
 {
-  MARJORAM_TRIED_MAX = 8 /* upstreams that one request may be kept from */
+  MARJORAM_TRIED_MAX = 8 /* upstreams excluded per request */
 };
 
 struct marjoram_place_query
@@ -40,31 +37,32 @@
   const struct marjoram_service_rule *service;
   const struct marjoram_call_facts *facts;
   int priority;
-  /* When the first event, or the whole answer, is of use at the latest; a wait
-     beyond it is refused.  */
+  /* Time left for the first event or the complete response; a request whose
+     estimated wait is longer is rejected.  */
   int64_t useful_ms;
-  /* Of an attempt that starts: what its place said.  */
+  /* For starting an attempt: values from the corresponding struct
+     marjoram_place.  */
   int64_t expected_ms;
   int64_t copied_tokens;
   const char *tried[MARJORAM_TRIED_MAX];
   size_t tried_count;
-  bool again;       /* an upstream that was tried is better than none */
-  bool last_resort; /* so is one of a zone that is just being evacuated */
+  bool again;       /* allow upstreams that were already tried */
+  bool last_resort; /* allow zones whose evacuation has just begun */
 };
 
 enum marjoram_place_outcome
 {
   MARJORAM_PLACE_FOUND,
-  MARJORAM_PLACE_NONE, /* no upstream that may be used */
-  MARJORAM_PLACE_BUSY  /* all would answer too late */
+  MARJORAM_PLACE_NONE, /* no usable upstream */
+  MARJORAM_PLACE_BUSY  /* every upstream would respond too late */
 };
 
-/* The bound that an upstream's wait is beyond.  */
+/* The limit that an upstream's estimated wait exceeds.  */
 enum marjoram_place_limit
 {
   MARJORAM_PLACE_LIMIT_NONE,
-  MARJORAM_PLACE_LIMIT_USEFUL, /* it would answer too late to be of use */
-  MARJORAM_PLACE_LIMIT_BACKLOG /* too many prompts ahead */
+  MARJORAM_PLACE_LIMIT_USEFUL, /* response would be too late */
+  MARJORAM_PLACE_LIMIT_BACKLOG /* too many queued prompts */
 };
 const char *marjoram_place_limit_name (enum marjoram_place_limit limit);
 
@@ -72,26 +70,26 @@
 {
   enum marjoram_place_outcome outcome;
   const struct marjoram_registered *upstream; /* FOUND */
-  /* Another engine, from which it copies what that one keeps of the prompt;
-     null if it has nothing to copy.  */
+  /* Engine from which the cached part of the prompt is copied; NULL if nothing
+     is copied.  */
   const struct marjoram_registered *copy_from;
   int64_t copied_tokens;
-  int64_t wait_ms;  /* to the first event, as estimated; 0 if NONE */
-  int64_t retry_ms; /* unless FOUND: when it is worth to come again */
-  /* Of the upstream that was looked at, a model engine: tokens of the prompt
-     that it has to read, and by how much its backlog is over its bound.  */
+  int64_t wait_ms;  /* estimated time to the first event; 0 if NONE */
+  int64_t retry_ms; /* unless FOUND: delay before a retry */
+  /* For an engine: tokens of the prompt to be prefilled, and the time by which
+     its backlog exceeds the limit.  */
   int64_t unread_tokens;
   int64_t over_ms;
-  /* What this host's share of all usable engines reads, and what one of them
-     does; 0 for a service without engines.  */
+  /* Prefill throughput of this host's share of the usable engines, and of a
+     single engine; 0 for a service without engines.  */
   double tokens_per_ms;
   double engine_tokens_per_ms;
-  /* What decided, for the log.  */
-  int candidates;     /* upstreams of the service in the region */
-  int usable;         /* of these, neither paused nor cold nor gone */
-  int64_t backlog_ms; /* prompts ahead at the one that was looked at */
-  enum marjoram_place_limit limit; /* of BUSY: which bound it is beyond */
-  int64_t news_age_ms; /* of the word of the upstream heard longest ago */
+  /* Inputs of the decision, for logging.  */
+  int candidates;     /* upstreams of the service in this region */
+  int usable;         /* those not paused, cold or gone */
+  int64_t backlog_ms; /* queued prompts at the chosen upstream */
+  enum marjoram_place_limit limit; /* for BUSY: the limit exceeded */
+  int64_t news_age_ms;             /* age of the oldest heartbeat considered */
 };
 
 marjoram_placement *
@@ -102,89 +100,91 @@
                                 const struct marjoram_place_query *query,
                                 struct marjoram_place *place);
 
-/* What this region could do for another: how many warm upstreams of SERVICE,
-   and how long a request waits at the least loaded.  Borrows texts.  */
+/* Capacity this region offers to others: the number of warm upstreams of
+   SERVICE, and the wait at the least loaded one.  OFFER borrows its strings.
+ */
 void marjoram_placement_offer (marjoram_placement *placement, int64_t now,
                                const struct marjoram_service_rule *service,
                                struct marjoram_host_offer *offer);
 
-/* Mean time to read the prompts ahead at SERVICE's engines of the region, in
-   ms, as of the last offers.  */
+/* Mean prefill backlog of SERVICE's engines in this region in ms, as of the
+   most recent marjoram_placement_offer call.  */
 double marjoram_placement_backlog (marjoram_placement *placement,
                                    const char *service);
 
-/* The course of one attempt at UPSTREAM; each attempt is started and ended
-   once.  */
+/* Lifecycle of one attempt at UPSTREAM; each attempt is started and ended
+   exactly once.  */
 void marjoram_placement_started (marjoram_placement *placement, int64_t now,
                                  uint64_t attempt, const char *upstream,
                                  const struct marjoram_place_query *query);
-/* Its first event came, or its answer's head.  */
+/* The first event or the response headers arrived.  */
 void marjoram_placement_answering (marjoram_placement *placement, int64_t now,
                                    uint64_t attempt);
-/* Bytes of its answer came.  */
+/* Response data arrived.  */
 void marjoram_placement_heard (marjoram_placement *placement, int64_t now,
                                uint64_t attempt);
-/* When the upstream of ATTEMPT last answered anything to this host, whichever
-   attempt it was for; 0 if it never did, or ATTEMPT is at no upstream.  */
+/* When the upstream of ATTEMPT last sent any data to this host, for whichever
+   attempt; 0 if it never did or ATTEMPT is unknown.  */
 int64_t marjoram_placement_heard_at (marjoram_placement *placement,
                                      uint64_t attempt);
 enum marjoram_attempt_end
 {
   MARJORAM_ATTEMPT_SERVED,
   MARJORAM_ATTEMPT_CANCELLED,
-  MARJORAM_ATTEMPT_REFUSED,   /* full: not run */
-  MARJORAM_ATTEMPT_WRONG,     /* another upstream has the address */
-  MARJORAM_ATTEMPT_FAILED,    /* answered with a failure of its own */
-  MARJORAM_ATTEMPT_UNREACHED, /* no connection: not run */
-  MARJORAM_ATTEMPT_BROKEN,    /* broke off: may have run */
-  MARJORAM_ATTEMPT_SILENT     /* gave no sign in time */
+  MARJORAM_ATTEMPT_REFUSED,   /* at capacity: not executed */
+  MARJORAM_ATTEMPT_WRONG,     /* another upstream owns the address */
+  MARJORAM_ATTEMPT_FAILED,    /* upstream returned an error */
+  MARJORAM_ATTEMPT_UNREACHED, /* no connection: not executed */
+  MARJORAM_ATTEMPT_BROKEN,    /* connection broken: may have been executed */
+  MARJORAM_ATTEMPT_SILENT     /* timed out */
 };
 void marjoram_placement_ended (marjoram_placement *placement, int64_t now,
                                uint64_t attempt,
                                enum marjoram_attempt_end how);
-/* Connections to ADDRESS broke: who is there may have started anew, empty and
-   cold.  */
+/* Connections to ADDRESS broke: the upstream may have restarted with a cold
+   cache.  */
 void marjoram_placement_lost (marjoram_placement *placement, int64_t now,
                               const char *address);
-/* The answer of an upstream says that it stays cold for COLD_MS.  */
+/* A response from UPSTREAM reports that it stays cold for COLD_MS.  */
 void marjoram_placement_cold (marjoram_placement *placement, int64_t now,
                               const char *upstream, int64_t cold_ms);
-/* An evacuation of ZONE has ended: its upstreams may be cold, until they are
-   heard to be not.  */
+/* The evacuation of ZONE ended: its upstreams are treated as cold until their
+   next heartbeat.  */
 void marjoram_placement_restored (marjoram_placement *placement, int64_t now,
                                   const char *zone);
 
-/* UPSTREAM says that it keeps PARTS.  */
+/* UPSTREAM reports that it has PARTS cached.  */
 void marjoram_placement_keeps (marjoram_placement *placement,
                                const char *upstream,
                                const struct marjoram_prompt_part *parts,
                                size_t count);
 
-/* For the other hosts of the region: what runs from here, and what was placed
-   since the last report.  To be cleared by the caller.  */
+/* Builds a report for the region's other hosts: all requests running from this
+   host, and the prompt parts placed since the last report.  The caller clears
+   REPORT.  */
 void marjoram_placement_report (marjoram_placement *placement,
                                 struct marjoram_load_report *report);
 void marjoram_placement_hear (marjoram_placement *placement, int64_t now,
                               const char *host,
                               const struct marjoram_load_report *report);
-/* ---- In large fleets, instead of reports to all hosts (load_collector.h).
-   ---- */
+/* ---- Reports through collectors, for large fleets (load_collector.h).  ----
+ */
 
 enum
 {
-  /* Groups of upstreams, each with one collector.  More groups spread the work
-     of collecting, fewer take fewer messages.  */
+  /* Upstream groups, each with its own collector.  More groups spread the
+     aggregation work, fewer need fewer messages.  */
   MARJORAM_LOAD_GROUPS = 8
 };
 
-/* What has changed here since the last call, by group of upstreams; all that
-   runs from here where WHOLE is set.  To be cleared by the caller.  */
+/* Builds one report per group: changes since the last call, or all running
+   requests where WHOLE is set.  The caller clears REPORTS.  */
 void marjoram_placement_report_changes (
     marjoram_placement *placement, int64_t now,
     const bool whole[MARJORAM_LOAD_GROUPS],
     struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS]);
-/* The sums of a collector, this host's own loads included, of those GROUPS
-   that it collects.  */
+/* Applies a collector's totals, which include this host's own load.  GROUPS
+   are the groups that it collects.  */
 void marjoram_placement_hear_sums (marjoram_placement *placement, int64_t now,
                                    const bool groups[MARJORAM_LOAD_GROUPS],
                                    const struct marjoram_load_report *report);
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -4,55 +4,51 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Reading a part once more takes memory from other parts beside the time, so
-   unread tokens weigh more than the tokens of others ahead.  */
+/* Weight of unread tokens relative to queued ones: prefill also evicts other
+   cached parts.  */
 #define READ_WEIGHT 2.0
-/* Share that a new observation has in the mean backlog.  */
+/* Weight of a new sample in the mean backlog.  */
 #define LEARN_BACKLOG 0.1
-/* How much a mean failure share of 1 multiplies an upstream's cost.  */
+/* Cost multiplier per unit of mean failure share.  */
 #define FAILURE_WEIGHT 4.0
-/* Prompts are read in chunks between the tokens of all running requests, so a
-   long prompt delays long answers.  Weight of that delay against the request's
-   own wait.  */
+/* Weight of the delay that chunked prefill causes to running responses,
+   relative to the request's own wait.  */
 #define PROMPT_HARM 0.1
-/* Tokens of answers for which it counts once.  */
+/* Response tokens for which the delay counts once.  */
 #define LONG_ANSWER 300.0
 
 enum
 {
-  /* Equal upstreams differ by up to this much in a way that all hosts agree
-     on, so that all send the same prompt part to the same one.  */
+  /* Range of the deterministic tie-breaker that sends a shared prompt part to
+     the same upstream from all hosts.  */
   SPREAD_MS = 20,
-  /* A heartbeat this much younger than a broken connection was sent after it,
-     and tells whether its sender is cold.  */
+  /* A heartbeat received at least this long after a connection broke was sent
+     after it and shows whether the upstream is cold.  */
   NEWS_DELAY_MS = 300,
-  /* An upstream may be cold for a little longer than its heartbeats say, and
-     all that wait for it are sent at once when it is taken for warm.  */
+  /* Safety margin added to the cold period that a heartbeat reports.  */
   COLD_MARGIN_MS = 100,
-  /* What a warm upstream must have to wait for a cold one to be chosen.  */
+  /* Cost penalty of a cold upstream.  */
   COLD_COST_MS = 100,
-  /* The same of one whose answers broke several times in a row: any other
-     comes first, but it is better than none.  */
+  /* Cost penalty of a suspected upstream.  */
   DOUBT_COST_MS = 1000,
-  /* Most prompts ahead of a request, as time to read them: a longer queue
-     stretches the pauses of all running answers beyond what callers accept. */
+  /* Maximum prefill backlog ahead of a request; longer queues stall running
+     responses.  */
   BACKLOG_MAX_MS = 100,
-  /* What one in time may cost more than the cheapest that is late.  */
+  /* Extra cost accepted for an upstream that meets the deadline.  */
   SECOND_BEST_MS = 100,
-  /* Hosts of a region that may each look at all upstreams: more of them would
-     send to the same one before they hear of each other.  */
+  /* Hosts per region above which each request considers only a sample of the
+     upstreams, to avoid herding on the least loaded one.  */
   SAMPLE_HOSTS = 8,
-  /* Fewest upstreams that a sample of a request is to hold, in the mean.  */
+  /* Minimum mean number of upstreams in a sample.  */
   SAMPLE_MIN = 4,
   RETRY_SOON_MS = 250,
   MSEC_PER_SEC = 1000
 };
 
-/* ---- The choice.  ---- */
+/* ---- Selection.  ---- */
 
-/* Connections that broke may mean that the upstream started anew under its old
-   id, cold; sent at full rate before its next heartbeat says so, it would
-   crash.  */
+/* Broken connections may mean that the upstream restarted cold under the same
+   id, so it counts as cold until a later heartbeat arrives.  */
 static bool
 is_cold (const struct marjoram_spot *spot,
          const struct marjoram_registered *upstream,
@@ -67,9 +63,9 @@
          && upstream->heard_at <= spot->lost_at + NEWS_DELAY_MS;
 }
 
-/* All hosts together must stay below the rate that a cold upstream bears, also
-   if some are out of touch.  So one host alone feeds it; while two disagree on
-   which of them it is, twice the rate is within what the bound allows.  */
+/* A cold upstream accepts a limited total request rate, so only the host that
+   owns it by rendezvous hashing sends to it.  While two hosts disagree on the
+   owner, the rate stays at most twice as high, which is still allowed.  */
 static bool
 may_feed (marjoram_placement *placement, const struct marjoram_spot *spot,
           const struct marjoram_service_rule *service, int64_t now)
@@ -110,8 +106,8 @@
              && options->is_leaving (options->context, upstream->news.zone));
 }
 
-/* The same for all hosts, so that they agree where a shared part is kept: by
-   the last part that requests share.  */
+/* Tie-breaker that is the same on all hosts.  Hashes the last part that
+   requests share.  */
 static int64_t
 spread (const struct marjoram_spot *spot,
         const struct marjoram_call_facts *facts)
@@ -129,15 +125,15 @@
 
 struct estimate
 {
-  double wait_ms;    /* to the first event or the answer */
-  double cost_ms;    /* WAIT_MS and what the choice costs others */
-  double backlog_ms; /* to read the prompts ahead of it */
-  int64_t unread;    /* tokens of its prompt to be read */
-  bool idle;         /* nothing that is known of runs there */
+  double wait_ms;    /* until the first event or the response */
+  double cost_ms;    /* WAIT_MS plus the cost to other requests */
+  double backlog_ms; /* prefill time of queued prompts */
+  int64_t unread;    /* prompt tokens to prefill */
+  bool idle;         /* no known request is running there */
 };
 
-/* Above its slots an engine, or a plain upstream, takes one request for each
-   that ends.  */
+/* Once all slots are taken, a request is admitted for each one that
+   completes.  */
 static double
 queue_ms (const struct marjoram_spot_load_sum *load, int64_t slots,
           double request_ms)
@@ -147,16 +143,16 @@
   return (double)(load->running - slots + 1) * request_ms / (double)slots;
 }
 
-/* What reading a prompt for UNREAD_MS costs the answers of an engine with
-   LOAD, as time.  */
+/* Cost of a prefill of UNREAD_MS to the responses running on an engine with
+   LOAD.  */
 static double
 harm_ms (const struct marjoram_spot_load_sum *load, double unread_ms)
 {
   return PROMPT_HARM * unread_ms * (double)load->answer / LONG_ANSWER;
 }
 
-/* How much later than expected the engine is now: as it was lately, or as its
-   oldest request that has no answer yet is already.  */
+/* Current delay beyond the estimate: the recent mean, or the overdue time of
+   the oldest unanswered attempt if that is longer.  */
 static double
 late_ms (const struct marjoram_spot *spot, int64_t now)
 {
@@ -248,10 +244,9 @@
          || may_feed (placement, spot, query->service, now);
 }
 
-/* Whether an upstream would serve QUERY in time, without a queue that slows
-   down all its answers.  An idle one is always tried: what was learned while
-   it was slow would else turn callers away for good, as only answers can show
-   that it is fast again.  */
+/* The limit that rules out an upstream for QUERY.  Idle upstreams are never
+   ruled out: the estimates of a formerly slow one improve only through new
+   requests.  */
 static enum marjoram_place_limit
 limit_of (const struct estimate *estimate,
           const struct marjoram_place_query *query)
@@ -300,11 +295,11 @@
   choice->copy = *copy;
 }
 
-/* Which upstreams a request looks at, a share of them by its id.  */
+/* Pseudo-random subset of upstreams, selected by request id.  */
 struct sample
 {
   uint64_t seed;
-  uint64_t below; /* of hashes of upstreams */
+  uint64_t below; /* upper bound of upstream hashes */
 };
 
 static const struct sample all_upstreams = { 0, UINT64_MAX };
@@ -328,7 +323,7 @@
                           (uint64_t)(share * (double)UINT64_MAX) };
 }
 
-/* One that keeps most of the prompt is always looked at.  */
+/* Upstreams that cache more than half of the prompt are always considered.  */
 static bool
 is_in_sample (const struct sample *sample, const struct marjoram_spot *spot,
               const struct marjoram_place_query *query, int64_t kept)
@@ -338,9 +333,8 @@
                 < sample->below;
 }
 
-/* Where the cheapest is late, one in time takes the request if it costs little
-   more.  At a greater cost it would read again what the cheapest keeps, and
-   drop other parts for it.  */
+/* Finds the upstream of least cost and the one of least cost that meets the
+   deadline.  */
 static void
 choose_both (marjoram_placement *placement, int64_t now,
              const struct marjoram_place_query *query,
@@ -383,7 +377,7 @@
   }
 }
 
-/* The hosts of a region that take requests share its engines about equally. */
+/* Assumes that the serving hosts of a region share its engines equally.  */
 static void
 note_speed (marjoram_placement *placement, int64_t now,
             const struct marjoram_place_query *query,
--- a/src/placement_collect.c
+++ b/src/placement_collect.c
@@ -7,9 +7,9 @@
 
 enum
 {
-  /* The sums of a collector that is silent for longer count no more.  */
+  /* Totals of a collector that is silent for longer are dropped.  */
   SUMS_VALID_MS = 2000,
-  /* Until what was told to a collector has come back in its sums.  */
+  /* Time for a report to the collector to be included in its totals.  */
   SETTLE_MS = 200
 };
 
@@ -20,7 +20,7 @@
                % MARJORAM_LOAD_GROUPS);
 }
 
-/* ---- To collectors.  ---- */
+/* ---- Reports to collectors.  ---- */
 
 static bool
 is_idle (const struct marjoram_spot_load_sum *load)
@@ -120,7 +120,7 @@
   add_placed (placement, now, reports);
 }
 
-/* ---- From collectors.  ---- */
+/* ---- Totals from collectors.  ---- */
 
 static int64_t
 without_own (int64_t sum, int64_t reported, int64_t before, bool settled)
@@ -130,9 +130,9 @@
   return sum > own ? sum - own : 0;
 }
 
-/* Until the sums are known to hold what was told last, the lower of the last
-   two is taken off: a request that this host has just sent must not seem to
-   make room.  */
+/* Subtracts this host's own load from the collector's total.  Until the last
+   report is known to be included, the lower of the last two reports is
+   subtracted, so that a request just sent does not appear as free capacity. */
 struct marjoram_spot_load_sum
 marjoram_spot_collected (const struct marjoram_spot *spot, int64_t now)
 {
--- a/src/placement_copy.c
+++ b/src/placement_copy.c
@@ -4,11 +4,10 @@
 
 enum
 {
-  /* Fewer tokens are read as fast as a copy is set up.  */
+  /* Below this, prefill is as fast as setting up a copy.  */
   COPY_TOKENS_MIN = 64
 };
 
-/* Until a copy begins.  */
 #define COPY_SETUP_MS 1.3
 
 static struct marjoram_copy_zone *
@@ -42,7 +41,7 @@
     zone->second = source;
 }
 
-/* One whose connections broke may have started anew, and keeps nothing.  */
+/* An engine whose connections broke may have restarted with an empty cache. */
 static bool
 may_give (const struct marjoram_spot *spot,
           const struct marjoram_registered *upstream, int64_t now)
--- a/src/placement_copy.h
+++ b/src/placement_copy.h
@@ -1,7 +1,6 @@
-/* What an engine may copy of a prompt from another engine of its zone instead
-   of reading it.  Copying takes a tenth of the time of reading, so a request
-   need not wait for the engine that keeps its prompt, and engines don't read
-   once more what another one keeps.  */
+/* Copying cached prompt parts between engines of one zone.  Copying is about
+   ten times faster than prefill, so a request need not wait for the engine
+   that has its prompt cached.  */
 #ifndef MARJORAM_PLACEMENT_COPY_H
 #define MARJORAM_PLACEMENT_COPY_H
 
@@ -9,36 +8,38 @@
 
 enum
 {
-  MARJORAM_COPY_ZONES_MAX = 16 /* of one region; in further ones none copies */
+  MARJORAM_COPY_ZONES_MAX
+  = 16 /* per region; zones beyond the limit do not copy */
 };
 
 struct marjoram_copy_source
 {
-  const struct marjoram_registered *upstream; /* null if none */
-  int64_t kept;                               /* tokens of the prompt */
+  const struct marjoram_registered *upstream; /* NULL if none */
+  int64_t kept;                               /* cached tokens of the prompt */
 };
 
 struct marjoram_copy_zone
 {
   const char *zone;
-  struct marjoram_copy_source first; /* that keeps most */
+  struct marjoram_copy_source first; /* caches the most */
   struct marjoram_copy_source second;
 };
 
-/* Who keeps most of one prompt, by zone; valid until the next event.  */
+/* Engines that cache most of one prompt, by zone; valid until the next
+   event.  */
 struct marjoram_copy_sources
 {
   struct marjoram_copy_zone zones[MARJORAM_COPY_ZONES_MAX];
   size_t zone_count;
 };
 
-/* What one engine has and copies of a prompt.  */
+/* Cached and copied tokens of a prompt at one engine.  */
 struct marjoram_copy
 {
-  int64_t kept;                           /* tokens that it has itself */
-  const struct marjoram_registered *from; /* null if it copies nothing */
-  int64_t tokens;                         /* copied */
-  double ms;                              /* until they are there */
+  int64_t kept;                           /* tokens in its own cache */
+  const struct marjoram_registered *from; /* NULL if nothing is copied */
+  int64_t tokens;                         /* to copy */
+  double ms;                              /* duration of the copy */
 };
 
 void marjoram_copy_sources_find (struct marjoram_copy_sources *sources,
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -1,7 +1,6 @@
-/* The parts of a placement, shared by placement.c (what is known, and the
-   course of attempts), placement_choose.c (the choice), placement_report.c
-   (what hosts of a region tell each other) and placement_collect.c (the same
-   by collectors).  */
+/* Internals shared by placement.c (state and attempt lifecycle),
+   placement_choose.c (selection), placement_report.c (load reports between
+   hosts) and placement_collect.c (load reports through collectors).  */
 #ifndef MARJORAM_PLACEMENT_PRIVATE_H
 #define MARJORAM_PLACEMENT_PRIVATE_H
 
@@ -13,66 +12,69 @@
 struct marjoram_spot_load_sum
 {
   int64_t running; /* requests */
-  int64_t unread;  /* tokens of prompts that still have to be read */
-  int64_t urgent;  /* the part of UNREAD that goes before other requests */
-  int64_t held;    /* tokens that running requests keep in memory */
-  int64_t answer;  /* tokens that running requests may still get */
+  int64_t unread;  /* prompt tokens not yet prefilled */
+  int64_t urgent;  /* the part of UNREAD with scheduling priority */
+  int64_t held;    /* KV cache tokens held by running requests */
+  int64_t answer;  /* response tokens still expected */
 };
 
 struct marjoram_spot;
 
-/* What another host has running at a spot, by its last report.  */
+/* Load of another host at one endpoint, from its last report.  */
 struct marjoram_told_load
 {
   struct marjoram_spot *spot;
   struct marjoram_spot_load_sum load;
 };
 
-/* Another host of the region.  */
+/* Another host of the region that reports its load.  */
 struct marjoram_reporter
 {
-  TAILQ_ENTRY (marjoram_reporter) link; /* by time, the oldest report first */
+  TAILQ_ENTRY (marjoram_reporter) link; /* oldest report first */
   char *host;
-  int64_t at; /* of its last report */
+  int64_t at; /* time of the last report */
   struct marjoram_told_load *loads;
   size_t count;
-  size_t room; /* loads that fit */
+  size_t room; /* allocated entries of LOADS */
   UT_hash_handle hh;
 };
 
-/* Of a spot that was told of before its upstream's own news came.  */
+/* The endpoint is known only from other hosts' reports.  */
 #define MARJORAM_BORN_UNKNOWN INT64_MIN
 
-/* What is known of one upstream beside the registry.  */
+/* Placement state of one upstream, in addition to the registry entry.  */
 struct marjoram_spot
 {
   char *id;
   struct marjoram_spot_load_sum own;
-  struct marjoram_spot_load_sum told; /* by all other hosts together */
-  size_t tellers;                     /* reports that name it */
+  struct marjoram_spot_load_sum told; /* total of all other hosts */
+  size_t tellers;                     /* hosts whose reports include it */
   int group;
-  struct marjoram_spot_load_sum collected; /* by all hosts and this one */
-  /* This host's own as the collector was told it, and before that.  */
+  struct marjoram_spot_load_sum
+      collected; /* total of all hosts, including this one */
+  /* Values of OWN last sent to the collector, and those sent before.  */
   struct marjoram_spot_load_sum reported;
   struct marjoram_spot_load_sum reported_before;
   int64_t reported_at;
   marjoram_engine_memory *memory;
-  int64_t capacity; /* tokens, of the engine's memory; 0 until it is known */
-  int64_t born;     /* of the life that MEMORY is of */
+  int64_t capacity; /* KV cache size in tokens; 0 if unknown */
+  int64_t born;     /* start time of the instance that MEMORY models */
   int64_t paused_until;
-  int64_t doubted_until; /* used only where there is no other */
+  int64_t doubted_until; /* used only if there is no alternative */
   int64_t lost_at;       /* 0 if its connections never broke */
-  int64_t wrong_at;      /* another one had its address */
-  int64_t heard_at;      /* bytes of any answer to this host; 0 if none */
+  int64_t wrong_at;      /* time of the last address conflict */
+  int64_t heard_at;      /* last response data to this host; 0 if none */
   int64_t cold_until;
   int64_t cold_sent_at;
   int unreached;
   int broken;
   double failure_share;
-  double late_ms; /* by which first events came later than expected, a mean */
-  TAILQ_HEAD (, marjoram_placed_attempt) unanswered; /* the oldest first */
+  double late_ms; /* moving mean of the delay of first events beyond the
+                     estimate */
+  TAILQ_HEAD (, marjoram_placed_attempt) unanswered; /* oldest first */
   bool tell_lost;
-  uint64_t report; /* number of the report that names it at ITEM */
+  uint64_t
+      report; /* number of the last report that includes it, at index ITEM */
   size_t item;
   UT_hash_handle hh;
 };
@@ -80,28 +82,28 @@
 struct marjoram_placed_attempt
 {
   TAILQ_ENTRY (marjoram_placed_attempt)
-  link; /* of the spot, until answering */
+  link; /* in UNANSWERED, until the response starts */
   uint64_t number;
   struct marjoram_spot *spot;
   char *service;
   int64_t started_at;
   int64_t unread;
-  int64_t ahead; /* unread tokens before it, when it was sent */
+  int64_t ahead; /* unread tokens queued ahead when it was sent */
   int64_t held;
   int64_t answer;
-  int64_t expected_ms; /* to its first event, when it was sent */
+  int64_t expected_ms; /* estimated time to the first event when sent */
   bool urgent;
   bool answering;
   UT_hash_handle hh;
 };
 
-/* Means of one service's upstreams.  */
+/* Moving means over the upstreams of one service.  */
 struct marjoram_service_speed
 {
   char *service;
   double tokens_per_ms;
   double request_ms;
-  double backlog_ms; /* to read the prompts ahead, over the region's engines */
+  double backlog_ms; /* mean prefill backlog of the region's engines */
   UT_hash_handle hh;
 };
 
@@ -115,36 +117,37 @@
 struct marjoram_placement
 {
   struct marjoram_placement_options options;
-  char *host; /* this host's name; outlives the settings */
+  char *host; /* this host's name; owned */
   char *region;
   struct marjoram_spot *spots;
   struct marjoram_placed_attempt *attempts;
   struct marjoram_service_speed *speeds;
-  STAILQ_HEAD (, marjoram_placed_item) placed; /* since the last report */
-  uint64_t reports;                            /* made */
-  int64_t collected_at[MARJORAM_LOAD_GROUPS];  /* 0: nothing is */
+  STAILQ_HEAD (, marjoram_placed_item)
+  placed;           /* placed since the last report */
+  uint64_t reports; /* number of reports built */
+  int64_t collected_at[MARJORAM_LOAD_GROUPS]; /* 0 if no totals are held */
   struct marjoram_reporter *reporters;
   TAILQ_HEAD (, marjoram_reporter) reporters_by_age;
 };
 
 struct marjoram_spot *marjoram_spot_find (marjoram_placement *placement,
                                           const char *id);
-/* The spot of UPSTREAM, with nothing of a former life of it.  */
+/* The endpoint of UPSTREAM, reset if the upstream has restarted.  */
 struct marjoram_spot *
 marjoram_spot_of (marjoram_placement *placement,
                   const struct marjoram_registered *upstream);
-/* What runs there, from this host and from all that told lately: to be called
-   after marjoram_placement_forget_reports.  */
+/* Total load there from this and all other reporting hosts.  Call
+   marjoram_placement_forget_reports first.  */
 struct marjoram_spot_load_sum
 marjoram_spot_load (const struct marjoram_spot *spot, int64_t now);
-/* Takes off what hosts told that have been silent for long.  */
+/* Drops reports of hosts that have timed out.  */
 void marjoram_placement_forget_reports (marjoram_placement *placement,
                                         int64_t now);
 /* placement_collect.c */
-/* The same of what collectors told.  */
+/* Drops totals of collectors that have timed out.  */
 void marjoram_placement_forget_sums (marjoram_placement *placement,
                                      int64_t now);
-/* What other hosts run at SPOT by its collector.  */
+/* Load of other hosts at SPOT according to its collector.  */
 struct marjoram_spot_load_sum
 marjoram_spot_collected (const struct marjoram_spot *spot, int64_t now);
 int marjoram_load_group (const char *upstream);
@@ -153,23 +156,23 @@
                         int64_t sign);
 struct marjoram_spot_load_sum
 marjoram_load_of_item (const struct marjoram_load_item *item);
-/* An item of a report on SPOT, which owns its text.  */
+/* Builds the report item for SPOT; the item owns its string.  */
 struct marjoram_load_item marjoram_spot_item (struct marjoram_spot *spot);
 void marjoram_spot_hear_placed (struct marjoram_spot *spot,
                                 const struct marjoram_placed_part *placed);
 void marjoram_reporter_destroy (marjoram_placement *placement,
                                 struct marjoram_reporter *reporter);
-/* Tokens of the prompt that the engine keeps, at most all of them.  */
+/* Prompt tokens that the engine has cached.  */
 int64_t marjoram_spot_kept (const struct marjoram_spot *spot,
                             const struct marjoram_call_facts *facts);
-/* Whether UPSTREAM, of this region, may run QUERY at all.  */
+/* Whether UPSTREAM is usable, in this region and not in an evacuated zone.  */
 bool marjoram_placement_is_candidate (
     marjoram_placement *placement, const struct marjoram_registered *upstream,
     const struct marjoram_place_query *query, int64_t now);
 /* Unread tokens that delay a request of PRIORITY.  */
 int64_t marjoram_load_ahead (const struct marjoram_spot_load_sum *load,
                              int priority);
-/* Tokens that the answer may have.  */
+/* Expected number of response tokens.  */
 double marjoram_answer_tokens (const struct marjoram_call_facts *facts);
 struct marjoram_service_speed *
 marjoram_placement_speed (marjoram_placement *placement, const char *service);
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  /* A report of a host that is silent for longer counts no more.  */
+  /* Reports of a host that is silent for longer are dropped.  */
   REPORT_VALID_MS = 2000
 };
 
@@ -48,7 +48,7 @@
   return item;
 }
 
-/* ---- This host's own.  ---- */
+/* ---- Reports from this host.  ---- */
 
 static size_t
 add_item (marjoram_placement *placement, struct marjoram_load_report *report,
@@ -109,7 +109,7 @@
   marjoram_placement_forget_placed (placement);
 }
 
-/* ---- Other hosts'.  ---- */
+/* ---- Reports from other hosts.  ---- */
 
 static void
 take_off_loads (struct marjoram_reporter *reporter)
@@ -129,7 +129,7 @@
                            struct marjoram_reporter *reporter)
 {
   take_off_loads (reporter);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, placement->reporters, reporter);
   TAILQ_REMOVE (&placement->reporters_by_age, reporter, link);
   free (reporter->loads);
@@ -143,7 +143,7 @@
   struct marjoram_reporter *oldest;
 
   while ((oldest = TAILQ_FIRST (&placement->reporters_by_age))
-         /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+         /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
          && now - oldest->at > REPORT_VALID_MS)
     marjoram_reporter_destroy (placement, oldest);
   marjoram_placement_forget_sums (placement, now);
@@ -197,7 +197,7 @@
 marjoram_spot_hear_placed (struct marjoram_spot *spot,
                            const struct marjoram_placed_part *placed)
 {
-  /* Until this host has sent there itself, it does not know the size.  */
+  /* The capacity is unknown until this host has sent a request there.  */
   int64_t capacity = spot->capacity > 0 ? spot->capacity : INT64_MAX;
 
   marjoram_engine_memory_use (spot->memory, placed->part,
@@ -215,7 +215,7 @@
   marjoram_auto_free size_t *named
       = marjoram_alloc ((report->items.count + 1) * sizeof *named);
 
-  /* A report names all that runs from its host: what it leaves out is over. */
+  /* A report is complete: requests that it omits have ended.  */
   reporter->at = now;
   take_off_loads (reporter);
   make_room (reporter, report->items.count);
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -1,4 +1,5 @@
-/* Which upstream gets a request, and which request none can serve in time.  */
+/* Tests the selection of upstreams and the rejection of requests that cannot
+   be served in time.  */
 #include "suite.h"
 
 #include "placement.h"
@@ -108,7 +109,7 @@
   hear_full (now, "lm", id, "za", 0, now + 1);
 }
 
-/* A prompt of a shared part and one of its own.  */
+/* A prompt that consists of a shared part and one of its own.  */
 static struct marjoram_call_facts
 prompt (uint64_t shared, int64_t shared_tokens, uint64_t own,
         int64_t own_tokens)
@@ -133,7 +134,7 @@
   return query;
 }
 
-/* Chooses and, if there is a place, starts the attempt there.  */
+/* Chooses an upstream and, if one is found, starts an attempt there.  */
 static struct marjoram_place
 place (int64_t now, const struct marjoram_place_query *query)
 {
@@ -150,8 +151,8 @@
   return chosen;
 }
 
-/* A host that has just started hears from an engine that it keeps a part: the
-   part's prompts go there, and are not read again elsewhere.  */
+/* Guards against prefill on other engines of a part that an engine reported as
+   cached.  */
 START_TEST (prompt_goes_where_an_engine_says_it_is_kept)
 {
   const struct marjoram_prompt_part kept = { 7, 4000 };
@@ -194,9 +195,8 @@
 }
 END_TEST
 
-/* An engine keeps a long prompt and is busy with others.  The request goes to
-   its neighbour, which copies the prompt instead of reading it for a tenth of
-   a second; an engine in another zone, to which the way is long, reads.  */
+/* Guards against prefill of a prompt that can be copied from a busy engine of
+   the same zone, and against copies between zones.  */
 START_TEST (kept_prompt_is_copied_from_a_busy_neighbour)
 {
   struct marjoram_service_rule copying = engine;
@@ -222,7 +222,7 @@
   ck_assert_str_eq (chosen.copy_from->news.id, "1");
   ck_assert_int_eq (chosen.copied_tokens, 6000);
   ck_assert_int_lt (chosen.wait_ms, 30);
-  /* Nobody in the third one's zone has it.  */
+  /* No engine in the zone of upstream 3 has it cached.  */
   query.tried[query.tried_count++] = "1";
   query.tried[query.tried_count++] = "2";
   chosen = place (320, &query);
@@ -231,8 +231,8 @@
 }
 END_TEST
 
-/* The engine that kept the prompt has lost its connections: it may have
-   started anew and hold nothing, so nobody is sent to copy from it.  */
+/* Guards against a copy from an engine that may have restarted with an empty
+   cache.  */
 START_TEST (nothing_is_copied_from_a_lost_engine)
 {
   struct marjoram_service_rule copying = engine;
@@ -254,8 +254,8 @@
 }
 END_TEST
 
-/* All prompts of a burst share one part.  Sent to the one engine that keeps it
-   they would wait behind each other while three engines idle.  */
+/* Guards against queueing all prompts that share a part on the engine that
+   caches it while others are idle.  */
 START_TEST (a_hot_part_does_not_pile_up)
 {
   int at[5] = { 0 };
@@ -276,9 +276,8 @@
 }
 END_TEST
 
-/* Long prompts come faster than the engines read them.  Queued, they would
-   make every answer slow; those that are too many are refused at once, with a
-   time to come back.  */
+/* Guards against an unbounded prefill queue: excess requests are rejected at
+   once with a retry delay.  */
 START_TEST (queue_of_prompts_is_bounded)
 {
   struct marjoram_place chosen = { 0 };
@@ -300,8 +299,8 @@
 }
 END_TEST
 
-/* The same queue of long prompts, and a short urgent one: engines admit it
-   before those that wait, so it is not refused for them.  */
+/* Guards against rejecting urgent requests because of queued lower-priority
+   prompts.  */
 START_TEST (urgent_requests_pass_the_queue)
 {
   struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
@@ -320,9 +319,8 @@
 }
 END_TEST
 
-/* Upstreams come back cold: together all hosts may send each of them only so
-   many requests a second, or it crashes.  Two hosts see each other, a third is
-   out of touch with both.  */
+/* Guards against overloading a cold upstream when several hosts send to it,
+   one of them partitioned from the others.  */
 START_TEST (cold_upstream_is_fed_by_one_host)
 {
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
@@ -355,9 +353,8 @@
 }
 END_TEST
 
-/* An upstream crashes and starts again at once under its old id.  Its next
-   heartbeat, which says that it is cold, comes a second later; until then the
-   broken connections are all that tells.  */
+/* Guards against sending at full rate to an upstream that restarted cold,
+   before its next heartbeat.  */
 START_TEST (broken_connections_mean_cold_until_news)
 {
   int sent = 0;
@@ -390,9 +387,8 @@
 }
 END_TEST
 
-/* A zone that was evacuated is taken back; what it has may have become cold
-   meanwhile, without a heartbeat that says so yet.  Its next one does: a whole
-   zone that is kept back for longer is missed by its callers.  */
+/* Guards against sending at full rate to a restored zone that may be cold, and
+   against throttling it after its next heartbeat.  */
 START_TEST (restored_zone_is_cold_until_it_is_heard)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
@@ -415,9 +411,8 @@
 }
 END_TEST
 
-/* An engine turns slow; nothing that it says of itself shows it.  The one
-   request that waits there without an answer does, and so do the late first
-   events after that: callers must not be sent there while another is free.  */
+/* Guards against sending to an engine that has become slow, which only its
+   missing or late responses show.  */
 START_TEST (slow_engine_is_avoided)
 {
   struct marjoram_call_facts facts = prompt (7, 4000, 8, 100);
@@ -431,7 +426,7 @@
   snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
   marjoram_placement_answering (placement, 110, 1);
   marjoram_placement_ended (placement, 120, 1, MARJORAM_ATTEMPT_SERVED);
-  /* It keeps the part, so the next one goes there, and waits.  */
+  /* It caches the part, so the next request is sent there and waits.  */
   ck_assert_str_eq (place (200, &query).upstream->news.id, slow);
   ck_assert_str_ne (place (1200, &query).upstream->news.id, slow);
   marjoram_placement_answering (placement, 1300, 3);
@@ -463,7 +458,8 @@
                             MARJORAM_ATTEMPT_UNREACHED);
   ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_NONE);
   ck_assert_int_eq (place (400, &query).outcome, MARJORAM_PLACE_FOUND);
-  /* Another upstream has its address: only its own news bring it back.  */
+  /* Another upstream owns its address: only its own heartbeat makes it usable
+     again.  */
   marjoram_placement_ended (placement, 410, next_attempt,
                             MARJORAM_ATTEMPT_WRONG);
   ck_assert_int_eq (place (5000, &query).outcome, MARJORAM_PLACE_NONE);
@@ -472,8 +468,8 @@
 }
 END_TEST
 
-/* The only upstream of a region breaks off several answers.  Requests go on to
-   it, as there is no other; where there is one, they go there.  */
+/* Guards against rejecting requests when the only upstream is suspected, and
+   against preferring it to a healthy one.  */
 START_TEST (doubted_upstream_is_better_than_none)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
@@ -492,10 +488,8 @@
 }
 END_TEST
 
-/* Connections were held back for seconds, so that every answer was far too
-   late.  They are well again, but by what was learned a request takes longer
-   than callers find useful: were all refused for that, nothing would ever be
-   learned anew, and callers be turned away for good.  */
+/* Guards against rejecting all requests for good after a period of slow
+   responses: estimates improve only through new requests.  */
 START_TEST (slow_answers_do_not_close_a_service_for_good)
 {
   const struct marjoram_call_facts small = prompt (7, 10, 8, 10);
@@ -546,8 +540,8 @@
 }
 END_TEST
 
-/* Two hosts of a region place at the same time.  What one has sent to an
-   engine must count at the other, and stop counting when it falls silent.  */
+/* Guards against ignoring the load that other hosts report, and against
+   counting it after they fall silent.  */
 START_TEST (other_hosts_loads_count)
 {
   marjoram_placement *other = create ("h2");
@@ -565,7 +559,7 @@
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_BUSY);
   marjoram_placement_choose (other, 5000, &query, &chosen);
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_FOUND);
-  /* What the first one placed is known to be kept there.  */
+  /* The part that the first host placed is known to be cached there.  */
   ck_assert_int_lt (chosen.wait_ms, 20);
   marjoram_placement_destroy (other);
 }
