--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -21,7 +21,7 @@
   CLASSES = 4,
   CLASS_TOKENS = 2520,
   SESSION_TOKENS = 3780,
-  REVIEW_TOKENS = 2890, /* its own */
+  REVIEW_TOKENS = 2890, /* not shared */
   REVIEW_ANSWER = 49,
   REVIEW_OBJECTIVE_MS = 1000,
   ASK_PARTS = 12,
@@ -32,15 +32,14 @@
   SESSION_IDS = 1000,
   ASK_IDS = 100000,
   OWN_IDS = 1000000,
-  CHUNK = 4096,     /* tokens of prompts that one step reads at most */
-  EVENT_TOKENS = 7, /* of an answer */
-  PAUSE_MS = 600    /* longest between two events that is in time */
+  CHUNK = 4096,     /* maximum prompt tokens per step */
+  EVENT_TOKENS = 7, /* response tokens per event */
+  PAUSE_MS = 600    /* longest acceptable pause between two events */
 };
 
-/* An engine of 70 billion parameters on one accelerator works in steps, each
-   of which reads a chunk of prompts and adds a token to each answer: tokens of
-   prompts that it reads, and that it copies, in a ms; ms of a step without
-   prompts.  */
+/* A 70B-parameter model on one accelerator.  It works in steps, each of which
+   processes a chunk of prompts and adds a token to each response.  Speeds in
+   prompt tokens per ms, and the duration of a step without prompts in ms.  */
 #define READ_PER_MS 44.2
 #define COPIED_PER_MS 404.0
 #define STEP_MS 3.4
@@ -54,22 +53,22 @@
   struct marjoram_call_facts facts;
   int64_t asked_at;
   int64_t objective_ms;
-  double unread;  /* tokens, and copies as the tokens read in their time */
-  double in_step; /* the part of UNREAD that the step under way reads */
-  int answer;     /* tokens that are left */
-  int made;       /* tokens since the last event */
+  double unread;  /* prompt tokens left; copied ones weighted by their cost */
+  double in_step; /* prompt tokens in the current step */
+  int answer;     /* response tokens left */
+  int made;       /* response tokens since the last event */
   int64_t event_at;
   bool answering;
-  bool paused; /* for too long, between two events */
+  bool paused; /* a pause exceeded the limit */
 };
 
 struct sim_engine
 {
   char id[16];
   marjoram_engine_memory *memory;
-  TAILQ_HEAD (, job) jobs; /* in the order of their prompts */
+  TAILQ_HEAD (, job) jobs; /* in prefill order */
   int running;
-  double step_until; /* the end of the step under way, ms */
+  double step_until; /* end of the current step, ms */
 };
 
 struct seen_part
@@ -88,7 +87,7 @@
   marjoram_placement *placements[HOSTS_MAX];
   struct marjoram_service_rule service;
   struct sim_engine engines[ENGINES_MAX];
-  struct seen_part *seen; /* read by some engine */
+  struct seen_part *seen; /* parts read by some engine */
   uint64_t jobs;
   uint64_t turn;
 };
@@ -102,7 +101,7 @@
   return names[way];
 }
 
-/* ---- What is known.  ---- */
+/* ---- Setup.  ---- */
 
 static const char *
 region_of (void *context, const char *zone)
@@ -185,7 +184,7 @@
       while ((job = TAILQ_FIRST (&engine->jobs)))
         {
           TAILQ_REMOVE (&engine->jobs, job, link);
-          /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
           free (job);
         }
       marjoram_engine_memory_destroy (engine->memory);
@@ -194,7 +193,7 @@
     marjoram_placement_destroy (load->placements[i]);
   HASH_ITER (hh, load->seen, part, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, load->seen, part);
     free (part);
   }
@@ -219,7 +218,8 @@
   return false;
 }
 
-/* Parts that the engine reads: those from KEPT tokens on.  */
+/* Counts the tokens that the engine reads: those of parts from KEPT tokens
+   on.  */
 static void
 count_read (struct load *load, const struct job *job, int64_t kept)
 {
@@ -335,7 +335,7 @@
 
   TAILQ_FOREACH (job, &engine->jobs, link)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     if (job->answering)
       continue;
     job->in_step = job->unread < room ? job->unread : room;
@@ -417,7 +417,7 @@
   return best;
 }
 
-/* Takes JOB.  */
+/* Takes ownership of JOB.  */
 static void
 place_job (struct load *load, struct job *job, int64_t now)
 {
--- a/test/lib_load.h
+++ b/test/lib_load.h
@@ -1,6 +1,6 @@
-/* Plays a load of long prompts on simulated engines, placed by hosts that tell
-   one another what they sent, or by a simple rule, and counts what callers
-   get.  The same seed plays the same load for each way.  */
+/* Simulates a load of long prompts on engines, with requests distributed by
+   hosts that exchange load reports or by a simple policy, and counts the
+   results.  A seed reproduces the same load for each policy.  */
 #ifndef MARJORAM_TEST_LIB_LOAD_H
 #define MARJORAM_TEST_LIB_LOAD_H
 
@@ -11,8 +11,8 @@
 {
   LOAD_ROUND_ROBIN,
   LOAD_LEAST_IN_FLIGHT,
-  LOAD_PLACED,         /* by the placement, without copies */
-  LOAD_PLACED_COPYING, /* with copies of what other engines keep */
+  LOAD_PLACED,         /* by the placement module, without copies */
+  LOAD_PLACED_COPYING, /* with copies of prompts cached by other engines */
   LOAD_WAY_COUNT
 };
 
@@ -22,9 +22,10 @@
   uint64_t seed;
   int engines;
   int hosts;
-  double reviews_per_s; /* 9,190 tokens, of which 6,300 are shared */
-  double asks_per_s;    /* 826 tokens, 198 shared, urgent, long answers */
-  int sessions;         /* that share the larger part of a review's prompt */
+  double reviews_per_s; /* 9,190 tokens, 6,300 of them shared */
+  double
+      asks_per_s; /* 826 tokens, 198 of them shared, urgent, long responses */
+  int sessions;   /* sessions that share most of a review's prompt */
   int64_t span_ms;
 };
 
@@ -35,7 +36,7 @@
   int64_t late;
   int64_t refused;
   int64_t read;       /* tokens */
-  int64_t read_again; /* of these, shared ones that some engine had read */
+  int64_t read_again; /* of these, read before by some engine */
   int64_t copied;     /* tokens */
 };
 
--- a/test/test_placement_load.c
+++ b/test/test_placement_load.c
@@ -1,12 +1,12 @@
-/* What callers get of a load of long prompts, on simulated engines.  */
+/* Response times of a load of long prompts on simulated engines.  */
 #include "suite.h"
 
 #include "lib_load.h"
 
 #include <inttypes.h>
 
-/* Four engines and four hosts at a heavy hour: three quarters of what the
-   engines could read, were nothing kept.  */
+/* Four engines and four hosts under heavy load: three quarters of the prefill
+   capacity without caching.  */
 static const struct load_terms heavy = {
   .seed = 1,
   .engines = 4,
@@ -34,15 +34,12 @@
 {
   ck_assert_int_eq (more->asked, less->asked);
   ck_assert_msg ((double)more->in_time >= factor * (double)less->in_time,
-                 "%" PRId64 " of %" PRId64 " in time, against %" PRId64,
+                 "%" PRId64 " of %" PRId64 " in time, compared with %" PRId64,
                  more->in_time, more->asked, less->in_time);
 }
 
-/* Sent in turn, every engine reads every prompt, and answers pause while it
-   does: half of the callers see pauses that make an answer useless.  Placed
-   where its prompt is kept, a request costs a third as much, and the rest is
-   refused before it has waited.  Measured with three seeds: 48 of 100 in time
-   in turn, 58 where fewest run, 91 placed.  */
+/* Guards against placement that serves fewer requests in time than round robin
+   or least-in-flight.  */
 START_TEST (placed_requests_are_served_in_time)
 {
   struct load_result placed = play (LOAD_PLACED);
@@ -56,10 +53,8 @@
 }
 END_TEST
 
-/* The engine that keeps a prompt is often busy; its neighbours copy the prompt
-   instead of reading it again.  Measured with three seeds: 95 of 100 in time
-   instead of 91, 2 refused instead of 7, 2.4 million tokens read again instead
-   of 3.8.  */
+/* Guards against copies that do not reduce repeated prefill and rejected
+   requests.  */
 START_TEST (copies_serve_more_callers)
 {
   struct load_result copying = play (LOAD_PLACED_COPYING);
@@ -68,7 +63,7 @@
   check_more (&copying, &placed, 1.03);
   ck_assert_int_lt (copying.refused * 2, placed.refused);
   ck_assert_msg (copying.read_again * 4 < placed.read_again * 3,
-                 "%" PRId64 " tokens read again, against %" PRId64,
+                 "%" PRId64 " tokens read again, compared with %" PRId64,
                  copying.read_again, placed.read_again);
 }
 END_TEST
