--- a/src/spill.c
+++ b/src/spill.c
@@ -4,21 +4,19 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Part of the difference that is moved at once: word of the other region is
-   older than what has been sent there since.  */
+/* Damping factor: the other region's reported load lags behind what has been
+   sent there.  */
 #define CAUTION 0.5
 
 enum
 {
-  /* Below this mean backlog, engines read prompts less than half of the time
-     and answers keep their pace.  */
+  /* Mean backlog below which responses are not delayed.  */
   BUSY_MS = 30,
-  /* By how much another region must be less busy.  */
+  /* Minimum difference in backlog.  */
   MARGIN_MS = 10,
-  /* Spread of one engine's backlog: the mean of few engines is mostly
-     noise.  */
+  /* Standard deviation of one engine's backlog.  */
   SPREAD_MS = 80,
-  /* Shorter prompts delay nobody.  */
+  /* Shorter prompts are not moved.  */
   LONG_PROMPT_MS = 25
 };
 
--- a/test/test_spill.c
+++ b/test/test_spill.c
@@ -1,4 +1,4 @@
-/* Which requests leave a busy region, and what callers get from it.  */
+/* Tests which requests leave a busy region, and the effect on responses.  */
 #include "suite.h"
 
 #include "random.h"
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-/* Guards against a request that crosses and is late there for sure.  */
+/* Guards against moving a request that would be late in the other region.  */
 START_TEST (what_would_be_late_there_stays)
 {
   struct marjoram_spill_query query = busy ("");
@@ -87,32 +87,33 @@
 }
 END_TEST
 
-/* ---- A load that has moved to one region.  ---- */
+/* ---- Simulation: the entire load arrives in one of two regions.  ---- */
 
 enum
 {
   REGIONS = 2,
-  ENGINES = 16,   /* of a region */
-  PROMPT_MS = 90, /* to read what is not kept */
-  ARRIVALS = 160, /* a second, all in the first region */
+  ENGINES = 16,   /* engines per region */
+  PROMPT_MS = 90, /* prefill time of an uncached prompt */
+  ARRIVALS = 160, /* requests per second, all in the first region */
   STEP_MS = 5,
-  OFFER_MS = 600, /* how old the word of the other region may be */
+  OFFER_MS = 600, /* maximum age of the other region's reported load */
   DAY_MS = 30000,
-  PACE_MS = 600 /* longest pause that callers bear */
+  PACE_MS = 600 /* longest acceptable pause in a response */
 };
 
-/* Share of the time that answers' tokens take: 13 of them every 5 ms.  */
+/* Share of engine time spent on response tokens: 13 of them every 5 ms.  */
 static const double answer_share = 65.0 / PACE_MS;
 
 struct region
 {
   double ahead_ms[ENGINES];
-  double read_ms[ENGINES]; /* in the present window */
-  double mean_ms;          /* backlog, smoothed */
-  double told_ms;          /* to the other region */
+  double read_ms[ENGINES]; /* in the current window */
+  double mean_ms;          /* smoothed backlog */
+  double told_ms;          /* backlog last reported to the other region */
 };
 
-/* The least loaded of two, as hosts know loads only roughly.  */
+/* Picks the less loaded of two random engines, since hosts know loads only
+   approximately.  */
 static void
 place (struct region *region, marjoram_random *random, double work_ms)
 {
@@ -161,7 +162,7 @@
   region->mean_ms += 0.05 * (sum / ENGINES - region->mean_ms);
 }
 
-/* Windows in which reading left an answer too little time for its tokens.  */
+/* Counts windows in which prefill left too little time for response tokens. */
 static int
 count_late (struct region *region)
 {
@@ -175,7 +176,7 @@
   return late;
 }
 
-/* Share of windows of both regions in which answers pause for too long.  */
+/* Share of windows of both regions with a pause that is too long.  */
 static double
 play (bool spills)
 {
@@ -205,7 +206,8 @@
   return (double)late / windows;
 }
 
-/* Guards against answers that pause in a full region while another is idle. */
+/* Guards against pauses in responses of a busy region while another one is
+   idle.  */
 START_TEST (answers_keep_their_pace_while_another_region_is_idle)
 {
   double stay = play (false);
