--- a/src/load_collector.c
+++ b/src/load_collector.c
@@ -8,9 +8,9 @@
 
 enum
 {
-  /* Hosts tell all that they run once a second, if nothing else.  */
+  /* Hosts send a whole report at least once a second.  */
   REPORTER_VALID_MS = 2000,
-  /* How often all sums are told, for hosts that have missed some.  */
+  /* Interval of whole reports, for hosts that missed some changes.  */
   WHOLE_MS = 1000
 };
 
@@ -23,20 +23,21 @@
   uint64_t answer;
 };
 
-/* One upstream.  */
+/* Total load of one upstream.  */
 struct sum
 {
   char *upstream;
   struct load load;
-  size_t tellers; /* hosts that run something there */
+  size_t tellers; /* hosts with load there */
   bool changed;
   bool lost;
-  uint64_t report; /* number of the report that names it at ITEM */
+  uint64_t
+      report; /* number of the last report that includes it, at index ITEM */
   size_t item;
   UT_hash_handle hh;
 };
 
-/* What one host runs at one upstream.  */
+/* Load of one host at one upstream.  */
 struct share
 {
   struct sum *sum;
@@ -49,7 +50,7 @@
   TAILQ_ENTRY (reporter) link;
   char *host;
   int64_t heard_at;
-  struct share *shares; /* by sum */
+  struct share *shares; /* keyed by total */
   UT_hash_handle hh;
 };
 
@@ -65,8 +66,8 @@
 {
   struct sum *sums;
   struct reporter *reporters;
-  TAILQ_HEAD (, reporter) by_age; /* the one heard longest ago first */
-  STAILQ_HEAD (, placed) placed;  /* since the last report */
+  TAILQ_HEAD (, reporter) by_age; /* oldest report first */
+  STAILQ_HEAD (, placed) placed;  /* placed since the last report */
   size_t placed_count;
   uint64_t reports;
   int64_t whole_at;
@@ -82,7 +83,7 @@
   return collector;
 }
 
-/* ---- What hosts tell.  ---- */
+/* ---- Reports from hosts.  ---- */
 
 static void
 add_load (struct load *sum, const struct load *load)
@@ -110,7 +111,7 @@
   take_off_load (&share->sum->load, &share->load);
   share->sum->tellers--;
   share->sum->changed = true;
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, reporter->shares, share);
   free (share);
 }
@@ -131,7 +132,7 @@
 forget_reporter (marjoram_load_collector *collector, struct reporter *reporter)
 {
   forget_shares (reporter);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, collector->reporters, reporter);
   TAILQ_REMOVE (&collector->by_age, reporter, link);
   free (reporter->host);
@@ -144,7 +145,7 @@
   struct reporter *oldest;
 
   while ((oldest = TAILQ_FIRST (&collector->by_age))
-         /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+         /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
          && now - oldest->heard_at > REPORTER_VALID_MS)
     forget_reporter (collector, oldest);
 }
@@ -165,7 +166,7 @@
 static void
 forget_sum (marjoram_load_collector *collector, struct sum *sum)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, collector->sums, sum);
   free (sum->upstream);
   free (sum);
@@ -181,7 +182,7 @@
     return;
   forget_placed (collector);
   while (!TAILQ_EMPTY (&collector->by_age))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     forget_reporter (collector, TAILQ_FIRST (&collector->by_age));
   HASH_ITER (hh, collector->sums, sum, next) { forget_sum (collector, sum); }
   free (collector);
@@ -291,7 +292,7 @@
                    &placed[i]);
 }
 
-/* ---- What is told of it.  ---- */
+/* ---- Reports to hosts.  ---- */
 
 static size_t
 add_item (marjoram_load_collector *collector,
@@ -351,7 +352,7 @@
   forget_placed (collector);
 }
 
-/* Those where nothing runs any more, once that was told.  */
+/* Drops idle upstreams whose last change has been reported.  */
 static void
 forget_idle (marjoram_load_collector *collector)
 {
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -1,4 +1,4 @@
-/* What collectors sum up for a region, and what placements make of it.  */
+/* Tests the totals of collectors and how placements use them.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -34,7 +34,8 @@
   marjoram_load_collector_hear (collector, now, host, &report);
 }
 
-/* What is told of UPSTREAM at NOW; -1 if nothing.  */
+/* Running requests reported for UPSTREAM at NOW; -1 if it is not in the
+   report.  */
 static int64_t
 told (int64_t now, const char *upstream)
 {
@@ -76,7 +77,7 @@
 }
 END_TEST
 
-/* Guards against a host that died holding places at upstreams for good.  */
+/* Guards against counting the load of a dead host for good.  */
 START_TEST (a_silent_host_is_taken_off)
 {
   tell (1000, "a", "u", 2, false);
@@ -86,7 +87,7 @@
 }
 END_TEST
 
-/* Guards against a host that missed some sums being wrong for long.  */
+/* Guards against lasting errors at a host that missed some reports.  */
 START_TEST (all_sums_are_told_now_and_then)
 {
   tell (1000, "a", "u", 2, false);
@@ -96,7 +97,7 @@
 }
 END_TEST
 
-/* ---- Two hosts that place by way of the collector.  ---- */
+/* ---- Two hosts that report through a collector.  ---- */
 
 static const bool all_groups[MARJORAM_LOAD_GROUPS]
     = { true, true, true, true, true, true, true, true };
@@ -193,7 +194,7 @@
                               "u", &query);
 }
 
-/* Prompts ahead at the engine, as HOST sees them.  */
+/* Backlog of the engine as HOST sees it.  */
 static int64_t
 backlog (struct pair *pair, int host, int64_t now)
 {
@@ -248,8 +249,8 @@
 }
 END_TEST
 
-/* Guards against a host that sends to an engine and then sees it emptier than
-   before, as the sums don't hold that request yet.  */
+/* Guards against subtracting a request from totals that do not include it
+   yet.  */
 START_TEST (a_request_just_sent_is_not_taken_off)
 {
   struct pair *pair = pair_create ();
@@ -270,7 +271,7 @@
 }
 END_TEST
 
-/* Guards against sums of a collector that died counting for good.  */
+/* Guards against using the totals of a dead collector.  */
 START_TEST (sums_of_a_silent_collector_are_forgotten)
 {
   struct pair *pair = pair_create ();
