--- a/src/engine_memory.c
+++ b/src/engine_memory.c
@@ -15,7 +15,7 @@
 
 struct marjoram_engine_memory
 {
-  TAILQ_HEAD (kept_list, kept) by_use; /* the latest used comes first */
+  TAILQ_HEAD (kept_list, kept) by_use; /* most recently used first */
   struct kept *by_part;
   int64_t tokens;
 };
@@ -43,7 +43,7 @@
 {
   memory->tokens -= kept->tokens;
   TAILQ_REMOVE (&memory->by_use, kept, link);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, memory->by_part, kept);
   free (kept);
 }
@@ -82,7 +82,7 @@
   kept->tokens = tokens;
   TAILQ_INSERT_HEAD (&memory->by_use, kept, link);
   while (memory->tokens > capacity && !TAILQ_EMPTY (&memory->by_use))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     drop (memory, TAILQ_LAST (&memory->by_use, kept_list));
 }
 
--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -13,17 +13,17 @@
 {
   STATUS_OK = 200,
   MESSAGE_MAX = 512,
-  /* Bytes of an answer: some thousand parts of some 50 bytes.  */
+  /* Response size limit in bytes.  */
   ANSWER_MAX = 1024 * 1024
 };
 
-/* One engine, asked once.  */
+/* The query of one engine.  */
 struct question
 {
   uint64_t number;
   char engine[MARJORAM_ID_MAX];
-  bool is_good;          /* the answer so far */
-  struct evbuffer *body; /* null once it has ended */
+  bool is_good;          /* response is valid so far */
+  struct evbuffer *body; /* NULL once completed */
   UT_hash_handle by_number;
   UT_hash_handle by_engine;
 };
@@ -34,7 +34,7 @@
   const struct marjoram_engine_survey_ops *ops;
   void *context;
   marjoram_http_client *client;
-  struct question *questions; /* by number */
+  struct question *questions; /* keyed by number */
   struct question *by_engine;
   uint64_t next_number;
   size_t open;
@@ -174,7 +174,7 @@
   HASH_CLEAR (by_engine, survey->by_engine);
   HASH_ITER (by_number, survey->questions, question, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (by_number, survey->questions, question);
     end_question (survey, question);
     free (question);
@@ -216,7 +216,7 @@
 void
 marjoram_engine_survey_tick (marjoram_engine_survey *survey)
 {
-  /* A host that has just started knows of no lag.  */
+  /* No lag has been measured yet on a newly started host.  */
   marjoram_http_client_tick (survey->client, 0);
 }
 
--- a/src/engine_survey.h
+++ b/src/engine_survey.h
@@ -1,6 +1,5 @@
-/* The task that asks model engines which parts of prompts they keep, for a
-   host that has just started and knows of none.  Without it, every shared part
-   is read again at some other engine.  */
+/* Task that queries inference engines for their cached prompt parts, so that a
+   newly started host routes requests to existing cache entries.  */
 #ifndef MARJORAM_ENGINE_SURVEY_H
 #define MARJORAM_ENGINE_SURVEY_H
 
@@ -13,7 +12,7 @@
 
 struct marjoram_engine_survey_ops
 {
-  /* ENGINE keeps PARTS, which are borrowed.  */
+  /* ENGINE has PARTS cached.  PARTS are borrowed.  */
   void (*kept) (void *context, const char *engine,
                 const struct marjoram_prompt_part *parts, size_t count);
 };
@@ -23,14 +22,13 @@
     const struct marjoram_dialect *dialect,
     const struct marjoram_engine_survey_ops *ops, void *context);
 void marjoram_engine_survey_destroy (marjoram_engine_survey *survey);
-/* Asks the engine ENGINE at ADDRESS, IP:port, unless it was asked before.  An
-   engine that does not answer is not asked again: all goes on as if it kept
-   nothing.  */
+/* Queries ENGINE at ADDRESS (IP:port) unless it was queried before.  A failed
+   query is not repeated; the engine's cache is then taken to be empty.  */
 void marjoram_engine_survey_ask (marjoram_engine_survey *survey,
                                  const char *engine, const char *address);
-/* Questions that have no answer yet.  */
+/* Number of pending queries.  */
 size_t marjoram_engine_survey_open (const marjoram_engine_survey *survey);
-/* At least every 250 ms.  */
+/* To be called at least every 250 ms.  */
 void marjoram_engine_survey_tick (marjoram_engine_survey *survey);
 
 #endif
--- a/test/test_engine_survey.c
+++ b/test/test_engine_survey.c
@@ -1,4 +1,4 @@
-/* What engines keep, asked over loopback from a stand-in.  */
+/* Tests queries for cached prompt parts, over loopback to a stub engine.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -133,9 +133,8 @@
   return marjoram_engine_survey_open (survey) == 0;
 }
 
-/* All hosts lost power.  The engines still keep what they have read; a host
-   that does not ask them sends each prompt to another engine, which reads its
-   shared parts again.  */
+/* Guards against repeated prefill of cached parts after all hosts have
+   restarted.  */
 START_TEST (engine_tells_what_it_keeps)
 {
   answer = "{\"epoch\":1,\"next\":9,\"held\":[[\"\",\"5c1e07a2\",800,\"m\"],"
@@ -150,8 +149,7 @@
 }
 END_TEST
 
-/* Entries of another type, ids that are none: they name nothing, the others
-   hold.  An answer that can't be read says nothing.  */
+/* Guards against malformed entries that invalidate the whole response.  */
 START_TEST (malformed_answers_say_nothing)
 {
   answer = "{\"held\":[[\"\",\"zz\",800,\"m\"],7,[\"\",\"1f\",\"x\"],"
@@ -172,7 +170,7 @@
 }
 END_TEST
 
-/* The engine has gone: the host goes on as if it kept nothing.  */
+/* Guards against a query that stays pending when the engine is unreachable. */
 START_TEST (unreachable_engine_is_left_alone)
 {
   marjoram_http_server_destroy (engine);
