--- a/src/cache_index.c
+++ b/src/cache_index.c
@@ -17,7 +17,7 @@
 struct marjoram_cache_index
 {
   struct entry *entries;
-  size_t sets; /* of WAYS entries each */
+  size_t sets; /* number of sets, WAYS entries each */
 };
 
 marjoram_cache_index *
--- a/src/cache_index.h
+++ b/src/cache_index.h
@@ -1,7 +1,6 @@
-/* Which upstreams are thought to hold a prompt's prefix: a soft hint of fixed
-   size, from what this host sent where and from the upstreams' cache events,
-   which come late and with gaps.  A wrong hint costs a prefill, never an
-   answer.  */
+/* Fixed-size, approximate index of upstreams that cache a prompt prefix, built
+   from routed requests and from the upstreams' cache events.  Wrong entries
+   cost an extra prefill but do not affect correctness.  */
 #ifndef MARJORAM_CACHE_INDEX_H
 #define MARJORAM_CACHE_INDEX_H
 
@@ -16,11 +15,11 @@
   MARJORAM_CACHE_HOLDERS = 2
 };
 
-/* HOLDER is any number that names an upstream's incarnation.  */
+/* HOLDER is an arbitrary non-zero id of an upstream instance.  */
 struct marjoram_cache_holder
 {
   uint64_t holder; /* 0 if none */
-  int64_t seen;    /* when it was last known to be there */
+  int64_t seen;    /* time of the last confirmation */
 };
 
 /* ENTRIES is rounded up to a power of two.  */
@@ -30,7 +29,8 @@
                                uint64_t prefix, uint64_t holder);
 void marjoram_cache_index_remove (marjoram_cache_index *index, uint64_t prefix,
                                   uint64_t holder);
-/* MARJORAM_CACHE_HOLDERS of them, or null if nothing fresh is known.  */
+/* Returns an array of MARJORAM_CACHE_HOLDERS entries, or NULL if there is no
+   recent entry.  */
 const struct marjoram_cache_holder *
 marjoram_cache_index_find (const marjoram_cache_index *index, int64_t now,
                            uint64_t prefix);
--- a/src/shortage.c
+++ b/src/shortage.c
@@ -7,11 +7,10 @@
 
 enum
 {
-  /* Without a refusal for this long, a shortage is over: some answers' time.
-   */
+  /* A shortage ends after this long without rejections.  */
   PAUSE_MS = 500,
-  /* Longest time to send a caller away for; callers wait 3 s and more in all,
-     and come back within a third of what they have left.  */
+  /* Upper limit of the part of the delay that follows from the duration of the
+     shortage.  */
   AGAIN_MAX_MS = 4000
 };
 
@@ -44,7 +43,7 @@
     return;
   HASH_ITER (hh, shortages->by_service, shortage, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, shortages->by_service, shortage);
     free (shortage->service);
     free (shortage);
@@ -68,9 +67,8 @@
   return shortage;
 }
 
-/* What has lasted for some time will last about as long again.  A caller that
-   is sent away for less comes back into the same shortage, and has used up its
-   retry.  */
+/* Assumes that a shortage lasts as long again as it has already.  A shorter
+   delay would use up the caller's retry within the same shortage.  */
 int64_t
 marjoram_shortages_refuse (marjoram_shortages *shortages, int64_t now,
                            const char *service, int64_t at_least_ms)
--- a/test/test_shortage.c
+++ b/test/test_shortage.c
@@ -1,4 +1,4 @@
-/* When refused callers come again.  */
+/* Tests the retry delay of rejected requests.  */
 #include "suite.h"
 
 #include "shortage.h"
@@ -17,9 +17,8 @@
   marjoram_shortages_destroy (shortages);
 }
 
-/* A region is evacuated for eight seconds.  Callers that are told to come back
-   after 250 ms are refused twice, and gone; those that are told to come back
-   after as long as it has lasted already find it over.  */
+/* Guards against callers that use up their retries within one long shortage.
+ */
 START_TEST (long_shortage_sends_callers_away_for_longer)
 {
   ck_assert_int_eq (marjoram_shortages_refuse (shortages, 0, "lm", 250), 250);
