--- a/src/own_lag.c
+++ b/src/own_lag.c
@@ -2,20 +2,17 @@
 
 enum
 {
-  /* The least lag of a single link may be its peer's.  */
+  /* Minimum number of connections: the lag of a single one may be its
+     peer's.  */
   LINKS_MIN = 2,
-  /* A host that hears nothing at all for this long is cut off, not late: on a
-     full link bytes come all the time.  It is shorter than any silence after
-     which a link is closed, so that a cut is noticed as soon as without a
-     lag.  */
+  /* A host that receives nothing for this long is partitioned rather than
+     delayed.  Shorter than any connection timeout, so that partitions are
+     detected without extra delay.  */
   HEARS_MS = 1000,
-  /* Connections recover one after the other from a jam, as lost packets are
-     sent again with growing pauses; the first to do so shows no lag.  It is no
-     longer than the shortest limit of silence, so that who dies as a jam ends
-     is found no later.  */
+  /* Time for which the lag is held while connections recover one by one from
+     congestion.  No longer than the shortest connection timeout.  */
   HOLD_MS = 800,
-  /* Whoever gives no sign for longer is taken for dead even by a host that is
-     late: callers wait a few seconds only.  */
+  /* Upper limit of the lag, so that dead peers are still detected.  */
   LAG_MAX_MS = 3000
 };
 
@@ -53,8 +50,8 @@
   own->heard_at = INT64_MIN;
 }
 
-/* A new link without an answer yet says nothing: it would show no lag in the
-   middle of a jam.  */
+/* Connections without a measured round trip are skipped: they would show no
+   lag during congestion.  */
 void
 marjoram_own_lag_add (struct marjoram_own_lag *own, int64_t now,
                       const struct marjoram_link_lag *lag, int64_t heard_at)
@@ -72,9 +69,8 @@
     own->least_ms = ms;
 }
 
-/* Since the last look.  An event loop that stood still has not read yet what
-   came meanwhile, and all seem silent since then; where no beat was under way,
-   no link shows it.  */
+/* Time since the last measurement.  Detects a stalled event loop when no
+   heartbeat was being timed.  */
 static int64_t
 gap (const struct marjoram_own_lag *own, int64_t now)
 {
--- a/test/test_own_lag.c
+++ b/test/test_own_lag.c
@@ -1,4 +1,4 @@
-/* How far behind a host's own hearing is.  */
+/* Tests the estimate of a host's receive lag.  */
 #include "suite.h"
 
 #include "own_lag.h"
@@ -11,10 +11,10 @@
   ROUND_TRIP_MS = 2,
   QUIET_MS = 5000,
   LONG_MS = 50000,
-  BEATS_MAX = 256 /* without an answer yet */
+  BEATS_MAX = 256 /* unacknowledged heartbeats per link */
 };
 
-/* A peer, as this host's link to it sees it.  */
+/* A peer and the state of the connection to it.  */
 struct peer
 {
   struct marjoram_link_lag lag;
@@ -48,7 +48,7 @@
   peer->asked_at[peer->asked++] = now;
 }
 
-/* Takes the answers that are LATE_MS under way.  */
+/* Processes the acknowledgements that were under way for LATE_MS.  */
 static void
 hear (struct peer *peer, int64_t late_ms)
 {
@@ -74,8 +74,8 @@
   marjoram_own_lag_end (&own, now);
 }
 
-/* MS pass, in which all answers come LATE_MS late; PARTS says that parts of
-   large frames come all the time.  */
+/* Advances the clock by MS while acknowledgements take LATE_MS.  PARTS: parts
+   of large frames arrive all the time.  */
 static void
 pass (int64_t ms, int64_t late_ms, bool parts)
 {
@@ -102,10 +102,8 @@
 }
 END_TEST
 
-/* The host's own link is full for three seconds: what engines and hosts send
-   waits behind copies of the state.  Taken by the clock, all of them are
-   silent meanwhile, and the host leaves live ones.  The lag is known but for a
-   beat's interval, and is not carried on after the jam.  */
+/* Guards against taking live peers for dead while this host's link is
+   saturated, and against a lag that outlasts the congestion.  */
 START_TEST (full_link_makes_all_late)
 {
   const int64_t known_ms = 2000 - BEAT_MS - TICK_MS;
@@ -120,9 +118,8 @@
 }
 END_TEST
 
-/* After a jam one connection recovers at once; the others' lost packets are
-   sent again some hundred ms later.  Judged by the first, all others would be
-   silent at that moment.  */
+/* Guards against dropping the lag as soon as the first connection has
+   recovered.  */
 START_TEST (lag_is_held_until_others_recover)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -136,8 +133,8 @@
 }
 END_TEST
 
-/* The event loop stands still for two seconds; then the first link is read,
-   and the others' bytes still wait in the sockets.  */
+/* Guards against taking peers for silent whose data still waits in socket
+   buffers after a stall of the event loop.  */
 START_TEST (stalled_loop_makes_all_late)
 {
   pass (QUIET_MS - QUIET_MS % BEAT_MS + TICK_MS, ROUND_TRIP_MS, false);
@@ -149,8 +146,7 @@
 }
 END_TEST
 
-/* The same between two beats, and nothing is read yet when the host looks: no
-   link shows that it is late.  */
+/* Guards against missing a stall during which no heartbeat was pending.  */
 START_TEST (stalled_loop_is_late_between_beats)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -163,8 +159,7 @@
 }
 END_TEST
 
-/* A peer dies, and another's own link is full: the host's own hearing is as
-   good as before.  */
+/* Guards against attributing the delay of dead or slow peers to this host.  */
 START_TEST (late_peers_dont_make_the_host_late)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -175,8 +170,8 @@
 }
 END_TEST
 
-/* The host is cut off from all others: no beat is answered, and nothing else
-   comes.  Taken for lateness, it would keep its dead links for seconds.  */
+/* Guards against treating a partition as lag, which would keep dead
+   connections open.  */
 START_TEST (cut_off_host_is_not_late)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -185,8 +180,8 @@
 }
 END_TEST
 
-/* All links but one are down, and its peer is slow: whose fault it is can't be
-   told, so nothing is put down to this host.  */
+/* Guards against deriving a lag from a single connection, whose peer may be
+   the slow one.  */
 START_TEST (single_link_tells_nothing)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -200,8 +195,7 @@
 }
 END_TEST
 
-/* A link comes up in the middle of a jam and has not been answered yet: it is
-   no proof that the jam is over.  */
+/* Guards against a new connection without a measurement ending the lag.  */
 START_TEST (new_link_hides_no_lag)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
@@ -213,7 +207,7 @@
 }
 END_TEST
 
-/* However late the host is, what gives no sign for long enough is dead.  */
+/* Guards against a lag so large that dead peers are not detected.  */
 START_TEST (lag_is_bounded)
 {
   pass (QUIET_MS, ROUND_TRIP_MS, false);
