--- a/src/host_list.c
+++ b/src/host_list.c
@@ -7,21 +7,21 @@
 
 enum
 {
-  /* Beats come every 300 ms, so that four in a row are missing.  A dead host
-     is then out of look-ups within two seconds.  */
+  /* Four missed heartbeats at the default interval of 300 ms, so that lookups
+     omit a dead host within two seconds.  */
   ALIVE_MS = 1300,
-  /* The same where beats come less often.  */
+  /* The same for longer heartbeat intervals.  */
   ALIVE_BEATS = 4,
   ALIVE_MARGIN_MS = 100,
-  /* Told by others, a beat is older by their own interval.  */
+  /* For relayed heartbeats, which are sent less often.  */
   ALIVE_TOLD_MS = 7000,
   FORGET_MS = 60000,
-  /* For how long a view holds while no host is heard to change: a host that
-     falls silent is still in it for so long.  */
+  /* Lifetime of an unchanged view; a host that falls silent may stay in it for
+     this long.  */
   VIEW_MS = 100
 };
 
-/* The owner of a key among the hosts of a view.  */
+/* Cached owner of a key among the hosts of a view.  */
 struct owner
 {
   char *key;
@@ -29,38 +29,38 @@
   UT_hash_handle hh;
 };
 
-/* Some of the hosts, collected now and then, so that what is asked for each
-   request does not walk all hosts.  */
+/* Cached subset of the hosts, so that per-request queries need not scan the
+   whole list.  */
 enum view_kind
 {
-  VIEW_REGION, /* hosts that serve there */
+  VIEW_REGION, /* serving hosts of a region */
   VIEW_ZONE,
-  VIEW_OFFERING /* that offer something */
+  VIEW_OFFERING /* hosts with offers */
 };
 
 struct view
 {
   enum view_kind kind;
-  char *name; /* of the region or zone */
+  char *name; /* region or zone */
   struct marjoram_host_view it;
-  size_t next; /* with which a look-up begins */
+  size_t next; /* index at which the next lookup starts */
   size_t room;
   int64_t made_at;
-  uint64_t changes; /* of the list, when it was made */
+  uint64_t changes; /* CHANGES of the list when the view was built */
   struct owner *owners;
   UT_hash_handle hh;
 };
 
 struct marjoram_host_list
 {
-  int64_t told_valid_ms; /* how long others' word of a host holds */
-  int64_t late_ms;       /* how far behind this host's own hearing is */
-  char *region;          /* whose entry hosts beat every BEAT_MS; null: none */
+  int64_t told_valid_ms; /* validity of relayed heartbeats */
+  int64_t late_ms;       /* receive lag of this host */
+  char *region; /* region whose entry hosts use BEAT_MS; NULL if none */
   int64_t beat_ms;
   struct marjoram_listed_hosts hosts;
   struct marjoram_listed_host *by_name;
   size_t entries;
-  uint64_t changes; /* of which hosts there are and what they say */
+  uint64_t changes; /* number of changes that may affect views */
   struct view *regions;
   struct view *zones;
   struct view offering;
@@ -83,10 +83,10 @@
   list->told_valid_ms = msec;
 }
 
-/* Where this host's own link is full or its loop stood still, all beats come
-   late, and the live look dead: nothing could be forwarded, and each host that
-   is late would take itself for the one that feeds a cold upstream.  The lag
-   has a bound, so that the dead are found all the same.  */
+/* With a lagging receiver all heartbeats arrive late and live hosts would
+   appear dead; several hosts could then each take themselves for the owner of
+   a cold upstream.  The lag is bounded by its source, so that dead hosts are
+   still detected.  */
 void
 marjoram_host_list_set_late (marjoram_host_list *list, int64_t late_ms)
 {
@@ -110,7 +110,7 @@
 {
   list->changes++;
   list->entries -= is_entry (&host->beat);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, list->by_name, host);
   TAILQ_REMOVE (&list->hosts, host, link);
   clear_beat (&host->beat);
@@ -125,7 +125,7 @@
 
   HASH_ITER (hh, view->owners, owner, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, view->owners, owner);
     free (owner->key);
     free (owner);
@@ -147,7 +147,7 @@
 
   HASH_ITER (hh, *views, view, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, *views, view);
     clear_view (view);
     free (view->name);
@@ -165,7 +165,7 @@
   free (list->region);
   clear_view (&list->offering);
   while (!TAILQ_EMPTY (&list->hosts))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     forget (list, TAILQ_FIRST (&list->hosts));
   free (list);
 }
@@ -207,7 +207,7 @@
   return strcmp (known, told ? told : "") == 0;
 }
 
-/* Most beats repeat all texts of the one before.  */
+/* Fast path for heartbeats with unchanged strings: updates in place.  */
 static bool
 renew_beat (struct marjoram_host_beat *known,
             const struct marjoram_host_beat *beat)
@@ -266,7 +266,7 @@
   return host;
 }
 
-/* The name, which is the key of the hash, stays in place.  */
+/* The name is the hash key and must stay allocated.  */
 static void
 replace_beat (struct marjoram_listed_host *host,
               const struct marjoram_host_beat *beat)
@@ -282,8 +282,7 @@
   host->beat.name = name;
 }
 
-/* Whether BEAT may put its host, of which HOST is known, into a view or out of
-   one.  */
+/* Whether BEAT may add HOST to a view or remove it.  */
 static bool
 changes_views (const struct marjoram_listed_host *host, int64_t now,
                const struct marjoram_host_beat *beat)
@@ -354,7 +353,7 @@
   list->changes++;
 }
 
-/* How long HOST may be silent.  */
+/* Silence in ms after which HOST counts as dead.  */
 static int64_t
 valid_ms (const struct marjoram_listed_host *host)
 {
@@ -550,9 +549,9 @@
   return list->entries;
 }
 
-/* ---- Look-ups.  ---- */
+/* ---- Lookups.  ---- */
 
-/* Of more hosts than one answer holds, each is named in turn.  */
+/* Rotates through the hosts if there are more than fit in one response.  */
 static size_t
 name_hosts (struct view *view, int64_t now,
             const char *addresses[MARJORAM_LOOKUP_MAX])
@@ -587,9 +586,9 @@
   return count;
 }
 
-/* While all hosts of a region are restarted in turn, its callers go where
-   their requests may run, before they go where those would only be passed on.
- */
+/* Falls back from zone to region to allowed regions, so that callers of a
+   region under restart reach hosts that may execute their requests rather than
+   merely forward them.  */
 size_t
 marjoram_host_list_lookup (marjoram_host_list *list, int64_t now,
                            const char *zone, const char *region,
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -1,4 +1,4 @@
-/* Which hosts live, take callers, and own a task.  */
+/* Tests liveness, lookups and ownership of keys.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -77,8 +77,7 @@
 }
 END_TEST
 
-/* A host is killed.  Callers that look up two seconds later must not be sent
-   to it.  */
+/* Guards against lookups that return a host two seconds after its death.  */
 START_TEST (dead_host_is_left_out_in_time)
 {
   hear (0, "h1", "z1", "r1");
@@ -90,8 +89,7 @@
 }
 END_TEST
 
-/* A host is stopped in order.  It says so in its next beat, and is left out at
-   once, though it lives on for seconds.  */
+/* Guards against lookups that return a host which is shutting down.  */
 START_TEST (leaving_host_is_left_out_at_once)
 {
   struct marjoram_host_beat made = beat ("h1", "z1", "r1", 2);
@@ -104,8 +102,7 @@
 }
 END_TEST
 
-/* A host restarts; the word of another host about its former life comes
-   late.  */
+/* Guards against a delayed relayed heartbeat of an earlier instance.  */
 START_TEST (older_beats_are_ignored)
 {
   struct marjoram_host_beat old = beat ("h1", "z1", "r1", 500);
@@ -129,15 +126,15 @@
   owner = marjoram_host_list_owner (list, 10, "r1", "upstream-7");
   ck_assert (strcmp (owner, "h1") == 0 || strcmp (owner, "h2") == 0);
   ck_assert_ptr_null (marjoram_host_list_owner (list, 9000, "r1", "a"));
-  /* The other one takes over.  */
+  /* The other host takes over.  */
   hear (9000, strcmp (owner, "h1") == 0 ? "h2" : "h1", "z1", "r1");
   ck_assert_str_ne (marjoram_host_list_owner (list, 9000, "r1", "upstream-7"),
                     owner);
 }
 END_TEST
 
-/* The budget of repeats is split by the number of hosts; a dead one may come
-   back, so it counts for a while.  */
+/* Guards against a dead host, which may return, losing its share of the repeat
+   budget at once.  */
 START_TEST (dead_entries_count_for_a_while)
 {
   hear (0, "h1", "z1", "r1");
@@ -149,9 +146,8 @@
 }
 END_TEST
 
-/* The links of a region's hosts were full for seconds, and beats waited there:
-   each host took all others for dead, forwarded nothing, and fed each cold
-   upstream as if it were the only one to do so.  */
+/* Guards against taking all other hosts for dead while this host receives
+   late.  */
 START_TEST (late_host_takes_nobody_for_dead)
 {
   hear (0, "h1", "z1", "r1");
@@ -164,8 +160,8 @@
 }
 END_TEST
 
-/* Guards against a host that never takes itself for the owner, as its own
-   beats don't come to it.  */
+/* Guards against a host that never considers itself the owner because it
+   receives no heartbeats of its own.  */
 START_TEST (all_hosts_agree_on_an_owner_with_themselves)
 {
   const char *names[] = { "h1", "h2", "h3" };
@@ -202,8 +198,7 @@
 }
 END_TEST
 
-/* Guards against a reload of the settings, which frees the text, taking the
-   region away from the list.  */
+/* Guards against a dangling reference to a settings string after a reload.  */
 START_TEST (region_outlives_the_settings)
 {
   char *region = marjoram_strdup ("za");
