--- a/src/registry.c
+++ b/src/registry.c
@@ -7,11 +7,11 @@
 
 enum
 {
-  /* Five heartbeats of 1.2 s: two may be lost and one a second late before a
-     live upstream would be passed over.  */
+  /* Five heartbeat intervals of 1.2 s: tolerates two lost heartbeats and one
+     that is a second late.  */
   SILENT_MS = 6000,
-  /* Heartbeats may be late by seconds; one of a former life must still find
-     what it is compared with.  */
+  /* Records outlive delayed heartbeats, so that outdated ones are
+     recognized.  */
   FORGET_MS = 60000
 };
 
@@ -28,7 +28,7 @@
   struct marjoram_registered_service *services;
   struct marjoram_registered_list list;
   struct marjoram_registered *by_id;
-  int64_t heard_at; /* the latest of all */
+  int64_t heard_at; /* latest heartbeat of any upstream */
 };
 
 marjoram_registry *
@@ -70,7 +70,7 @@
   service->count--;
   if (!TAILQ_EMPTY (&service->upstreams))
     return;
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, registry->services, service);
   free (service->name);
   free (service);
@@ -93,7 +93,7 @@
 forget (marjoram_registry *registry, struct marjoram_registered *upstream)
 {
   leave_service (registry, upstream);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, registry->by_id, upstream);
   TAILQ_REMOVE (&registry->list, upstream, link);
   free (upstream);
@@ -157,8 +157,8 @@
   join_service (registry, upstream);
 }
 
-/* A heartbeat that was held up may name an address that a later start has
-   taken over since: the later start has it.  */
+/* A delayed heartbeat may carry an address that a later instance has taken
+   over; the most recently started instance keeps the address.  */
 static bool
 wins_address (marjoram_registry *registry,
               const struct marjoram_upstream_news *news)
@@ -185,7 +185,8 @@
 {
   struct marjoram_registered *upstream;
 
-  /* A leave of an unknown one is kept too: its last heartbeats may follow.  */
+  /* A deregistration of an unknown upstream is recorded too, as delayed
+     heartbeats may follow it.  */
   if (news->state != MARJORAM_NEWS_GONE && !wins_address (registry, news))
     return MARJORAM_HEARING_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
@@ -207,8 +208,8 @@
   return MARJORAM_HEARING_CHANGED;
 }
 
-/* Within one life a state only goes forward, so that heartbeats which overtake
-   each other don't take a leave back.  */
+/* The state of an instance only moves forward, so that a reordered heartbeat
+   does not undo a deregistration.  */
 static enum marjoram_hearing
 renew (marjoram_registry *registry, struct marjoram_registered *upstream,
        int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
@@ -260,8 +261,8 @@
   return HASH_COUNT (registry->by_id);
 }
 
-/* An upstream is passed over as silent only if others were heard meanwhile: a
-   host that is cut off from the keepers hears of none and serves on.  */
+/* Silence only counts relative to other upstreams: a host partitioned from the
+   keepers receives no heartbeats and continues to use all upstreams.  */
 bool
 marjoram_registry_usable (const marjoram_registry *registry,
                           const struct marjoram_registered *upstream,
@@ -338,7 +339,7 @@
   news->state = (enum marjoram_news_state)item->state;
   news->born = item->born;
   news->sequence = item->sequence;
-  /* Both were what is left at sending; records count from the hearing.  */
+  /* Both are relative to sending; the record counts from reception.  */
   news->cold_ms = item->cold_ms > 0 ? item->cold_ms + item->age_ms : 0;
   news->ends_ms = item->ends_ms >= 0 ? item->ends_ms + item->age_ms : -1;
   news->slots = item->slots;
--- a/src/registry.h
+++ b/src/registry.h
@@ -1,5 +1,5 @@
-/* What is believed of upstreams, from what they say of themselves.  Pure
-   decisions; keepers and entry hosts hold one each.  */
+/* Registered upstreams and their state according to heartbeats.  Used by
+   keepers and entry hosts.  Pure decision logic.  */
 #ifndef MARJORAM_REGISTRY_H
 #define MARJORAM_REGISTRY_H
 
@@ -14,17 +14,18 @@
 /* The upstreams of one service.  */
 struct marjoram_registered_service;
 
-/* Times are of the local monotonic clock.  */
+/* Times are in ms of the local monotonic clock.  */
 struct marjoram_registered
 {
   TAILQ_ENTRY (marjoram_registered) link;
   TAILQ_ENTRY (marjoram_registered) service_link;
   struct marjoram_registered_service *service;
-  struct marjoram_upstream_news news; /* the newest; its spans as they came */
-  int64_t heard_at;                   /* when a keeper heard it */
-  int64_t spoke_at; /* when it spoke to this host itself; INT64_MIN: never */
+  struct marjoram_upstream_news
+      news;         /* latest heartbeat, durations as received */
+  int64_t heard_at; /* when a keeper received the heartbeat */
+  int64_t spoke_at; /* last heartbeat received directly; INT64_MIN if none */
   int64_t cold_until;
-  int64_t ends_at; /* INT64_MAX if it is not known to end */
+  int64_t ends_at; /* INT64_MAX if unknown */
   UT_hash_handle hh;
 };
 
@@ -32,39 +33,40 @@
 
 enum marjoram_hearing
 {
-  MARJORAM_HEARING_STALE,   /* older than what is known, or of a former life */
-  MARJORAM_HEARING_RENEWED, /* nothing new but that it lives */
-  MARJORAM_HEARING_CHANGED  /* new, or another state, address or life */
+  MARJORAM_HEARING_STALE,   /* outdated, or from an earlier instance */
+  MARJORAM_HEARING_RENEWED, /* liveness only */
+  MARJORAM_HEARING_CHANGED  /* new, or changed state, address or instance */
 };
 
 marjoram_registry *marjoram_registry_create (void);
 void marjoram_registry_destroy (marjoram_registry *registry);
-/* Takes in NEWS that a keeper heard AGE_MS ago.  */
+/* Applies NEWS, which a keeper received AGE_MS ago.  */
 enum marjoram_hearing
 marjoram_registry_hear (marjoram_registry *registry, int64_t now,
                         const struct marjoram_upstream_news *news,
                         int64_t age_ms);
-/* Null if ID is not known.  */
+/* NULL if ID is unknown.  */
 struct marjoram_registered *
 marjoram_registry_find (const marjoram_registry *registry, const char *id);
 struct marjoram_registered_list *
 marjoram_registry_all (marjoram_registry *registry);
-/* The upstreams of SERVICE, linked by SERVICE_LINK; null if there are none. */
+/* The upstreams of SERVICE, linked by SERVICE_LINK; NULL if there are none. */
 struct marjoram_registered_list *
 marjoram_registry_of_service (marjoram_registry *registry,
                               const char *service);
 size_t marjoram_registry_service_count (const marjoram_registry *registry,
                                         const char *service);
 size_t marjoram_registry_count (const marjoram_registry *registry);
-/* Whether new work may go there: ready, not about to end, and not silent
-   while others are heard.  */
+/* Whether UPSTREAM accepts new requests: ready, not shutting down, and not
+   silent while heartbeats of others arrive.  */
 bool marjoram_registry_usable (const marjoram_registry *registry,
                                const struct marjoram_registered *upstream,
                                int64_t now);
-/* Drops what has been silent or gone for long.  */
+/* Drops upstreams that have been silent or gone for long.  */
 void marjoram_registry_tick (marjoram_registry *registry, int64_t now);
 
-/* For frames between hosts; the item borrows the record's texts.  */
+/* Conversion from and to messages between hosts; a packed item borrows the
+   record's strings.  */
 void marjoram_registry_pack (const struct marjoram_registered *upstream,
                              int64_t now, struct marjoram_news_item *item);
 bool marjoram_registry_unpack (const struct marjoram_news_item *item,
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -1,4 +1,4 @@
-/* What is believed of upstreams from what they say of themselves.  */
+/* Tests the state of upstreams as derived from their heartbeats.  */
 #include "suite.h"
 
 #include "registry.h"
@@ -63,9 +63,8 @@
 }
 END_TEST
 
-/* An upstream says that it leaves; a heartbeat that it sent before is held up
-   on its way and comes after.  Taken for news, it would get requests until it
-   is gone, and these would be lost.  */
+/* Guards against a delayed heartbeat that makes a draining upstream usable
+   again.  */
 START_TEST (late_heartbeat_does_not_undo_leaving)
 {
   hear (0, "a", 1, 1, MARJORAM_NEWS_READY);
@@ -78,8 +77,8 @@
 }
 END_TEST
 
-/* An upstream leaves and its last heartbeat is held up for seconds.  It must
-   not be believed to be there again.  */
+/* Guards against a delayed heartbeat that brings back a deregistered
+   upstream.  */
 START_TEST (gone_stays_gone)
 {
   hear (0, "a", 1, 1, MARJORAM_NEWS_READY);
@@ -91,8 +90,8 @@
 }
 END_TEST
 
-/* An upstream starts anew under its old id; its counts begin at 1 again.  The
-   new start counts, and a heartbeat of the former one does not.  */
+/* Guards against ignoring a restarted upstream, or accepting a heartbeat of
+   its earlier instance.  */
 START_TEST (same_id_starts_again)
 {
   hear (0, "a", 1000, 50, MARJORAM_NEWS_READY);
@@ -104,9 +103,8 @@
 }
 END_TEST
 
-/* An upstream crashes, another starts at its address, and a heartbeat of the
-   first, delayed by a partition, comes last.  Believed, requests for one
-   service would go to another.  */
+/* Guards against requests sent to the wrong service after an address has been
+   reused.  */
 START_TEST (address_goes_to_the_later_start)
 {
   hear (0, "old", 1000, 5, MARJORAM_NEWS_READY);
@@ -118,9 +116,7 @@
 }
 END_TEST
 
-/* A host that is cut off from all keepers hears no heartbeats; it must go on
-   using the upstreams that it knows.  One that is silent while others are
-   heard is passed over.  */
+/* Guards against losing all upstreams when no keeper is reachable.  */
 START_TEST (silence_counts_only_beside_others)
 {
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
@@ -147,8 +143,8 @@
 }
 END_TEST
 
-/* Spans are told as what is left, so that clocks may differ; packing and
-   unpacking at another host must not shift them.  */
+/* Guards against durations that shift when packed and unpacked on hosts with
+   different clocks.  */
 START_TEST (spans_survive_the_way)
 {
   struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_READY);
