--- a/src/registrar.c
+++ b/src/registrar.c
@@ -11,13 +11,12 @@
 
 enum
 {
-  /* A leave is confirmed by all hosts in reach, or not waited for any longer:
-     a host that is frozen or cut off hears it when it is back.  */
+  /* Time to wait for all connected hosts to acknowledge a deregistration; an
+     unresponsive host learns of it after it has recovered.  */
   CONFIRM_WITHIN_MS = 600,
-  /* Renewals wait this long for others, to go out together; longer the more
-     upstreams there are, so that their bytes grow with the number of hosts and
-     not with its square.  Two seconds at a thousand: a host passes an upstream
-     over as silent after six.  */
+  /* Renewals are batched for an interval that grows with the number of
+     upstreams, to limit traffic.  The maximum stays well below the 6 s after
+     which hosts treat an upstream as silent.  */
   GATHER_MS = 200,
   GATHER_PER_UPSTREAM_MS = 2,
   GATHER_MAX_MS = 2000
@@ -40,7 +39,7 @@
 marjoram_registrar_forget (marjoram_registrar *registrar,
                            struct marjoram_waiting *waiting)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, registrar->waiting, waiting);
   free (waiting);
 }
@@ -93,7 +92,7 @@
   return waiting;
 }
 
-/* ---- News of upstreams.  ---- */
+/* ---- Upstream heartbeats.  ---- */
 
 static const char *const state_names[] = { "ready", "leaving", "gone" };
 
@@ -129,9 +128,8 @@
   return registrar->ops->tell (registrar->context, &batch);
 }
 
-/* Hosts must send nothing more to a leaving upstream some seconds after the
-   answer, even if this keeper dies right after it: so all that are in reach
-   confirm first.  */
+/* Responds to a deregistration only after all connected hosts have
+   acknowledged it, so that it takes effect even if this keeper fails.  */
 static void
 confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t ask,
                const char *id)
@@ -156,7 +154,7 @@
                                         news->zone))
     return true;
   return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                             "unknown zone \"%s\"; name one of the settings",
+                             "unknown zone \"%s\"; use a zone of the settings",
                              news->zone);
 }
 
@@ -225,8 +223,8 @@
     }
 }
 
-/* Those that spoke to this keeper since SINCE, or, if that is INT64_MIN, all:
-   what other keepers heard they tell themselves.  */
+/* Packs the upstreams heard directly since SINCE, or all if SINCE is
+   INT64_MIN.  Other keepers send the renewals that they receive themselves. */
 static void
 pack_since (marjoram_registrar *registrar, int64_t now, int64_t since,
             struct marjoram_news_batch *batch)
@@ -294,7 +292,7 @@
   marjoram_registrar_forget (registrar, waiting);
 }
 
-/* ---- Calls.  ---- */
+/* ---- Requests.  ---- */
 
 static const struct marjoram_route_table *
 table_in_force (marjoram_registrar *registrar)
@@ -316,10 +314,10 @@
 
 struct lookup
 {
-  const struct marjoram_route_table *table; /* null before any */
+  const struct marjoram_route_table *table; /* NULL if none is committed */
   const char *host;
-  bool is_bound;     /* some routes of HOST have homes */
-  size_t most_homes; /* of the routes of HOST, in one region */
+  bool is_bound;     /* some routes of HOST have home regions */
+  size_t most_homes; /* maximum of routes of HOST with the same home region */
 };
 
 static size_t
@@ -330,10 +328,10 @@
              : 0;
 }
 
-/* Routes of one host may have different homes, and a look-up does not tell
-   which route it is for: the regions that most of them call home.  Where no
-   host of a home serves, nobody is named: the caller would bring its body to a
-   region that must not get it, and be refused there.  */
+/* A lookup does not identify a route, and routes of one host may have
+   different home regions.  Accepts the regions that are home to most routes
+   among those with serving hosts, and none if no home region has any: the
+   request must not leave its home regions.  */
 static bool
 may_be_named (void *context, const char *region)
 {
@@ -446,9 +444,9 @@
     }
 }
 
-/* A leave that not all confirmed in time is answered all the same: who did not
-   is out of touch.  Orders are not: they may yet be decided, and are sent
-   again.  */
+/* Completes expired requests.  Deregistrations succeed even if some hosts did
+   not acknowledge in time; the outcome of operator commands is unknown and
+   clients retry them.  */
 void
 marjoram_registrar_tick (marjoram_registrar *registrar, int64_t now)
 {
--- a/src/registrar_order.c
+++ b/src/registrar_order.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  EVACUATE_TRIES = 8 /* lost races against other operators */
+  EVACUATE_TRIES = 8 /* attempts to win a concurrent update */
 };
 
 static uint64_t
@@ -21,8 +21,8 @@
   return file ? file->version : 0;
 }
 
-/* The register answers a change id that it has seen before; a resend, to any
-   keeper, has the same.  */
+/* The register deduplicates by change id, so the id depends on the content
+   only and is equal for retries through any keeper.  */
 static void
 change_id (const struct marjoram_file *file, char id[MARJORAM_NAME_MAX])
 {
@@ -43,8 +43,8 @@
   registrar->ops->apply (registrar->context, waiting->number, id, file);
 }
 
-/* A version that is not above the one held changes nothing, and is
-   acknowledged: it holds, or was overtaken.  */
+/* Acknowledges a version that is not newer than the current one without a
+   change: it is in force or superseded.  */
 void
 marjoram_registrar_set_config (marjoram_registrar *registrar, int64_t now,
                                uint64_t ask, const char *body, size_t size)
@@ -101,8 +101,8 @@
   marjoram_wire_clear (&marjoram_file_layout, &file);
 }
 
-/* The state is confirmed first: a keeper that lags might hold the order for
-   obeyed by a state that another order has changed since.  */
+/* Confirms the state first, since a lagging keeper could otherwise treat an
+   outdated state as final.  */
 void
 marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
                              uint64_t ask, const struct marjoram_ask *what)
@@ -114,7 +114,7 @@
       struct marjoram_error err;
 
       marjoram_error_set (&err, MARJORAM_ERROR_INVALID,
-                          "unknown zone \"%s\"; name one of the settings",
+                          "unknown zone \"%s\"; use a zone of the settings",
                           what->zone);
       marjoram_registrar_reject (registrar, ask, "evacuation", &err);
       return;
--- a/src/registrar_private.h
+++ b/src/registrar_private.h
@@ -1,5 +1,5 @@
-/* The parts of a registrar: registrar.c (upstreams' news, look-ups, calls) and
-   registrar_order.c (operators' orders).  */
+/* Internals shared by registrar.c (upstream heartbeats, lookups, request
+   dispatch) and registrar_order.c (operator commands).  */
 #ifndef MARJORAM_REGISTRAR_PRIVATE_H
 #define MARJORAM_REGISTRAR_PRIVATE_H
 
@@ -13,7 +13,7 @@
   MARJORAM_STATUS_BAD_REQUEST = 400,
   MARJORAM_STATUS_NOT_FOUND = 404,
   MARJORAM_STATUS_UNAVAILABLE = 503,
-  /* Callers of a keeper go on to another one after a second.  */
+  /* Response deadline; clients try another keeper after a second.  */
   MARJORAM_ANSWER_WITHIN_MS = 900
 };
 
@@ -25,15 +25,15 @@
   MARJORAM_WAIT_EVACUATION
 };
 
-/* A call that waits for other hosts.  Calls and what answers them share one
-   row of numbers.  */
+/* A pending request that waits for other hosts.  Tickets and register requests
+   share one sequence of numbers.  */
 struct marjoram_waiting
 {
-  uint64_t number; /* the ticket or the register's request */
+  uint64_t number; /* ticket or register request */
   uint64_t ask;
   enum marjoram_wait_kind kind;
   int64_t deadline;
-  size_t missing; /* LEAVE: hosts that have not confirmed */
+  size_t missing; /* LEAVE: hosts yet to acknowledge */
   char zone[MARJORAM_ID_MAX];
   bool evacuated;
   int tries;
@@ -48,24 +48,24 @@
   void *context;
   struct marjoram_waiting *waiting;
   uint64_t next_number;
-  int64_t gathered_at;                /* 0 if nothing waits to be told */
-  struct marjoram_route_table *table; /* of the state TABLE_NUMBER */
+  int64_t gathered_at; /* first renewal in the pending batch; 0 if none */
+  struct marjoram_route_table *table; /* parsed from state TABLE_NUMBER */
   uint64_t table_number;
 };
 
 void marjoram_registrar_forget (marjoram_registrar *registrar,
                                 struct marjoram_waiting *waiting);
-/* BODY is text, or null.  */
+/* BODY is a string or NULL.  */
 void marjoram_registrar_answer (marjoram_registrar *registrar, uint64_t ask,
                                 int status, const char *body);
 struct marjoram_waiting *
 marjoram_registrar_wait (marjoram_registrar *registrar, int64_t now,
                          uint64_t ask, enum marjoram_wait_kind kind,
                          int64_t within_ms);
-/* Null if nothing waits under NUMBER.  */
+/* NULL if no request is pending under NUMBER.  */
 struct marjoram_waiting *
 marjoram_registrar_find (marjoram_registrar *registrar, uint64_t number);
-/* Answers and logs input that could not be read.  */
+/* Logs invalid input and responds with status 400.  */
 void marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t ask,
                                 const char *target,
                                 const struct marjoram_error *err);
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -1,5 +1,4 @@
-/* A keeper's side of the gateway: upstreams' news, operators' orders,
-   look-ups.  */
+/* Tests upstream heartbeats, operator commands and lookups at a keeper.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -28,15 +27,15 @@
 static marjoram_registrar *registrar;
 static struct marjoram_state *state;
 static uint64_t asks;
-static int status;           /* of the last answer */
-static char body[2048];      /* of the last answer */
-static int renewals;         /* batches */
-static size_t renewed_count; /* in the last one */
-static char renewed[64];     /* the first of them */
-static size_t told;          /* batches */
-static uint64_t ticket;      /* of the last batch */
-static size_t in_reach;      /* hosts */
-static uint64_t request;     /* of the last apply or read */
+static int status;           /* status of the last response */
+static char body[2048];      /* body of the last response */
+static int renewals;         /* batches of renewals */
+static size_t renewed_count; /* upstreams in the last batch of renewals */
+static char renewed[64];     /* first upstream of the last batch of renewals */
+static size_t told;          /* batches sent */
+static uint64_t ticket;      /* ticket of the last batch */
+static size_t in_reach;      /* connected hosts */
+static uint64_t request;     /* last apply or read request */
 static int reads;
 static char change_id[MARJORAM_NAME_MAX + 1];
 static struct marjoram_file applied;
@@ -47,7 +46,7 @@
 {
   (void)context;
   ck_assert_uint_eq (ask, asks);
-  ck_assert_msg (status == NONE, "answered twice");
+  ck_assert_msg (status == NONE, "more than one response to a request");
   status = code;
   snprintf (body, sizeof body, "%.*s", (int)size, text ? text : "");
 }
@@ -169,7 +168,7 @@
   ask (now, "POST", "/-/instances/u1/heartbeat", text);
 }
 
-/* What the register answers to an apply: the applied file is in force.  */
+/* Completes the pending register request; an accepted file takes effect.  */
 static void
 decide (int64_t now, enum marjoram_apply_outcome outcome,
         enum marjoram_change_result result)
@@ -203,9 +202,8 @@
 }
 END_TEST
 
-/* Keepers tell all hosts which upstreams have spoken to them.  One that passed
-   on what another keeper told it would send every host each renewal once more
-   for each keeper.  */
+/* Guards against forwarding renewals received from other keepers, which would
+   multiply the traffic to each host.  */
 START_TEST (renewals_of_other_keepers_are_not_passed_on)
 {
   struct marjoram_news_item item = { .id = (char *)"far",
@@ -241,8 +239,8 @@
 }
 END_TEST
 
-/* An upstream says that it leaves, and the keeper that heard it dies right
-   after its answer.  So all hosts in reach know before the answer.  */
+/* Guards against losing a deregistration when the keeper fails right after its
+   response.  */
 START_TEST (leave_is_confirmed_before_it_is_answered)
 {
   in_reach = 2;
@@ -256,8 +254,8 @@
 }
 END_TEST
 
-/* One host is frozen and confirms nothing; the upstream, which asks another
-   keeper after a second, is answered before.  */
+/* Guards against a deregistration that waits for an unresponsive host until
+   the client's timeout.  */
 START_TEST (leave_does_not_wait_for_a_frozen_host)
 {
   in_reach = 1;
@@ -279,8 +277,8 @@
 }
 END_TEST
 
-/* The answer to an order was lost, and it is sent again, to any keeper, also
-   after a later version.  It is acknowledged and changes nothing.  */
+/* Guards against resent or outdated configurations replacing the current
+   one.  */
 START_TEST (versions_not_above_the_held_change_nothing)
 {
   ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
@@ -291,7 +289,7 @@
   ask (300, "POST", "/-/config/replace", CONFIG ("6", "app"));
   ck_assert_int_eq (status, 200);
   ck_assert_uint_eq (request, 0);
-  /* Another keeper was faster, which this one learns from the register.  */
+  /* Another keeper was faster, which the register reports.  */
   ask (400, "POST", "/-/config/replace", CONFIG ("8", "app"));
   decide (500, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
   ck_assert_int_eq (status, 200);
@@ -308,14 +306,14 @@
 }
 END_TEST
 
-/* No majority answers.  Whether the order will take effect is open, so it is
-   neither acknowledged nor refused.  */
+/* Guards against acknowledging or rejecting a command whose outcome is
+   unknown.  */
 START_TEST (undecided_order_is_unavailable)
 {
   ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   marjoram_registrar_tick (registrar, 950);
   ck_assert_int_eq (status, 503);
-  /* What comes after that answers nobody.  */
+  /* A late result sends no second response.  */
   decide (2000, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
 }
 END_TEST
@@ -338,8 +336,7 @@
 }
 END_TEST
 
-/* Two operators empty two zones at once: the second finds that the list has
-   changed, and adds its zone to the new one.  */
+/* Guards against one of two concurrent evacuations being lost.  */
 START_TEST (evacuations_race)
 {
   struct marjoram_names zones;
@@ -349,7 +346,7 @@
   ck_assert_int_eq (reads, 1);
   decide (10, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_str_eq (applied.text, "za");
-  /* Another keeper's order comes first.  */
+  /* Another keeper's command is committed first.  */
   free (applied.text);
   applied.text = marjoram_strdup ("zb");
   marjoram_state_set_file (state, &applied);
@@ -395,10 +392,8 @@
 }
 END_TEST
 
-/* All hosts of a region are restarted in turn.  Its callers must be sent where
-   the requests of their host may run: elsewhere these would only be passed on,
-   by a region that is none of their homes.  Routes of one host may have
-   different homes.  */
+/* Guards against lookups that return hosts outside the home regions of most
+   routes while the caller's region restarts.  */
 START_TEST (lookup_without_own_region_names_homes)
 {
   static const char routes[]
@@ -436,9 +431,8 @@
 }
 END_TEST
 
-/* All hosts of the caller's region and of the routes' homes are restarted at
-   once.  Named a host of a third region, the caller would bring its request,
-   with its body, where it must not go, only to be refused there.  */
+/* Guards against lookups that return a host outside the home regions when no
+   home region serves.  */
 START_TEST (lookup_names_nobody_outside_the_homes)
 {
   static const char routes[]
