--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -1,6 +1,6 @@
-/* What a host does for one request or one frame must not grow with the number
-   of hosts.  The modules under test are compiled to call the function below at
-   each step, so that the counts repeat on any machine.  */
+/* Guards against per-request and per-message work that grows with the number
+   of hosts.  The modules under test are instrumented to call the function
+   below at each step, so the counts are reproducible.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -13,14 +13,14 @@
 enum
 {
   UPSTREAMS = 16,
-  ITEMS = 4, /* upstreams that one report names */
+  ITEMS = 4, /* upstreams per report */
   SIZES = 3
 };
 
 static const int sizes[SIZES] = { 10, 100, 1000 };
 
-/* How many times the steps at the smallest size those at the others may be:
-   chains of a hash vary a little.  */
+/* Maximum ratio of steps to those at the smallest size; hash chains vary
+   slightly.  */
 static const double growth = 1.25;
 
 static uint64_t steps;
@@ -246,7 +246,7 @@
   free (fleet);
 }
 
-/* Mean steps of ten, after one that renews what is collected now and then.  */
+/* Mean steps of ten calls, after one that refreshes cached data.  */
 static double
 count (struct fleet *fleet, void (*act) (struct fleet *fleet, int number))
 {
@@ -315,7 +315,7 @@
 }
 END_TEST
 
-/* An answer names 64 hosts at most, so that the smallest fleet costs less.  */
+/* A response holds at most 64 hosts, so the smallest fleet is no baseline.  */
 START_TEST (a_look_up_costs_no_more_than_its_answer)
 {
   struct fleet *full = fleet_create (2 * MARJORAM_LOOKUP_MAX);
