--- a/src/cache_index.c
+++ b/src/cache_index.c
@@ -5,7 +5,7 @@
 enum
 {
   WAYS = 4,
-  FRESH_MS = 300000
+  ENTRY_VALID_MS = 300000
 };
 
 struct entry
@@ -69,7 +69,7 @@
 }
 
 static struct entry *
-take_oldest (const marjoram_cache_index *index, uint64_t prefix)
+replace_oldest (const marjoram_cache_index *index, uint64_t prefix)
 {
   struct entry *set = set_of (index, prefix);
   struct entry *oldest = &set[0];
@@ -86,11 +86,11 @@
                           uint64_t prefix, uint64_t holder)
 {
   struct entry *entry = find (index, prefix);
-  struct marjoram_cache_holder *place;
+  struct marjoram_cache_holder *slot;
 
   if (!entry)
-    entry = take_oldest (index, prefix);
-  place = &entry->holders[0];
+    entry = replace_oldest (index, prefix);
+  slot = &entry->holders[0];
   for (int i = 0; i < MARJORAM_CACHE_HOLDERS; i++)
     {
       if (entry->holders[i].holder == holder)
@@ -98,10 +98,10 @@
           entry->holders[i].seen = now;
           return;
         }
-      if (entry->holders[i].seen < place->seen)
-        place = &entry->holders[i];
+      if (entry->holders[i].seen < slot->seen)
+        slot = &entry->holders[i];
     }
-  *place = (struct marjoram_cache_holder){ holder, now };
+  *slot = (struct marjoram_cache_holder){ holder, now };
 }
 
 void
@@ -121,7 +121,7 @@
 {
   const struct entry *entry = find (index, prefix);
 
-  if (!entry || now >= last_seen (entry) + FRESH_MS)
+  if (!entry || now >= last_seen (entry) + ENTRY_VALID_MS)
     return NULL;
   return entry->holders;
 }
--- a/src/engine_memory.c
+++ b/src/engine_memory.c
@@ -5,9 +5,9 @@
 #include <sys/queue.h>
 #include <uthash.h>
 
-struct kept
+struct cached_part
 {
-  TAILQ_ENTRY (kept) link;
+  TAILQ_ENTRY (cached_part) link;
   uint64_t part;
   int64_t tokens;
   UT_hash_handle hh;
@@ -15,8 +15,9 @@
 
 struct marjoram_engine_memory
 {
-  TAILQ_HEAD (kept_list, kept) by_use; /* most recently used first */
-  struct kept *by_part;
+  TAILQ_HEAD (cached_part_list, cached_part)
+  by_use; /* most recently used first */
+  struct cached_part *by_part;
   int64_t tokens;
 };
 
@@ -29,30 +30,30 @@
   return memory;
 }
 
-static struct kept *
+static struct cached_part *
 find (const marjoram_engine_memory *memory, uint64_t part)
 {
-  struct kept *kept;
+  struct cached_part *cached_part;
 
-  HASH_FIND (hh, memory->by_part, &part, sizeof part, kept);
-  return kept;
+  HASH_FIND (hh, memory->by_part, &part, sizeof part, cached_part);
+  return cached_part;
 }
 
 static void
-drop (marjoram_engine_memory *memory, struct kept *kept)
+evict (marjoram_engine_memory *memory, struct cached_part *cached_part)
 {
-  memory->tokens -= kept->tokens;
-  TAILQ_REMOVE (&memory->by_use, kept, link);
+  memory->tokens -= cached_part->tokens;
+  TAILQ_REMOVE (&memory->by_use, cached_part, link);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, memory->by_part, kept);
-  free (kept);
+  HASH_DELETE (hh, memory->by_part, cached_part);
+  free (cached_part);
 }
 
 void
 marjoram_engine_memory_clear (marjoram_engine_memory *memory)
 {
   while (!TAILQ_EMPTY (&memory->by_use))
-    drop (memory, TAILQ_FIRST (&memory->by_use));
+    evict (memory, TAILQ_FIRST (&memory->by_use));
 }
 
 void
@@ -68,22 +69,23 @@
 marjoram_engine_memory_use (marjoram_engine_memory *memory, uint64_t part,
                             int64_t tokens, int64_t capacity)
 {
-  struct kept *kept = find (memory, part);
+  struct cached_part *cached_part = find (memory, part);
 
-  if (kept)
-    TAILQ_REMOVE (&memory->by_use, kept, link);
+  if (cached_part)
+    TAILQ_REMOVE (&memory->by_use, cached_part, link);
   else
     {
-      kept = marjoram_alloc (sizeof *kept);
-      kept->part = part;
-      HASH_ADD (hh, memory->by_part, part, sizeof kept->part, kept);
+      cached_part = marjoram_alloc (sizeof *cached_part);
+      cached_part->part = part;
+      HASH_ADD (hh, memory->by_part, part, sizeof cached_part->part,
+                cached_part);
     }
-  memory->tokens += tokens - kept->tokens;
-  kept->tokens = tokens;
-  TAILQ_INSERT_HEAD (&memory->by_use, kept, link);
+  memory->tokens += tokens - cached_part->tokens;
+  cached_part->tokens = tokens;
+  TAILQ_INSERT_HEAD (&memory->by_use, cached_part, link);
   while (memory->tokens > capacity && !TAILQ_EMPTY (&memory->by_use))
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    drop (memory, TAILQ_LAST (&memory->by_use, kept_list));
+    evict (memory, TAILQ_LAST (&memory->by_use, cached_part_list));
 }
 
 int64_t
@@ -95,9 +97,9 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      const struct kept *kept = find (memory, parts[i].id);
+      const struct cached_part *cached_part = find (memory, parts[i].id);
 
-      if (!kept)
+      if (!cached_part)
         break;
       tokens += parts[i].tokens;
     }
--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -18,11 +18,11 @@
 };
 
 /* The query of one engine.  */
-struct question
+struct query
 {
   uint64_t number;
   char engine[MARJORAM_ID_MAX];
-  bool is_good;          /* response is valid so far */
+  bool is_valid;         /* response is valid so far */
   struct evbuffer *body; /* NULL once completed */
   UT_hash_handle by_number;
   UT_hash_handle by_engine;
@@ -34,95 +34,93 @@
   const struct marjoram_engine_survey_ops *ops;
   void *context;
   marjoram_http_client *client;
-  struct question *questions; /* keyed by number */
-  struct question *by_engine;
+  struct query *queries; /* keyed by number */
+  struct query *by_engine;
   uint64_t next_number;
-  size_t open;
+  size_t pending;
 };
 
-static struct question *
+static struct query *
 find (marjoram_engine_survey *survey, uint64_t number)
 {
-  struct question *question;
+  struct query *query;
 
-  HASH_FIND (by_number, survey->questions, &number, sizeof number, question);
-  return question && question->body ? question : NULL;
+  HASH_FIND (by_number, survey->queries, &number, sizeof number, query);
+  return query && query->body ? query : NULL;
 }
 
 static bool
-was_asked (const marjoram_engine_survey *survey, const char *engine)
+was_queried (const marjoram_engine_survey *survey, const char *engine)
 {
-  struct question *question;
+  struct query *query;
 
-  HASH_FIND (by_engine, survey->by_engine, engine, strlen (engine), question);
-  return question != NULL;
+  HASH_FIND (by_engine, survey->by_engine, engine, strlen (engine), query);
+  return query != NULL;
 }
 
 static void
-end_question (marjoram_engine_survey *survey, struct question *question)
+end_query (marjoram_engine_survey *survey, struct query *query)
 {
-  if (!question->body)
+  if (!query->body)
     return;
-  evbuffer_free (question->body);
-  question->body = NULL;
-  survey->open--;
+  evbuffer_free (query->body);
+  query->body = NULL;
+  survey->pending--;
 }
 
 static bool
 on_head (void *context, uint64_t number, int status,
          struct marjoram_header_list *headers)
 {
-  struct question *question = find (context, number);
+  struct query *query = find (context, number);
 
   (void)headers;
-  if (question)
-    question->is_good = status == STATUS_OK;
+  if (query)
+    query->is_valid = status == STATUS_OK;
   return true;
 }
 
 static void
 on_data (void *context, uint64_t number, const char *data, size_t size)
 {
-  struct question *question = find (context, number);
+  struct query *query = find (context, number);
 
-  if (!question || !question->is_good)
+  if (!query || !query->is_valid)
     return;
-  if (evbuffer_get_length (question->body) + size > ANSWER_MAX)
-    question->is_good = false;
+  if (evbuffer_get_length (query->body) + size > ANSWER_MAX)
+    query->is_valid = false;
   else
-    evbuffer_add (question->body, data, size);
+    evbuffer_add (query->body, data, size);
 }
 
 static bool
-read_answer (marjoram_engine_survey *survey, const struct question *question,
+read_answer (marjoram_engine_survey *survey, const struct query *query,
              struct marjoram_prompt_parts *parts)
 {
-  return question->is_good
+  return query->is_valid
          && survey->dialect->ops->read_kept (
-             (const char *)evbuffer_pullup (question->body, -1),
-             evbuffer_get_length (question->body), parts);
+             (const char *)evbuffer_pullup (query->body, -1),
+             evbuffer_get_length (query->body), parts);
 }
 
 static void
 on_end (void *context, uint64_t number, enum marjoram_http_end how)
 {
   marjoram_engine_survey *survey = context;
-  struct question *question = find (survey, number);
+  struct query *query = find (survey, number);
   struct marjoram_prompt_parts parts = { 0 };
-  bool known;
+  bool valid;
 
-  if (!question)
+  if (!query)
     return;
-  known = how == MARJORAM_HTTP_COMPLETE
-          && read_answer (survey, question, &parts);
+  valid = how == MARJORAM_HTTP_COMPLETE && read_answer (survey, query, &parts);
   marjoram_event (MARJORAM_EVENT_UPSTREAM, "id=%s survey=%s parts=%zu",
-                  question->engine, known ? "answered" : "failed",
-                  parts.count);
-  if (known)
-    survey->ops->kept (survey->context, question->engine, parts.items,
+                  query->engine, valid ? "answered" : "failed", parts.count);
+  if (valid)
+    survey->ops->kept (survey->context, query->engine, parts.items,
                        parts.count);
   free (parts.items);
-  end_question (survey, question);
+  end_query (survey, query);
 }
 
 static void
@@ -166,18 +164,18 @@
 void
 marjoram_engine_survey_destroy (marjoram_engine_survey *survey)
 {
-  struct question *question;
-  struct question *next;
+  struct query *query;
+  struct query *next;
 
   if (!survey)
     return;
   HASH_CLEAR (by_engine, survey->by_engine);
-  HASH_ITER (by_number, survey->questions, question, next)
+  HASH_ITER (by_number, survey->queries, query, next)
   {
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    HASH_DELETE (by_number, survey->questions, question);
-    end_question (survey, question);
-    free (question);
+    HASH_DELETE (by_number, survey->queries, query);
+    end_query (survey, query);
+    free (query);
   }
   marjoram_http_client_destroy (survey->client);
   free (survey);
@@ -188,26 +186,25 @@
                             const char *address)
 {
   struct marjoram_http_send send = { .address = address };
-  struct question *question;
+  struct query *query;
   char message[MESSAGE_MAX];
   int size;
 
-  if (was_asked (survey, engine))
+  if (was_queried (survey, engine))
     return;
   size = snprintf (message, sizeof message,
                    "GET %s HTTP/1.1\r\nHost: %s\r\n"
                    "Connection: close\r\n\r\n",
                    survey->dialect->kept_target, address);
-  question = marjoram_alloc (sizeof *question);
-  question->number = ++survey->next_number;
-  snprintf (question->engine, sizeof question->engine, "%s", engine);
-  question->body = evbuffer_new ();
-  HASH_ADD (by_number, survey->questions, number, sizeof question->number,
-            question);
-  HASH_ADD (by_engine, survey->by_engine, engine, strlen (question->engine),
-            question);
-  survey->open++;
-  send.attempt = question->number;
+  query = marjoram_alloc (sizeof *query);
+  query->number = ++survey->next_number;
+  snprintf (query->engine, sizeof query->engine, "%s", engine);
+  query->body = evbuffer_new ();
+  HASH_ADD (by_number, survey->queries, number, sizeof query->number, query);
+  HASH_ADD (by_engine, survey->by_engine, engine, strlen (query->engine),
+            query);
+  survey->pending++;
+  send.attempt = query->number;
   send.message = marjoram_bytes_create (message, (size_t)size);
   marjoram_http_client_send (survey->client, &send);
   marjoram_bytes_release (send.message);
@@ -221,7 +218,7 @@
 }
 
 size_t
-marjoram_engine_survey_open (const marjoram_engine_survey *survey)
+marjoram_engine_survey_pending (const marjoram_engine_survey *survey)
 {
-  return survey->open;
+  return survey->pending;
 }
--- a/src/engine_survey.h
+++ b/src/engine_survey.h
@@ -27,7 +27,7 @@
 void marjoram_engine_survey_ask (marjoram_engine_survey *survey,
                                  const char *engine, const char *address);
 /* Number of pending queries.  */
-size_t marjoram_engine_survey_open (const marjoram_engine_survey *survey);
+size_t marjoram_engine_survey_pending (const marjoram_engine_survey *survey);
 /* To be called at least every 250 ms.  */
 void marjoram_engine_survey_tick (marjoram_engine_survey *survey);
 
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -11,10 +11,10 @@
      omit a dead host within two seconds.  */
   ALIVE_MS = 1300,
   /* The same for longer heartbeat intervals.  */
-  ALIVE_BEATS = 4,
+  ALIVE_HEARTBEATS = 4,
   ALIVE_MARGIN_MS = 100,
   /* For relayed heartbeats, which are sent less often.  */
-  ALIVE_TOLD_MS = 7000,
+  ALIVE_RELAYED_MS = 7000,
   FORGET_MS = 60000,
   /* Lifetime of an unchanged view; a host that falls silent may stay in it for
      this long.  */
@@ -42,10 +42,10 @@
 {
   enum view_kind kind;
   char *name; /* region or zone */
-  struct marjoram_host_view it;
+  struct marjoram_host_view result;
   size_t next; /* index at which the next lookup starts */
-  size_t room;
-  int64_t made_at;
+  size_t capacity;
+  int64_t built_at;
   uint64_t changes; /* CHANGES of the list when the view was built */
   struct owner *owners;
   UT_hash_handle hh;
@@ -53,8 +53,8 @@
 
 struct marjoram_host_list
 {
-  int64_t told_valid_ms; /* validity of relayed heartbeats */
-  int64_t late_ms;       /* receive lag of this host */
+  int64_t relayed_valid_ms; /* validity of relayed heartbeats */
+  int64_t late_ms;          /* receive lag of this host */
   char *region; /* region whose entry hosts use BEAT_MS; NULL if none */
   int64_t beat_ms;
   struct marjoram_listed_hosts hosts;
@@ -72,7 +72,7 @@
   marjoram_host_list *list = marjoram_alloc (sizeof *list);
 
   TAILQ_INIT (&list->hosts);
-  list->told_valid_ms = ALIVE_TOLD_MS;
+  list->relayed_valid_ms = ALIVE_RELAYED_MS;
   list->offering.kind = VIEW_OFFERING;
   return list;
 }
@@ -80,7 +80,7 @@
 void
 marjoram_host_list_set_told_valid (marjoram_host_list *list, int64_t msec)
 {
-  list->told_valid_ms = msec;
+  list->relayed_valid_ms = msec;
 }
 
 /* With a lagging receiver all heartbeats arrive late and live hosts would
@@ -106,7 +106,7 @@
 }
 
 static void
-forget (marjoram_host_list *list, struct marjoram_listed_host *host)
+remove_host (marjoram_host_list *list, struct marjoram_listed_host *host)
 {
   list->changes++;
   list->entries -= is_entry (&host->beat);
@@ -136,7 +136,7 @@
 clear_view (struct view *view)
 {
   clear_owners (view);
-  free (view->it.hosts);
+  free (view->result.hosts);
 }
 
 static void
@@ -166,7 +166,7 @@
   clear_view (&list->offering);
   while (!TAILQ_EMPTY (&list->hosts))
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget (list, TAILQ_FIRST (&list->hosts));
+    remove_host (list, TAILQ_FIRST (&list->hosts));
   free (list);
 }
 
@@ -202,20 +202,20 @@
 }
 
 static bool
-is_same (const char *known, const char *told)
+is_same_text (const char *known, const char *received)
 {
-  return strcmp (known, told ? told : "") == 0;
+  return strcmp (known, received ? received : "") == 0;
 }
 
 /* Fast path for heartbeats with unchanged strings: updates in place.  */
 static bool
-renew_beat (struct marjoram_host_beat *known,
-            const struct marjoram_host_beat *beat)
+update_beat_in_place (struct marjoram_host_beat *known,
+                      const struct marjoram_host_beat *beat)
 {
   if (known->offers.count > 0 || beat->offers.count > 0
-      || !is_same (known->zone, beat->zone)
-      || !is_same (known->region, beat->region)
-      || !is_same (known->entry, beat->entry))
+      || !is_same_text (known->zone, beat->zone)
+      || !is_same_text (known->region, beat->region)
+      || !is_same_text (known->entry, beat->entry))
     return false;
   known->keeper = beat->keeper;
   known->ready = beat->ready;
@@ -273,7 +273,7 @@
 {
   char *name = host->beat.name;
 
-  if (renew_beat (&host->beat, beat))
+  if (update_beat_in_place (&host->beat, beat))
     return;
   host->beat.name = NULL;
   clear_beat (&host->beat);
@@ -355,13 +355,13 @@
 
 /* Silence in ms after which HOST counts as dead.  */
 static int64_t
-valid_ms (const struct marjoram_listed_host *host)
+max_silence_ms (const struct marjoram_listed_host *host)
 {
   const marjoram_host_list *list = host->list;
-  int64_t beats_ms = list->beat_ms * ALIVE_BEATS + ALIVE_MARGIN_MS;
+  int64_t beats_ms = list->beat_ms * ALIVE_HEARTBEATS + ALIVE_MARGIN_MS;
 
   if (!host->direct)
-    return list->told_valid_ms;
+    return list->relayed_valid_ms;
   if (host->beat.keeper || !list->region || beats_ms < ALIVE_MS
       || strcmp (host->beat.region, list->region) != 0)
     return ALIVE_MS;
@@ -372,7 +372,8 @@
 marjoram_host_list_alive (const struct marjoram_listed_host *host, int64_t now)
 {
   return host->heard_at > host->lost_at
-         && now - host->heard_at - host->list->late_ms <= valid_ms (host);
+         && now - host->heard_at - host->list->late_ms
+                <= max_silence_ms (host);
 }
 
 bool
@@ -408,32 +409,32 @@
 }
 
 static void
-make_view (const marjoram_host_list *list, struct view *view, int64_t now)
+build_view (const marjoram_host_list *list, struct view *view, int64_t now)
 {
   struct marjoram_listed_host *host;
 
   clear_owners (view);
-  if (view->room < HASH_COUNT (list->by_name))
+  if (view->capacity < HASH_COUNT (list->by_name))
     {
-      free (view->it.hosts);
-      view->room = HASH_COUNT (list->by_name);
-      view->it.hosts = marjoram_alloc (
-          view->room * sizeof (struct marjoram_listed_host *));
+      free (view->result.hosts);
+      view->capacity = HASH_COUNT (list->by_name);
+      view->result.hosts = marjoram_alloc (
+          view->capacity * sizeof (struct marjoram_listed_host *));
     }
-  view->it.count = 0;
+  view->result.count = 0;
   TAILQ_FOREACH (host, &list->hosts, link)
   if (is_in_view (view, host, now))
-    view->it.hosts[view->it.count++] = host;
-  view->made_at = now;
+    view->result.hosts[view->result.count++] = host;
+  view->built_at = now;
   view->changes = list->changes;
 }
 
 static void
-renew_view (const marjoram_host_list *list, struct view *view, int64_t now)
+refresh_view (const marjoram_host_list *list, struct view *view, int64_t now)
 {
-  if (view->changes != list->changes || now < view->made_at
-      || now >= view->made_at + VIEW_MS)
-    make_view (list, view, now);
+  if (view->changes != list->changes || now < view->built_at
+      || now >= view->built_at + VIEW_MS)
+    build_view (list, view, now);
 }
 
 static struct view *
@@ -451,7 +452,7 @@
       view->changes = list->changes - 1;
       HASH_ADD_KEYPTR (hh, *views, view->name, strlen (view->name), view);
     }
-  renew_view (list, view, now);
+  refresh_view (list, view, now);
   return view;
 }
 
@@ -464,15 +465,15 @@
 const struct marjoram_host_view *
 marjoram_host_list_offering (marjoram_host_list *list, int64_t now)
 {
-  renew_view (list, &list->offering, now);
-  return &list->offering.it;
+  refresh_view (list, &list->offering, now);
+  return &list->offering.result;
 }
 
 const struct marjoram_host_view *
 marjoram_host_list_of_region (marjoram_host_list *list, int64_t now,
                               const char *region)
 {
-  return &region_view (list, now, region)->it;
+  return &region_view (list, now, region)->result;
 }
 
 uint64_t
@@ -486,16 +487,17 @@
 find_owner (const struct view *view, const char *key)
 {
   const struct marjoram_listed_host *best = NULL;
-  uint64_t most = 0;
+  uint64_t highest = 0;
 
-  for (size_t i = 0; i < view->it.count; i++)
+  for (size_t i = 0; i < view->result.count; i++)
     {
-      uint64_t claim = marjoram_listed_host_claim (view->it.hosts[i], key);
+      uint64_t weight
+          = marjoram_listed_host_claim (view->result.hosts[i], key);
 
-      if (best && claim <= most)
+      if (best && weight <= highest)
         continue;
-      best = view->it.hosts[i];
-      most = claim;
+      best = view->result.hosts[i];
+      highest = weight;
     }
   return best;
 }
@@ -520,7 +522,7 @@
 }
 
 static uint64_t
-claim_of (const char *host, const char *key)
+weight_of (const char *host, const char *key)
 {
   return XXH3_64bits_withSeed (key, strlen (key),
                                XXH3_64bits (host, strlen (host)));
@@ -533,14 +535,14 @@
 {
   const char *owner = marjoram_host_list_owner (list, now, region, key);
 
-  return owner && claim_of (owner, key) > claim_of (own, key) ? owner : own;
+  return owner && weight_of (owner, key) > weight_of (own, key) ? owner : own;
 }
 
 size_t
 marjoram_host_list_serving (marjoram_host_list *list, int64_t now,
                             const char *region)
 {
-  return region_view (list, now, region)->it.count;
+  return region_view (list, now, region)->result.count;
 }
 
 size_t
@@ -553,28 +555,29 @@
 
 /* Rotates through the hosts if there are more than fit in one response.  */
 static size_t
-name_hosts (struct view *view, int64_t now,
-            const char *addresses[MARJORAM_LOOKUP_MAX])
+collect_hosts (struct view *view, int64_t now,
+               const char *addresses[MARJORAM_LOOKUP_MAX])
 {
   size_t count = 0;
 
-  for (size_t i = 0; i < view->it.count && count < MARJORAM_LOOKUP_MAX; i++)
+  for (size_t i = 0; i < view->result.count && count < MARJORAM_LOOKUP_MAX;
+       i++)
     {
       const struct marjoram_listed_host *host
-          = view->it.hosts[(view->next + i) % view->it.count];
+          = view->result.hosts[(view->next + i) % view->result.count];
 
       if (marjoram_host_list_serves (host, now))
         addresses[count++] = host->beat.entry;
     }
-  if (view->it.count > 0)
-    view->next = (view->next + count) % view->it.count;
+  if (view->result.count > 0)
+    view->next = (view->next + count) % view->result.count;
   return count;
 }
 
 static size_t
-name_allowed (marjoram_host_list *list, int64_t now,
-              marjoram_region_allowed allowed, void *context,
-              const char *addresses[MARJORAM_LOOKUP_MAX])
+collect_allowed (marjoram_host_list *list, int64_t now,
+                 marjoram_region_allowed allowed, void *context,
+                 const char *addresses[MARJORAM_LOOKUP_MAX])
 {
   const struct marjoram_listed_host *host;
   size_t count = 0;
@@ -600,17 +603,17 @@
 
   *reach = MARJORAM_REACH_ZONE;
   if (zone)
-    count = name_hosts (find_view (list, &list->zones, VIEW_ZONE, zone, now),
-                        now, addresses);
+    count = collect_hosts (
+        find_view (list, &list->zones, VIEW_ZONE, zone, now), now, addresses);
   if (count > 0)
     return count;
   *reach = MARJORAM_REACH_REGION;
   if (region)
-    count = name_hosts (region_view (list, now, region), now, addresses);
+    count = collect_hosts (region_view (list, now, region), now, addresses);
   if (count > 0)
     return count;
   *reach = MARJORAM_REACH_ALLOWED;
-  return name_allowed (list, now, allowed, context, addresses);
+  return collect_allowed (list, now, allowed, context, addresses);
 }
 
 const struct marjoram_host_offer *
@@ -635,7 +638,7 @@
       struct marjoram_listed_host *next = TAILQ_NEXT (host, link);
 
       if (now - host->heard_at > FORGET_MS)
-        forget (list, host);
+        remove_host (list, host);
       host = next;
     }
 }
--- a/src/load_collector.c
+++ b/src/load_collector.c
@@ -24,23 +24,22 @@
 };
 
 /* Total load of one upstream.  */
-struct sum
+struct total
 {
   char *upstream;
   struct load load;
-  size_t tellers; /* hosts with load there */
+  size_t reporter_count; /* hosts with load there */
   bool changed;
   bool lost;
-  uint64_t
-      report; /* number of the last report that includes it, at index ITEM */
-  size_t item;
+  uint64_t report_number; /* last report with it, at ITEM_INDEX */
+  size_t item_index;
   UT_hash_handle hh;
 };
 
 /* Load of one host at one upstream.  */
 struct share
 {
-  struct sum *sum;
+  struct total *total;
   struct load load;
   UT_hash_handle hh;
 };
@@ -57,19 +56,19 @@
 struct placed
 {
   STAILQ_ENTRY (placed) link;
-  struct sum *sum;
+  struct total *total;
   uint64_t part;
   uint64_t tokens;
 };
 
 struct marjoram_load_collector
 {
-  struct sum *sums;
+  struct total *totals;
   struct reporter *reporters;
   TAILQ_HEAD (, reporter) by_age; /* oldest report first */
   STAILQ_HEAD (, placed) placed;  /* placed since the last report */
   size_t placed_count;
-  uint64_t reports;
+  uint64_t report_count;
   int64_t whole_at;
 };
 
@@ -86,52 +85,52 @@
 /* ---- Reports from hosts.  ---- */
 
 static void
-add_load (struct load *sum, const struct load *load)
+add_load (struct load *total, const struct load *load)
 {
-  sum->running += load->running;
-  sum->unread += load->unread;
-  sum->urgent += load->urgent;
-  sum->held += load->held;
-  sum->answer += load->answer;
+  total->running += load->running;
+  total->unread += load->unread;
+  total->urgent += load->urgent;
+  total->held += load->held;
+  total->answer += load->answer;
 }
 
 static void
-take_off_load (struct load *sum, const struct load *load)
+subtract_load (struct load *total, const struct load *load)
 {
-  sum->running -= load->running;
-  sum->unread -= load->unread;
-  sum->urgent -= load->urgent;
-  sum->held -= load->held;
-  sum->answer -= load->answer;
+  total->running -= load->running;
+  total->unread -= load->unread;
+  total->urgent -= load->urgent;
+  total->held -= load->held;
+  total->answer -= load->answer;
 }
 
 static void
-forget_share (struct reporter *reporter, struct share *share)
+remove_share (struct reporter *reporter, struct share *share)
 {
-  take_off_load (&share->sum->load, &share->load);
-  share->sum->tellers--;
-  share->sum->changed = true;
+  subtract_load (&share->total->load, &share->load);
+  share->total->reporter_count--;
+  share->total->changed = true;
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, reporter->shares, share);
   free (share);
 }
 
 static void
-forget_shares (struct reporter *reporter)
+remove_shares (struct reporter *reporter)
 {
   struct share *share;
   struct share *next;
 
   HASH_ITER (hh, reporter->shares, share, next)
   {
-    forget_share (reporter, share);
+    remove_share (reporter, share);
   }
 }
 
 static void
-forget_reporter (marjoram_load_collector *collector, struct reporter *reporter)
+remove_reporter (marjoram_load_collector *collector, struct reporter *reporter)
 {
-  forget_shares (reporter);
+  remove_shares (reporter);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, collector->reporters, reporter);
   TAILQ_REMOVE (&collector->by_age, reporter, link);
@@ -140,18 +139,18 @@
 }
 
 static void
-forget_silent (marjoram_load_collector *collector, int64_t now)
+expire_reporters (marjoram_load_collector *collector, int64_t now)
 {
   struct reporter *oldest;
 
   while ((oldest = TAILQ_FIRST (&collector->by_age))
          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
          && now - oldest->heard_at > REPORTER_VALID_MS)
-    forget_reporter (collector, oldest);
+    remove_reporter (collector, oldest);
 }
 
 static void
-forget_placed (marjoram_load_collector *collector)
+clear_placed (marjoram_load_collector *collector)
 {
   struct placed *placed;
 
@@ -164,43 +163,46 @@
 }
 
 static void
-forget_sum (marjoram_load_collector *collector, struct sum *sum)
+remove_total (marjoram_load_collector *collector, struct total *total)
 {
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, collector->sums, sum);
-  free (sum->upstream);
-  free (sum);
+  HASH_DELETE (hh, collector->totals, total);
+  free (total->upstream);
+  free (total);
 }
 
 void
 marjoram_load_collector_destroy (marjoram_load_collector *collector)
 {
-  struct sum *sum;
-  struct sum *next;
+  struct total *total;
+  struct total *next;
 
   if (!collector)
     return;
-  forget_placed (collector);
+  clear_placed (collector);
   while (!TAILQ_EMPTY (&collector->by_age))
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget_reporter (collector, TAILQ_FIRST (&collector->by_age));
-  HASH_ITER (hh, collector->sums, sum, next) { forget_sum (collector, sum); }
+    remove_reporter (collector, TAILQ_FIRST (&collector->by_age));
+  HASH_ITER (hh, collector->totals, total, next)
+  {
+    remove_total (collector, total);
+  }
   free (collector);
 }
 
-static struct sum *
-find_sum (marjoram_load_collector *collector, const char *upstream)
+static struct total *
+find_total (marjoram_load_collector *collector, const char *upstream)
 {
-  struct sum *sum;
-
-  HASH_FIND_STR (collector->sums, upstream, sum);
-  if (sum)
-    return sum;
-  sum = marjoram_alloc (sizeof *sum);
-  sum->upstream = marjoram_strdup (upstream);
-  HASH_ADD_KEYPTR (hh, collector->sums, sum->upstream, strlen (sum->upstream),
-                   sum);
-  return sum;
+  struct total *total;
+
+  HASH_FIND_STR (collector->totals, upstream, total);
+  if (total)
+    return total;
+  total = marjoram_alloc (sizeof *total);
+  total->upstream = marjoram_strdup (upstream);
+  HASH_ADD_KEYPTR (hh, collector->totals, total->upstream,
+                   strlen (total->upstream), total);
+  return total;
 }
 
 static struct reporter *
@@ -224,45 +226,46 @@
 }
 
 static void
-add_share (struct reporter *reporter, struct sum *sum, const struct load *load)
+add_share (struct reporter *reporter, struct total *total,
+           const struct load *load)
 {
   struct share *share = marjoram_alloc (sizeof *share);
 
-  share->sum = sum;
+  share->total = total;
   share->load = *load;
-  add_load (&sum->load, load);
-  sum->tellers++;
-  HASH_ADD_PTR (reporter->shares, sum, share);
+  add_load (&total->load, load);
+  total->reporter_count++;
+  HASH_ADD_PTR (reporter->shares, total, share);
 }
 
 static void
-hear_item (struct reporter *reporter, struct sum *sum,
-           const struct marjoram_load_item *item)
+apply_item (struct reporter *reporter, struct total *total,
+            const struct marjoram_load_item *item)
 {
   const struct load load
       = { item->running, item->unread_tokens, item->urgent_tokens,
           item->held_tokens, item->answer_tokens };
   struct share *share;
 
-  HASH_FIND_PTR (reporter->shares, &sum, share);
+  HASH_FIND_PTR (reporter->shares, &total, share);
   if (share)
-    forget_share (reporter, share);
+    remove_share (reporter, share);
   if (item->running > 0)
-    add_share (reporter, sum, &load);
-  sum->changed = true;
-  sum->lost = sum->lost || item->lost;
+    add_share (reporter, total, &load);
+  total->changed = true;
+  total->lost = total->lost || item->lost;
 }
 
 static void
-hear_placed (marjoram_load_collector *collector, struct sum *sum,
-             const struct marjoram_placed_part *part)
+record_placed (marjoram_load_collector *collector, struct total *total,
+               const struct marjoram_placed_part *part)
 {
   struct placed *placed;
 
   if (collector->placed_count == MARJORAM_PLACED_MAX)
     return;
   placed = marjoram_alloc (sizeof *placed);
-  placed->sum = sum;
+  placed->total = total;
   placed->part = part->part;
   placed->tokens = part->tokens;
   STAILQ_INSERT_TAIL (&collector->placed, placed, link);
@@ -280,56 +283,58 @@
 
   reporter->heard_at = now;
   if (report->whole)
-    forget_shares (reporter);
+    remove_shares (reporter);
   for (size_t i = 0; i < report->items.count; i++)
     if (items[i].upstream)
-      hear_item (reporter, find_sum (collector, items[i].upstream), &items[i]);
+      apply_item (reporter, find_total (collector, items[i].upstream),
+                  &items[i]);
   for (size_t i = 0; i < report->placed.count; i++)
     if (placed[i].upstream < report->items.count
         && items[placed[i].upstream].upstream)
-      hear_placed (collector,
-                   find_sum (collector, items[placed[i].upstream].upstream),
-                   &placed[i]);
+      record_placed (
+          collector,
+          find_total (collector, items[placed[i].upstream].upstream),
+          &placed[i]);
 }
 
 /* ---- Reports to hosts.  ---- */
 
 static size_t
 add_item (marjoram_load_collector *collector,
-          struct marjoram_load_report *report, struct sum *sum)
+          struct marjoram_load_report *report, struct total *total)
 {
   struct marjoram_load_item *items = report->items.items;
 
-  if (sum->report == collector->reports)
-    return sum->item;
+  if (total->report_number == collector->report_count)
+    return total->item_index;
   items[report->items.count] = (struct marjoram_load_item){
-    .upstream = marjoram_strdup (sum->upstream),
-    .running = sum->load.running,
-    .unread_tokens = sum->load.unread,
-    .urgent_tokens = sum->load.urgent,
-    .held_tokens = sum->load.held,
-    .answer_tokens = sum->load.answer,
-    .lost = sum->lost,
+    .upstream = marjoram_strdup (total->upstream),
+    .running = total->load.running,
+    .unread_tokens = total->load.unread,
+    .urgent_tokens = total->load.urgent,
+    .held_tokens = total->load.held,
+    .answer_tokens = total->load.answer,
+    .lost = total->lost,
   };
-  sum->lost = false;
-  sum->changed = false;
-  sum->report = collector->reports;
-  sum->item = report->items.count++;
-  return sum->item;
+  total->lost = false;
+  total->changed = false;
+  total->report_number = collector->report_count;
+  total->item_index = report->items.count++;
+  return total->item_index;
 }
 
 static void
-add_sums (marjoram_load_collector *collector,
-          struct marjoram_load_report *report)
+add_totals (marjoram_load_collector *collector,
+            struct marjoram_load_report *report)
 {
-  struct sum *sum;
-  struct sum *next;
+  struct total *total;
+  struct total *next;
 
-  HASH_ITER (hh, collector->sums, sum, next)
+  HASH_ITER (hh, collector->totals, total, next)
   {
-    if ((sum->changed || (report->whole && sum->tellers > 0))
+    if ((total->changed || (report->whole && total->reporter_count > 0))
         && report->items.count < MARJORAM_LOADS_MAX)
-      add_item (collector, report, sum);
+      add_item (collector, report, total);
   }
 }
 
@@ -343,26 +348,26 @@
   STAILQ_FOREACH (placed, &collector->placed, link)
   {
     if (report->items.count == MARJORAM_LOADS_MAX
-        && placed->sum->report != collector->reports)
+        && placed->total->report_number != collector->report_count)
       continue;
     parts[report->placed.count++] = (struct marjoram_placed_part){
-      placed->part, placed->tokens, add_item (collector, report, placed->sum)
+      placed->part, placed->tokens, add_item (collector, report, placed->total)
     };
   }
-  forget_placed (collector);
+  clear_placed (collector);
 }
 
 /* Drops idle upstreams whose last change has been reported.  */
 static void
-forget_idle (marjoram_load_collector *collector)
+remove_idle (marjoram_load_collector *collector)
 {
-  struct sum *sum;
-  struct sum *next;
+  struct total *total;
+  struct total *next;
 
-  HASH_ITER (hh, collector->sums, sum, next)
+  HASH_ITER (hh, collector->totals, total, next)
   {
-    if (sum->tellers == 0 && !sum->changed)
-      forget_sum (collector, sum);
+    if (total->reporter_count == 0 && !total->changed)
+      remove_total (collector, total);
   }
 }
 
@@ -371,20 +376,20 @@
                               struct marjoram_load_report *report)
 {
   memset (report, 0, sizeof *report);
-  forget_silent (collector, now);
-  if (HASH_COUNT (collector->sums) == 0
+  expire_reporters (collector, now);
+  if (HASH_COUNT (collector->totals) == 0
       && HASH_COUNT (collector->reporters) == 0)
     return false;
-  collector->reports++;
+  collector->report_count++;
   report->whole = now >= collector->whole_at + WHOLE_MS;
   if (report->whole)
     collector->whole_at = now;
-  report->items.items = marjoram_alloc (HASH_COUNT (collector->sums)
+  report->items.items = marjoram_alloc (HASH_COUNT (collector->totals)
                                         * sizeof (struct marjoram_load_item));
   report->placed.items = marjoram_alloc (
       collector->placed_count * sizeof (struct marjoram_placed_part));
-  add_sums (collector, report);
+  add_totals (collector, report);
   add_placed (collector, report);
-  forget_idle (collector);
+  remove_idle (collector);
   return report->whole || report->items.count > 0;
 }
--- a/src/own_lag.c
+++ b/src/own_lag.c
@@ -8,7 +8,7 @@
   /* A host that receives nothing for this long is partitioned rather than
      delayed.  Shorter than any connection timeout, so that partitions are
      detected without extra delay.  */
-  HEARS_MS = 1000,
+  PARTITION_MS = 1000,
   /* Time for which the lag is held while connections recover one by one from
      congestion.  No longer than the shortest connection timeout.  */
   HOLD_MS = 800,
@@ -46,7 +46,7 @@
 marjoram_own_lag_begin (struct marjoram_own_lag *own)
 {
   own->links = 0;
-  own->least_ms = INT64_MAX;
+  own->min_ms = INT64_MAX;
   own->heard_at = INT64_MIN;
 }
 
@@ -65,27 +65,28 @@
   if (lag->timed != 0 && now - lag->timed_at > ms)
     ms = now - lag->timed_at;
   own->links++;
-  if (ms < own->least_ms)
-    own->least_ms = ms;
+  if (ms < own->min_ms)
+    own->min_ms = ms;
 }
 
 /* Time since the last measurement.  Detects a stalled event loop when no
    heartbeat was being timed.  */
 static int64_t
-gap (const struct marjoram_own_lag *own, int64_t now)
+since_last_ms (const struct marjoram_own_lag *own, int64_t now)
 {
-  return own->looked_at != 0 ? now - own->looked_at : 0;
+  return own->measured_at != 0 ? now - own->measured_at : 0;
 }
 
 void
 marjoram_own_lag_end (struct marjoram_own_lag *own, int64_t now)
 {
-  bool is_known = own->links >= LINKS_MIN && now <= own->heard_at + HEARS_MS;
-  int64_t ms = is_known ? own->least_ms : 0;
+  bool is_known
+      = own->links >= LINKS_MIN && now <= own->heard_at + PARTITION_MS;
+  int64_t ms = is_known ? own->min_ms : 0;
 
-  if (gap (own, now) > ms)
-    ms = gap (own, now);
-  own->looked_at = now;
+  if (since_last_ms (own, now) > ms)
+    ms = since_last_ms (own, now);
+  own->measured_at = now;
   if (ms > LAG_MAX_MS)
     ms = LAG_MAX_MS;
   if (is_known && ms < own->ms && now <= own->ms_at + HOLD_MS)
--- a/src/own_lag.h
+++ b/src/own_lag.h
@@ -29,11 +29,11 @@
 {
   /* Of the measurement in progress.  */
   int links;
-  int64_t least_ms;
+  int64_t min_ms;
   int64_t heard_at; /* last data received on any connection */
 
-  int64_t looked_at; /* end of the last measurement; 0 if none */
-  int64_t ms;        /* current lag; initially 0 */
+  int64_t measured_at; /* end of the last measurement; 0 if none */
+  int64_t ms;          /* current lag; initially 0 */
   int64_t ms_at;
 };
 
--- a/src/placement.c
+++ b/src/placement.c
@@ -5,19 +5,19 @@
 #include <string.h>
 
 /* Initial estimate of an engine's prefill speed, in tokens per ms.  */
-#define FIRST_SPEED 40.0
+#define INITIAL_TOKENS_PER_MS 40.0
 /* Weight of a new sample in the moving means.  */
-#define LEARN 0.1
+#define SMOOTHING 0.1
 /* The same for first-event delays, which must adapt within a few requests.  */
-#define LEARN_LATE 0.3
+#define DELAY_SMOOTHING 0.3
 /* Share of lower-priority unread tokens that delay an urgent request: it is
    scheduled ahead of queued prompts but not of those in prefill.  */
-#define LOWER_SHARE 0.3
+#define LOWER_PRIORITY_SHARE 0.3
 
 enum
 {
   /* Initial estimate of a request's duration.  */
-  FIRST_TIME_MS = 20,
+  INITIAL_REQUEST_MS = 20,
   /* Backoff after an upstream reports that it is at capacity.  */
   FULL_PAUSE_MS = 50,
   /* Backoff after a connection failure, doubled on each failure up to
@@ -26,7 +26,7 @@
   UNREACHED_DOUBLINGS = 4,
   /* Consecutive broken responses after which the upstream is suspected.  */
   BROKEN_IN_ROW = 3,
-  DOUBT_MS = 500,
+  SUSPECT_MS = 500,
   /* Shortest prompt, in tokens, used to measure prefill speed.  */
   SPEED_TOKENS_MIN = 1500
 };
@@ -46,37 +46,39 @@
 
 /* ---- Records.  ---- */
 
-struct marjoram_spot *
-marjoram_spot_find (marjoram_placement *placement, const char *id)
-{
-  struct marjoram_spot *spot;
-
-  HASH_FIND_STR (placement->spots, id, spot);
-  if (spot)
-    return spot;
-  spot = marjoram_alloc (sizeof *spot);
-  spot->id = marjoram_strdup (id);
-  spot->memory = marjoram_engine_memory_create ();
-  spot->born = MARJORAM_BORN_UNKNOWN;
-  spot->group = marjoram_load_group (id);
-  TAILQ_INIT (&spot->unanswered);
-  HASH_ADD_KEYPTR (hh, placement->spots, spot->id, strlen (spot->id), spot);
-  return spot;
+struct marjoram_endpoint *
+marjoram_endpoint_find (marjoram_placement *placement, const char *id)
+{
+  struct marjoram_endpoint *endpoint;
+
+  HASH_FIND_STR (placement->endpoints, id, endpoint);
+  if (endpoint)
+    return endpoint;
+  endpoint = marjoram_alloc (sizeof *endpoint);
+  endpoint->id = marjoram_strdup (id);
+  endpoint->memory = marjoram_engine_memory_create ();
+  endpoint->born = MARJORAM_START_UNKNOWN;
+  endpoint->group = marjoram_load_group (id);
+  TAILQ_INIT (&endpoint->unanswered);
+  HASH_ADD_KEYPTR (hh, placement->endpoints, endpoint->id,
+                   strlen (endpoint->id), endpoint);
+  return endpoint;
 }
 
 static void
-forget_spot (marjoram_placement *placement, struct marjoram_spot *spot)
+destroy_endpoint (marjoram_placement *placement,
+                  struct marjoram_endpoint *endpoint)
 {
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, placement->spots, spot);
-  marjoram_engine_memory_destroy (spot->memory);
-  free (spot->id);
-  free (spot);
+  HASH_DELETE (hh, placement->endpoints, endpoint);
+  marjoram_engine_memory_destroy (endpoint->memory);
+  free (endpoint->id);
+  free (endpoint);
 }
 
 static void
-forget_attempt (marjoram_placement *placement,
-                struct marjoram_placed_attempt *attempt)
+destroy_attempt (marjoram_placement *placement,
+                 struct marjoram_placed_attempt *attempt)
 {
   HASH_DELETE (hh, placement->attempts, attempt);
   free (attempt->service);
@@ -84,7 +86,7 @@
 }
 
 void
-marjoram_placement_forget_placed (marjoram_placement *placement)
+marjoram_placement_clear_placed (marjoram_placement *placement)
 {
   struct marjoram_placed_item *placed;
 
@@ -100,112 +102,116 @@
 {
   struct marjoram_placed_attempt *attempt;
   struct marjoram_placed_attempt *next_attempt;
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next_spot;
-  struct marjoram_service_speed *speed;
-  struct marjoram_service_speed *next_speed;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next_endpoint;
+  struct marjoram_service_stats *stats;
+  struct marjoram_service_stats *next_stats;
 
   if (!placement)
     return;
   HASH_ITER (hh, placement->attempts, attempt, next_attempt)
   {
-    forget_attempt (placement, attempt);
+    destroy_attempt (placement, attempt);
   }
-  marjoram_placement_forget_placed (placement);
+  marjoram_placement_clear_placed (placement);
   while (!TAILQ_EMPTY (&placement->reporters_by_age))
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     marjoram_reporter_destroy (placement,
                                TAILQ_FIRST (&placement->reporters_by_age));
-  HASH_ITER (hh, placement->spots, spot, next_spot)
+  HASH_ITER (hh, placement->endpoints, endpoint, next_endpoint)
   {
-    forget_spot (placement, spot);
+    destroy_endpoint (placement, endpoint);
   }
-  HASH_ITER (hh, placement->speeds, speed, next_speed)
+  HASH_ITER (hh, placement->service_stats, stats, next_stats)
   {
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    HASH_DELETE (hh, placement->speeds, speed);
-    free (speed->service);
-    free (speed);
+    HASH_DELETE (hh, placement->service_stats, stats);
+    free (stats->service);
+    free (stats);
   }
   free (placement->host);
   free (placement->region);
   free (placement);
 }
 
-struct marjoram_service_speed *
-marjoram_placement_speed (marjoram_placement *placement, const char *service)
-{
-  struct marjoram_service_speed *speed;
-
-  HASH_FIND_STR (placement->speeds, service, speed);
-  if (speed)
-    return speed;
-  speed = marjoram_alloc (sizeof *speed);
-  speed->service = marjoram_strdup (service);
-  speed->tokens_per_ms = FIRST_SPEED;
-  speed->request_ms = FIRST_TIME_MS;
-  HASH_ADD_KEYPTR (hh, placement->speeds, speed->service,
-                   strlen (speed->service), speed);
-  return speed;
+struct marjoram_service_stats *
+marjoram_placement_service_stats (marjoram_placement *placement,
+                                  const char *service)
+{
+  struct marjoram_service_stats *stats;
+
+  HASH_FIND_STR (placement->service_stats, service, stats);
+  if (stats)
+    return stats;
+  stats = marjoram_alloc (sizeof *stats);
+  stats->service = marjoram_strdup (service);
+  stats->tokens_per_ms = INITIAL_TOKENS_PER_MS;
+  stats->request_ms = INITIAL_REQUEST_MS;
+  HASH_ADD_KEYPTR (hh, placement->service_stats, stats->service,
+                   strlen (stats->service), stats);
+  return stats;
 }
 
 /* Discards the state of an earlier instance of the same upstream.  */
 static void
-check_life (struct marjoram_spot *spot,
-            const struct marjoram_registered *upstream)
+check_restart (struct marjoram_endpoint *endpoint,
+               const struct marjoram_registered *upstream)
 {
-  if (spot->born == upstream->news.born)
+  if (endpoint->born == upstream->news.born)
     return;
   /* Other hosts' reports may have filled the cache model before the upstream's
      first heartbeat.  */
-  if (spot->born != MARJORAM_BORN_UNKNOWN)
-    marjoram_engine_memory_clear (spot->memory);
-  spot->born = upstream->news.born;
-  spot->paused_until = 0;
-  spot->unreached = 0;
-  spot->broken = 0;
+  if (endpoint->born != MARJORAM_START_UNKNOWN)
+    marjoram_engine_memory_clear (endpoint->memory);
+  endpoint->born = upstream->news.born;
+  endpoint->paused_until = 0;
+  endpoint->connect_failures = 0;
+  endpoint->broken_responses = 0;
 }
 
-struct marjoram_spot *
-marjoram_spot_of (marjoram_placement *placement,
-                  const struct marjoram_registered *upstream)
+struct marjoram_endpoint *
+marjoram_endpoint_of (marjoram_placement *placement,
+                      const struct marjoram_registered *upstream)
 {
-  struct marjoram_spot *spot
-      = marjoram_spot_find (placement, upstream->news.id);
+  struct marjoram_endpoint *endpoint
+      = marjoram_endpoint_find (placement, upstream->news.id);
 
-  check_life (spot, upstream);
-  return spot;
+  check_restart (endpoint, upstream);
+  return endpoint;
 }
 
-struct marjoram_spot_load_sum
-marjoram_spot_load (const struct marjoram_spot *spot, int64_t now)
+struct marjoram_endpoint_load
+marjoram_endpoint_total_load (const struct marjoram_endpoint *endpoint,
+                              int64_t now)
 {
-  struct marjoram_spot_load_sum sum = spot->own;
-  const struct marjoram_spot_load_sum collected
-      = marjoram_spot_collected (spot, now);
+  struct marjoram_endpoint_load sum = endpoint->own;
+  const struct marjoram_endpoint_load collected
+      = marjoram_endpoint_collected_load (endpoint, now);
 
-  marjoram_load_add (&sum, &spot->told, 1);
+  marjoram_load_add (&sum, &endpoint->others, 1);
   marjoram_load_add (&sum, &collected, 1);
   return sum;
 }
 
 int64_t
-marjoram_spot_kept (const struct marjoram_spot *spot,
-                    const struct marjoram_call_facts *facts)
+marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
+                                 const struct marjoram_call_facts *facts)
 {
-  int64_t kept = marjoram_engine_memory_kept (spot->memory, facts->parts,
-                                              facts->part_count);
+  int64_t cached = marjoram_engine_memory_kept (endpoint->memory, facts->parts,
+                                                facts->part_count);
 
-  return kept < facts->prompt_tokens ? kept : facts->prompt_tokens;
+  return cached < facts->prompt_tokens ? cached : facts->prompt_tokens;
 }
 
 int64_t
-marjoram_load_ahead (const struct marjoram_spot_load_sum *load, int priority)
+marjoram_load_queued_tokens (const struct marjoram_endpoint_load *load,
+                             int priority)
 {
   if (priority > 0)
     return load->unread;
   return load->urgent
-         + (int64_t)(LOWER_SHARE * (double)(load->unread - load->urgent));
+         + (int64_t)(LOWER_PRIORITY_SHARE
+                     * (double)(load->unread - load->urgent));
 }
 
 double
@@ -218,13 +224,14 @@
 /* ---- Attempt lifecycle.  ---- */
 
 static void
-use_part (marjoram_placement *placement, struct marjoram_spot *spot,
-          const struct marjoram_prompt_part *part, int64_t capacity)
+record_part (marjoram_placement *placement, struct marjoram_endpoint *endpoint,
+             const struct marjoram_prompt_part *part, int64_t capacity)
 {
   struct marjoram_placed_item *placed = marjoram_alloc (sizeof *placed);
 
-  marjoram_engine_memory_use (spot->memory, part->id, part->tokens, capacity);
-  placed->spot = spot;
+  marjoram_engine_memory_use (endpoint->memory, part->id, part->tokens,
+                              capacity);
+  placed->endpoint = endpoint;
   placed->part = *part;
   STAILQ_INSERT_TAIL (&placement->placed, placed, link);
 }
@@ -232,15 +239,17 @@
 /* Earlier parts are needed for later ones to be usable, so they are marked as
    used last.  */
 static void
-use_parts (marjoram_placement *placement, struct marjoram_spot *spot,
-           const struct marjoram_place_query *query, int64_t now)
+record_parts (marjoram_placement *placement,
+              struct marjoram_endpoint *endpoint,
+              const struct marjoram_place_query *query, int64_t now)
 {
-  struct marjoram_spot_load_sum load = marjoram_spot_load (spot, now);
+  struct marjoram_endpoint_load load
+      = marjoram_endpoint_total_load (endpoint, now);
   int64_t capacity = query->service->engine.kv_capacity - load.held;
 
   for (size_t i = query->facts->part_count; i > 0; i--)
-    use_part (placement, spot, &query->facts->parts[i - 1],
-              capacity > 0 ? capacity : 0);
+    record_part (placement, endpoint, &query->facts->parts[i - 1],
+                 capacity > 0 ? capacity : 0);
 }
 
 void
@@ -248,35 +257,37 @@
                             uint64_t number, const char *upstream,
                             const struct marjoram_place_query *query)
 {
-  struct marjoram_spot *spot = marjoram_spot_find (placement, upstream);
+  struct marjoram_endpoint *endpoint
+      = marjoram_endpoint_find (placement, upstream);
   struct marjoram_placed_attempt *attempt = marjoram_alloc (sizeof *attempt);
-  struct marjoram_spot_load_sum load;
+  struct marjoram_endpoint_load load;
 
-  marjoram_placement_forget_reports (placement, now);
-  load = marjoram_spot_load (spot, now);
+  marjoram_placement_expire_reports (placement, now);
+  load = marjoram_endpoint_total_load (endpoint, now);
   attempt->number = number;
-  attempt->spot = spot;
+  attempt->endpoint = endpoint;
   attempt->service = marjoram_strdup (query->service->name);
   attempt->started_at = now;
   attempt->urgent = query->priority == 0;
   attempt->expected_ms = query->expected_ms;
-  TAILQ_INSERT_TAIL (&spot->unanswered, attempt, link);
+  TAILQ_INSERT_TAIL (&endpoint->unanswered, attempt, link);
   if (query->service->has_engine)
     {
-      attempt->unread = query->facts->prompt_tokens
-                        - marjoram_spot_kept (spot, query->facts)
-                        - query->copied_tokens;
-      attempt->ahead = marjoram_load_ahead (&load, query->priority);
+      attempt->unread
+          = query->facts->prompt_tokens
+            - marjoram_endpoint_cached_tokens (endpoint, query->facts)
+            - query->copied_tokens;
+      attempt->queued = marjoram_load_queued_tokens (&load, query->priority);
       attempt->answer = (int64_t)marjoram_answer_tokens (query->facts);
       attempt->held = attempt->unread + attempt->answer;
-      use_parts (placement, spot, query, now);
+      record_parts (placement, endpoint, query, now);
     }
-  spot->own.running++;
-  spot->own.unread += attempt->unread;
-  spot->own.urgent += attempt->urgent ? attempt->unread : 0;
-  spot->own.held += attempt->held;
-  spot->own.answer += attempt->answer;
-  spot->cold_sent_at = now;
+  endpoint->own.running++;
+  endpoint->own.unread += attempt->unread;
+  endpoint->own.urgent += attempt->urgent ? attempt->unread : 0;
+  endpoint->own.held += attempt->held;
+  endpoint->own.answer += attempt->answer;
+  endpoint->cold_sent_at = now;
   HASH_ADD (hh, placement->attempts, number, sizeof attempt->number, attempt);
 }
 
@@ -290,27 +301,28 @@
 }
 
 static void
-mark_read (struct marjoram_placed_attempt *attempt)
+clear_unread (struct marjoram_placed_attempt *attempt)
 {
-  attempt->spot->own.unread -= attempt->unread;
-  attempt->spot->own.urgent -= attempt->urgent ? attempt->unread : 0;
+  attempt->endpoint->own.unread -= attempt->unread;
+  attempt->endpoint->own.urgent -= attempt->urgent ? attempt->unread : 0;
   attempt->unread = 0;
 }
 
 static void
-learn (double *mean, double value)
+update_mean (double *mean, double value)
 {
-  *mean += LEARN * (value - *mean);
+  *mean += SMOOTHING * (value - *mean);
 }
 
 /* Tracks engines that are slower than the load model predicts.  */
 static void
-note_late (struct marjoram_placed_attempt *attempt, int64_t now)
+record_delay (struct marjoram_placed_attempt *attempt, int64_t now)
 {
   double late = (double)(now - attempt->started_at - attempt->expected_ms);
 
-  attempt->spot->late_ms
-      += LEARN_LATE * ((late > 0 ? late : 0) - attempt->spot->late_ms);
+  attempt->endpoint->delay_ms
+      += DELAY_SMOOTHING
+         * ((late > 0 ? late : 0) - attempt->endpoint->delay_ms);
 }
 
 void
@@ -318,20 +330,20 @@
                               uint64_t number)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
-  struct marjoram_service_speed *speed;
+  struct marjoram_service_stats *stats;
   int64_t tokens;
 
   if (!attempt || attempt->answering)
     return;
   attempt->answering = true;
-  TAILQ_REMOVE (&attempt->spot->unanswered, attempt, link);
-  note_late (attempt, now);
-  speed = marjoram_placement_speed (placement, attempt->service);
-  tokens = attempt->unread + attempt->ahead;
+  TAILQ_REMOVE (&attempt->endpoint->unanswered, attempt, link);
+  record_delay (attempt, now);
+  stats = marjoram_placement_service_stats (placement, attempt->service);
+  tokens = attempt->unread + attempt->queued;
   if (tokens >= SPEED_TOKENS_MIN && now > attempt->started_at)
-    learn (&speed->tokens_per_ms,
-           (double)tokens / (double)(now - attempt->started_at));
-  mark_read (attempt);
+    update_mean (&stats->tokens_per_ms,
+                 (double)tokens / (double)(now - attempt->started_at));
+  clear_unread (attempt);
 }
 
 void
@@ -341,7 +353,7 @@
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
 
   if (attempt)
-    attempt->spot->heard_at = now;
+    attempt->endpoint->heard_at = now;
 }
 
 int64_t
@@ -350,37 +362,38 @@
   const struct marjoram_placed_attempt *attempt
       = find_attempt (placement, number);
 
-  return attempt ? attempt->spot->heard_at : 0;
+  return attempt ? attempt->endpoint->heard_at : 0;
 }
 
 static void
-pause_spot (struct marjoram_spot *spot, int64_t until)
+pause_endpoint (struct marjoram_endpoint *endpoint, int64_t until)
 {
-  if (until > spot->paused_until)
-    spot->paused_until = until;
+  if (until > endpoint->paused_until)
+    endpoint->paused_until = until;
 }
 
 static void
-note_failure (struct marjoram_spot *spot, int64_t now,
-              enum marjoram_attempt_end how)
+record_failure (struct marjoram_endpoint *endpoint, int64_t now,
+                enum marjoram_attempt_end how)
 {
   switch (how)
     {
     case MARJORAM_ATTEMPT_REFUSED:
-      pause_spot (spot, now + FULL_PAUSE_MS);
+      pause_endpoint (endpoint, now + FULL_PAUSE_MS);
       break;
     case MARJORAM_ATTEMPT_WRONG:
-      spot->wrong_at = now;
+      endpoint->address_conflict_at = now;
       break;
     case MARJORAM_ATTEMPT_UNREACHED:
-      pause_spot (spot, now + (UNREACHED_PAUSE_MS << spot->unreached));
-      if (spot->unreached < UNREACHED_DOUBLINGS)
-        spot->unreached++;
+      pause_endpoint (
+          endpoint, now + (UNREACHED_PAUSE_MS << endpoint->connect_failures));
+      if (endpoint->connect_failures < UNREACHED_DOUBLINGS)
+        endpoint->connect_failures++;
       break;
     case MARJORAM_ATTEMPT_BROKEN:
     case MARJORAM_ATTEMPT_SILENT:
-      if (++spot->broken >= BROKEN_IN_ROW)
-        spot->doubted_until = now + DOUBT_MS;
+      if (++endpoint->broken_responses >= BROKEN_IN_ROW)
+        endpoint->suspected_until = now + SUSPECT_MS;
       break;
     default:
       break;
@@ -392,30 +405,32 @@
                           uint64_t number, enum marjoram_attempt_end how)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
-  struct marjoram_spot *spot;
+  struct marjoram_endpoint *endpoint;
 
   if (!attempt)
     return;
-  spot = attempt->spot;
+  endpoint = attempt->endpoint;
   if (!attempt->answering)
-    TAILQ_REMOVE (&spot->unanswered, attempt, link);
-  mark_read (attempt);
-  spot->own.running--;
-  spot->own.held -= attempt->held;
-  spot->own.answer -= attempt->answer;
+    TAILQ_REMOVE (&endpoint->unanswered, attempt, link);
+  clear_unread (attempt);
+  endpoint->own.running--;
+  endpoint->own.held -= attempt->held;
+  endpoint->own.answer -= attempt->answer;
   if (how == MARJORAM_ATTEMPT_SERVED)
     {
-      spot->unreached = 0;
-      spot->broken = 0;
-      learn (
-          &marjoram_placement_speed (placement, attempt->service)->request_ms,
+      endpoint->connect_failures = 0;
+      endpoint->broken_responses = 0;
+      update_mean (
+          &marjoram_placement_service_stats (placement, attempt->service)
+               ->request_ms,
           (double)(now - attempt->started_at));
     }
   else
-    note_failure (spot, now, how);
+    record_failure (endpoint, now, how);
   if (how != MARJORAM_ATTEMPT_CANCELLED && how != MARJORAM_ATTEMPT_REFUSED)
-    learn (&spot->failure_share, how == MARJORAM_ATTEMPT_SERVED ? 0 : 1);
-  forget_attempt (placement, attempt);
+    update_mean (&endpoint->failure_share,
+                 how == MARJORAM_ATTEMPT_SERVED ? 0 : 1);
+  destroy_attempt (placement, attempt);
 }
 
 void
@@ -429,11 +444,11 @@
   if (strcmp (upstream->news.address, address) == 0
       && upstream->news.state == MARJORAM_NEWS_READY)
     {
-      struct marjoram_spot *spot
-          = marjoram_spot_find (placement, upstream->news.id);
+      struct marjoram_endpoint *endpoint
+          = marjoram_endpoint_find (placement, upstream->news.id);
 
-      spot->lost_at = now;
-      spot->tell_lost = true;
+      endpoint->disconnected_at = now;
+      endpoint->report_disconnect = true;
     }
 }
 
@@ -441,7 +456,7 @@
 marjoram_placement_cold (marjoram_placement *placement, int64_t now,
                          const char *upstream, int64_t cold_ms)
 {
-  marjoram_spot_find (placement, upstream)->cold_until = now + cold_ms;
+  marjoram_endpoint_find (placement, upstream)->cold_until = now + cold_ms;
 }
 
 /* Marks the zone's upstreams as disconnected, so that they count as cold only
@@ -455,7 +470,8 @@
   TAILQ_FOREACH (upstream, marjoram_registry_all (placement->options.registry),
                  link)
   if (strcmp (upstream->news.zone, zone) == 0)
-    marjoram_spot_find (placement, upstream->news.id)->lost_at = now;
+    marjoram_endpoint_find (placement, upstream->news.id)->disconnected_at
+        = now;
 }
 
 void
@@ -463,19 +479,20 @@
                           const struct marjoram_prompt_part *parts,
                           size_t count)
 {
-  struct marjoram_spot *spot = marjoram_spot_find (placement, upstream);
+  struct marjoram_endpoint *endpoint
+      = marjoram_endpoint_find (placement, upstream);
 
   for (size_t i = 0; i < count; i++)
-    marjoram_engine_memory_use (spot->memory, parts[i].id, parts[i].tokens,
+    marjoram_engine_memory_use (endpoint->memory, parts[i].id, parts[i].tokens,
                                 INT64_MAX);
 }
 
 static bool
 is_in_use (const struct marjoram_placement *placement,
-           const struct marjoram_spot *spot)
+           const struct marjoram_endpoint *endpoint)
 {
-  return spot->own.running > 0 || spot->tellers > 0
-         || marjoram_registry_find (placement->options.registry, spot->id);
+  return endpoint->own.running > 0 || endpoint->reporter_count > 0
+         || marjoram_registry_find (placement->options.registry, endpoint->id);
 }
 
 /* Drops endpoints that are no longer registered, once nothing runs there and
@@ -483,15 +500,15 @@
 void
 marjoram_placement_tick (marjoram_placement *placement, int64_t now)
 {
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next;
 
-  marjoram_placement_forget_reports (placement, now);
+  marjoram_placement_expire_reports (placement, now);
   if (!STAILQ_EMPTY (&placement->placed))
     return;
-  HASH_ITER (hh, placement->spots, spot, next)
+  HASH_ITER (hh, placement->endpoints, endpoint, next)
   {
-    if (!is_in_use (placement, spot))
-      forget_spot (placement, spot);
+    if (!is_in_use (placement, endpoint))
+      destroy_endpoint (placement, endpoint);
   }
 }
--- a/src/placement.h
+++ b/src/placement.h
@@ -86,7 +86,7 @@
   double engine_tokens_per_ms;
   /* Inputs of the decision, for logging.  */
   int candidates;     /* upstreams of the service in this region */
-  int usable;         /* those not paused, cold or gone */
+  int usable;         /* those that may be sent requests now */
   int64_t backlog_ms; /* queued prompts at the chosen upstream */
   enum marjoram_place_limit limit; /* for BUSY: the limit exceeded */
   int64_t news_age_ms;             /* age of the oldest heartbeat considered */
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -8,12 +8,12 @@
    cached parts.  */
 #define READ_WEIGHT 2.0
 /* Weight of a new sample in the mean backlog.  */
-#define LEARN_BACKLOG 0.1
+#define BACKLOG_SMOOTHING 0.1
 /* Cost multiplier per unit of mean failure share.  */
 #define FAILURE_WEIGHT 4.0
 /* Weight of the delay that chunked prefill causes to running responses,
    relative to the request's own wait.  */
-#define PROMPT_HARM 0.1
+#define INTERFERENCE_WEIGHT 0.1
 /* Response tokens for which the delay counts once.  */
 #define LONG_ANSWER 300.0
 
@@ -21,27 +21,27 @@
 {
   /* Range of the deterministic tie-breaker that sends a shared prompt part to
      the same upstream from all hosts.  */
-  SPREAD_MS = 20,
+  TIE_BREAKER_MS = 20,
   /* A heartbeat received at least this long after a connection broke was sent
      after it and shows whether the upstream is cold.  */
-  NEWS_DELAY_MS = 300,
+  HEARTBEAT_DELAY_MS = 300,
   /* Safety margin added to the cold period that a heartbeat reports.  */
   COLD_MARGIN_MS = 100,
   /* Cost penalty of a cold upstream.  */
   COLD_COST_MS = 100,
   /* Cost penalty of a suspected upstream.  */
-  DOUBT_COST_MS = 1000,
+  SUSPECT_COST_MS = 1000,
   /* Maximum prefill backlog ahead of a request; longer queues stall running
      responses.  */
   BACKLOG_MAX_MS = 100,
   /* Extra cost accepted for an upstream that meets the deadline.  */
-  SECOND_BEST_MS = 100,
+  DEADLINE_COST_MS = 100,
   /* Hosts per region above which each request considers only a sample of the
      upstreams, to avoid herding on the least loaded one.  */
   SAMPLE_HOSTS = 8,
   /* Minimum mean number of upstreams in a sample.  */
   SAMPLE_MIN = 4,
-  RETRY_SOON_MS = 250,
+  RETRY_MIN_MS = 250,
   MSEC_PER_SEC = 1000
 };
 
@@ -50,32 +50,35 @@
 /* Broken connections may mean that the upstream restarted cold under the same
    id, so it counts as cold until a later heartbeat arrives.  */
 static bool
-is_cold (const struct marjoram_spot *spot,
+is_cold (const struct marjoram_endpoint *endpoint,
          const struct marjoram_registered *upstream,
          const struct marjoram_service_rule *service, int64_t now)
 {
   if (service->cold_per_s <= 0)
     return false;
   if ((upstream->cold_until > 0 && now < upstream->cold_until + COLD_MARGIN_MS)
-      || now < spot->cold_until)
+      || now < endpoint->cold_until)
     return true;
-  return spot->lost_at != 0
-         && upstream->heard_at <= spot->lost_at + NEWS_DELAY_MS;
+  return endpoint->disconnected_at != 0
+         && upstream->heard_at
+                <= endpoint->disconnected_at + HEARTBEAT_DELAY_MS;
 }
 
 /* A cold upstream accepts a limited total request rate, so only the host that
    owns it by rendezvous hashing sends to it.  While two hosts disagree on the
    owner, the rate stays at most twice as high, which is still allowed.  */
 static bool
-may_feed (marjoram_placement *placement, const struct marjoram_spot *spot,
-          const struct marjoram_service_rule *service, int64_t now)
+may_send_to_cold (marjoram_placement *placement,
+                  const struct marjoram_endpoint *endpoint,
+                  const struct marjoram_service_rule *service, int64_t now)
 {
-  const char *owner = marjoram_host_list_owner (placement->options.hosts, now,
-                                                placement->region, spot->id);
+  const char *owner = marjoram_host_list_owner (
+      placement->options.hosts, now, placement->region, endpoint->id);
   int64_t pause = (int64_t)(MSEC_PER_SEC / service->cold_per_s) + 1;
 
   return owner && strcmp (owner, placement->host) == 0
-         && (spot->cold_sent_at == 0 || now - spot->cold_sent_at >= pause);
+         && (endpoint->cold_sent_at == 0
+             || now - endpoint->cold_sent_at >= pause);
 }
 
 static bool
@@ -109,8 +112,8 @@
 /* Tie-breaker that is the same on all hosts.  Hashes the last part that
    requests share.  */
 static int64_t
-spread (const struct marjoram_spot *spot,
-        const struct marjoram_call_facts *facts)
+tie_breaker_ms (const struct marjoram_endpoint *endpoint,
+                const struct marjoram_call_facts *facts)
 {
   uint64_t key;
   size_t index = facts->part_count > 1 ? facts->part_count - 2 : 0;
@@ -119,8 +122,9 @@
     key = facts->parts[index].id;
   else
     key = XXH3_64bits (facts->id, strlen (facts->id));
-  return (int64_t)(XXH3_64bits_withSeed (spot->id, strlen (spot->id), key)
-                   % SPREAD_MS);
+  return (
+      int64_t)(XXH3_64bits_withSeed (endpoint->id, strlen (endpoint->id), key)
+               % TIE_BREAKER_MS);
 }
 
 struct estimate
@@ -135,7 +139,7 @@
 /* Once all slots are taken, a request is admitted for each one that
    completes.  */
 static double
-queue_ms (const struct marjoram_spot_load_sum *load, int64_t slots,
+queue_ms (const struct marjoram_endpoint_load *load, int64_t slots,
           double request_ms)
 {
   if (slots <= 0 || load->running < slots)
@@ -146,102 +150,109 @@
 /* Cost of a prefill of UNREAD_MS to the responses running on an engine with
    LOAD.  */
 static double
-harm_ms (const struct marjoram_spot_load_sum *load, double unread_ms)
+interference_ms (const struct marjoram_endpoint_load *load, double unread_ms)
 {
-  return PROMPT_HARM * unread_ms * (double)load->answer / LONG_ANSWER;
+  return INTERFERENCE_WEIGHT * unread_ms * (double)load->answer / LONG_ANSWER;
 }
 
 /* Current delay beyond the estimate: the recent mean, or the overdue time of
    the oldest unanswered attempt if that is longer.  */
 static double
-late_ms (const struct marjoram_spot *spot, int64_t now)
+delay_ms (const struct marjoram_endpoint *endpoint, int64_t now)
 {
   const struct marjoram_placed_attempt *oldest
-      = TAILQ_FIRST (&spot->unanswered);
+      = TAILQ_FIRST (&endpoint->unanswered);
   double overdue
       = oldest ? (double)(now - oldest->started_at - oldest->expected_ms) : 0;
 
-  return overdue > spot->late_ms ? overdue : spot->late_ms;
+  return overdue > endpoint->delay_ms ? overdue : endpoint->delay_ms;
 }
 
 static struct estimate
-estimate_engine (marjoram_placement *placement, struct marjoram_spot *spot,
+estimate_engine (marjoram_placement *placement,
+                 struct marjoram_endpoint *endpoint,
                  const struct marjoram_place_query *query,
                  const struct marjoram_copy *copy, int64_t now)
 {
-  struct marjoram_service_speed *speed
-      = marjoram_placement_speed (placement, query->service->name);
-  struct marjoram_spot_load_sum load = marjoram_spot_load (spot, now);
-  int64_t unread = query->facts->prompt_tokens - copy->kept - copy->tokens;
-  double unread_ms = (double)unread / speed->tokens_per_ms;
-  double ahead_ms = (double)marjoram_load_ahead (&load, query->priority)
-                    / speed->tokens_per_ms;
+  struct marjoram_service_stats *stats
+      = marjoram_placement_service_stats (placement, query->service->name);
+  struct marjoram_endpoint_load load
+      = marjoram_endpoint_total_load (endpoint, now);
+  int64_t unread = query->facts->prompt_tokens - copy->cached - copy->tokens;
+  double unread_ms = (double)unread / stats->tokens_per_ms;
+  double ahead_ms
+      = (double)marjoram_load_queued_tokens (&load, query->priority)
+        / stats->tokens_per_ms;
   struct estimate estimate;
 
-  spot->capacity = query->service->engine.kv_capacity;
+  endpoint->capacity = query->service->engine.kv_capacity;
   estimate.backlog_ms = ahead_ms;
   estimate.unread = unread;
   estimate.idle = load.running == 0;
   estimate.wait_ms
-      = ahead_ms + unread_ms + copy->ms + late_ms (spot, now)
-        + queue_ms (&load, query->service->engine.slots, speed->request_ms);
+      = ahead_ms + unread_ms + copy->ms + delay_ms (endpoint, now)
+        + queue_ms (&load, query->service->engine.slots, stats->request_ms);
   estimate.cost_ms = estimate.wait_ms + (READ_WEIGHT - 1) * unread_ms
-                     + harm_ms (&load, unread_ms);
+                     + interference_ms (&load, unread_ms);
   return estimate;
 }
 
 static struct estimate
-estimate_plain (marjoram_placement *placement, struct marjoram_spot *spot,
+estimate_plain (marjoram_placement *placement,
+                struct marjoram_endpoint *endpoint,
                 const struct marjoram_registered *upstream,
                 const struct marjoram_place_query *query, int64_t now)
 {
-  struct marjoram_service_speed *speed
-      = marjoram_placement_speed (placement, query->service->name);
-  struct marjoram_spot_load_sum load = marjoram_spot_load (spot, now);
+  struct marjoram_service_stats *stats
+      = marjoram_placement_service_stats (placement, query->service->name);
+  struct marjoram_endpoint_load load
+      = marjoram_endpoint_total_load (endpoint, now);
   int64_t slots = upstream->news.slots > 0 ? upstream->news.slots : 1;
   struct estimate estimate = { 0 };
 
   estimate.idle = load.running == 0;
   estimate.wait_ms
-      = queue_ms (&load, slots, speed->request_ms) + speed->request_ms;
+      = queue_ms (&load, slots, stats->request_ms) + stats->request_ms;
   estimate.cost_ms
       = estimate.wait_ms
-        + (double)load.running * speed->request_ms / (double)slots;
+        + (double)load.running * stats->request_ms / (double)slots;
   return estimate;
 }
 
 static struct estimate
-estimate_spot (marjoram_placement *placement, struct marjoram_spot *spot,
-               const struct marjoram_registered *upstream,
-               const struct marjoram_place_query *query,
-               const struct marjoram_copy *copy, int64_t now)
+estimate_endpoint (marjoram_placement *placement,
+                   struct marjoram_endpoint *endpoint,
+                   const struct marjoram_registered *upstream,
+                   const struct marjoram_place_query *query,
+                   const struct marjoram_copy *copy, int64_t now)
 {
   struct estimate estimate
       = query->service->has_engine
-            ? estimate_engine (placement, spot, query, copy, now)
-            : estimate_plain (placement, spot, upstream, query, now);
+            ? estimate_engine (placement, endpoint, query, copy, now)
+            : estimate_plain (placement, endpoint, upstream, query, now);
 
-  estimate.cost_ms *= 1 + FAILURE_WEIGHT * spot->failure_share;
-  estimate.cost_ms += (double)spread (spot, query->facts);
-  if (is_cold (spot, upstream, query->service, now))
+  estimate.cost_ms *= 1 + FAILURE_WEIGHT * endpoint->failure_share;
+  estimate.cost_ms += (double)tie_breaker_ms (endpoint, query->facts);
+  if (is_cold (endpoint, upstream, query->service, now))
     estimate.cost_ms += COLD_COST_MS;
-  if (now < spot->doubted_until)
-    estimate.cost_ms += DOUBT_COST_MS;
+  if (now < endpoint->suspected_until)
+    estimate.cost_ms += SUSPECT_COST_MS;
   return estimate;
 }
 
 static bool
-may_use (marjoram_placement *placement, struct marjoram_spot *spot,
+may_use (marjoram_placement *placement, struct marjoram_endpoint *endpoint,
          const struct marjoram_registered *upstream,
          const struct marjoram_place_query *query, int64_t now)
 {
-  if (now < spot->paused_until
-      || (spot->wrong_at != 0 && upstream->heard_at <= spot->wrong_at))
+  if (now < endpoint->paused_until
+      || (endpoint->address_conflict_at != 0
+          && upstream->heard_at <= endpoint->address_conflict_at))
     return false;
-  if (was_tried (query, spot->id) && !query->again)
+  if (was_tried (query, endpoint->id) && !query->again)
     return false;
-  return !is_cold (spot, upstream, query->service, now)
-         || may_feed (placement, spot, query->service, now);
+  return !is_cold (endpoint, upstream, query->service, now)
+         || may_send_to_cold (placement, endpoint, query->service, now);
 }
 
 /* The limit that rules out an upstream for QUERY.  Idle upstreams are never
@@ -283,7 +294,7 @@
 };
 
 static void
-take_cheaper (struct choice *choice,
+keep_cheaper (struct choice *choice,
               const struct marjoram_registered *upstream,
               const struct estimate *estimate,
               const struct marjoram_copy *copy)
@@ -325,21 +336,24 @@
 
 /* Upstreams that cache more than half of the prompt are always considered.  */
 static bool
-is_in_sample (const struct sample *sample, const struct marjoram_spot *spot,
-              const struct marjoram_place_query *query, int64_t kept)
+is_in_sample (const struct sample *sample,
+              const struct marjoram_endpoint *endpoint,
+              const struct marjoram_place_query *query, int64_t cached)
 {
-  return sample->below == UINT64_MAX || 2 * kept > query->facts->prompt_tokens
-         || XXH3_64bits_withSeed (spot->id, strlen (spot->id), sample->seed)
+  return sample->below == UINT64_MAX
+         || 2 * cached > query->facts->prompt_tokens
+         || XXH3_64bits_withSeed (endpoint->id, strlen (endpoint->id),
+                                  sample->seed)
                 < sample->below;
 }
 
 /* Finds the upstream of least cost and the one of least cost that meets the
    deadline.  */
 static void
-choose_both (marjoram_placement *placement, int64_t now,
-             const struct marjoram_place_query *query,
-             const struct sample *sample, struct marjoram_place *place,
-             struct choice *cheapest, struct choice *in_time)
+find_choices (marjoram_placement *placement, int64_t now,
+              const struct marjoram_place_query *query,
+              const struct sample *sample, struct marjoram_place *place,
+              struct choice *cheapest, struct choice *in_time)
 {
   struct marjoram_registered_list *upstreams = marjoram_registry_of_service (
       placement->options.registry, query->service->name);
@@ -348,11 +362,11 @@
 
   if (!upstreams)
     return;
-  marjoram_placement_forget_reports (placement, now);
+  marjoram_placement_expire_reports (placement, now);
   marjoram_copy_sources_find (&sources, placement, query, now);
   TAILQ_FOREACH (upstream, upstreams, service_link)
   {
-    struct marjoram_spot *spot;
+    struct marjoram_endpoint *endpoint;
     struct estimate estimate;
     struct marjoram_copy copy;
 
@@ -361,33 +375,34 @@
     place->candidates++;
     if (now - upstream->heard_at > place->news_age_ms)
       place->news_age_ms = now - upstream->heard_at;
-    spot = marjoram_spot_of (placement, upstream);
-    if (!may_use (placement, spot, upstream, query, now))
+    endpoint = marjoram_endpoint_of (placement, upstream);
+    if (!may_use (placement, endpoint, upstream, query, now))
       continue;
     place->usable++;
-    marjoram_copy_sources_best (&sources, spot, upstream, query, &copy);
-    if (!is_in_sample (sample, spot, query, copy.kept))
+    marjoram_copy_sources_best (&sources, endpoint, upstream, query, &copy);
+    if (!is_in_sample (sample, endpoint, query, copy.cached))
       continue;
-    estimate = estimate_spot (placement, spot, upstream, query, &copy, now);
-    if (was_tried (query, spot->id))
+    estimate
+        = estimate_endpoint (placement, endpoint, upstream, query, &copy, now);
+    if (was_tried (query, endpoint->id))
       estimate.cost_ms += (double)query->useful_ms;
-    take_cheaper (cheapest, upstream, &estimate, &copy);
+    keep_cheaper (cheapest, upstream, &estimate, &copy);
     if (is_in_time (&estimate, query))
-      take_cheaper (in_time, upstream, &estimate, &copy);
+      keep_cheaper (in_time, upstream, &estimate, &copy);
   }
 }
 
 /* Assumes that the serving hosts of a region share its engines equally.  */
 static void
-note_speed (marjoram_placement *placement, int64_t now,
-            const struct marjoram_place_query *query,
-            struct marjoram_place *place)
+set_throughput (marjoram_placement *placement, int64_t now,
+                const struct marjoram_place_query *query,
+                struct marjoram_place *place)
 {
   size_t hosts = marjoram_host_list_serving (placement->options.hosts, now,
                                              placement->region);
 
   place->engine_tokens_per_ms
-      = marjoram_placement_speed (placement, query->service->name)
+      = marjoram_placement_service_stats (placement, query->service->name)
             ->tokens_per_ms;
   place->tokens_per_ms = place->engine_tokens_per_ms * place->usable
                          / (double)(hosts > 0 ? hosts : 1);
@@ -405,21 +420,21 @@
 
   memset (place, 0, sizeof *place);
   place->outcome = MARJORAM_PLACE_NONE;
-  place->retry_ms = RETRY_SOON_MS;
+  place->retry_ms = RETRY_MIN_MS;
   sample = take_sample (placement, now, query);
-  choose_both (placement, now, query, &sample, place, &cheapest, &in_time);
+  find_choices (placement, now, query, &sample, place, &cheapest, &in_time);
   if (!in_time.upstream && sample.below != UINT64_MAX)
     {
       place->candidates = 0;
       place->usable = 0;
-      choose_both (placement, now, query, &all_upstreams, place, &cheapest,
-                   &in_time);
+      find_choices (placement, now, query, &all_upstreams, place, &cheapest,
+                    &in_time);
     }
   if (!cheapest.upstream)
     return;
   if (in_time.upstream
       && in_time.estimate.cost_ms
-             <= cheapest.estimate.cost_ms + SECOND_BEST_MS)
+             <= cheapest.estimate.cost_ms + DEADLINE_COST_MS)
     taken = &in_time;
   place->upstream = taken->upstream;
   place->copy_from = taken->copy.from;
@@ -434,19 +449,19 @@
   if (taken->estimate.backlog_ms > BACKLOG_MAX_MS)
     place->over_ms = (int64_t)taken->estimate.backlog_ms - BACKLOG_MAX_MS;
   if (query->service->has_engine)
-    note_speed (placement, now, query, place);
+    set_throughput (placement, now, query, place);
   if (place->outcome == MARJORAM_PLACE_BUSY)
-    place->retry_ms = place->wait_ms + RETRY_SOON_MS;
+    place->retry_ms = place->wait_ms + RETRY_MIN_MS;
 }
 
 double
 marjoram_placement_backlog (marjoram_placement *placement, const char *service)
 {
-  return marjoram_placement_speed (placement, service)->backlog_ms;
+  return marjoram_placement_service_stats (placement, service)->backlog_ms;
 }
 
 static void
-raise_offer (struct marjoram_host_offer *offer, double wait_ms)
+add_to_offer (struct marjoram_host_offer *offer, double wait_ms)
 {
   if (offer->upstreams == 0 || (uint64_t)wait_ms < offer->wait_ms)
     offer->wait_ms = (uint64_t)wait_ms;
@@ -465,33 +480,34 @@
   struct marjoram_registered_list *upstreams = marjoram_registry_of_service (
       placement->options.registry, service->name);
   struct marjoram_registered *upstream;
-  struct marjoram_service_speed *speed
-      = marjoram_placement_speed (placement, service->name);
+  struct marjoram_service_stats *stats
+      = marjoram_placement_service_stats (placement, service->name);
   double backlog_ms = 0;
 
   memset (offer, 0, sizeof *offer);
   offer->service = service->name;
   if (!upstreams)
     return;
-  marjoram_placement_forget_reports (placement, now);
+  marjoram_placement_expire_reports (placement, now);
   TAILQ_FOREACH (upstream, upstreams, service_link)
   {
-    struct marjoram_spot *spot;
+    struct marjoram_endpoint *endpoint;
     struct estimate estimate;
 
     if (!marjoram_placement_is_candidate (placement, upstream, &query, now))
       continue;
-    spot = marjoram_spot_of (placement, upstream);
-    if (now < spot->paused_until || is_cold (spot, upstream, service, now))
+    endpoint = marjoram_endpoint_of (placement, upstream);
+    if (now < endpoint->paused_until
+        || is_cold (endpoint, upstream, service, now))
       continue;
-    estimate
-        = estimate_spot (placement, spot, upstream, &query, &no_copy, now);
-    raise_offer (offer, estimate.wait_ms);
+    estimate = estimate_endpoint (placement, endpoint, upstream, &query,
+                                  &no_copy, now);
+    add_to_offer (offer, estimate.wait_ms);
     backlog_ms += estimate.backlog_ms;
   }
   if (offer->upstreams == 0)
     return;
   backlog_ms /= (double)offer->upstreams;
-  speed->backlog_ms += LEARN_BACKLOG * (backlog_ms - speed->backlog_ms);
-  offer->backlog_ms = (uint64_t)speed->backlog_ms;
+  stats->backlog_ms += BACKLOG_SMOOTHING * (backlog_ms - stats->backlog_ms);
+  offer->backlog_ms = (uint64_t)stats->backlog_ms;
 }
--- a/src/placement_collect.c
+++ b/src/placement_collect.c
@@ -8,7 +8,7 @@
 enum
 {
   /* Totals of a collector that is silent for longer are dropped.  */
-  SUMS_VALID_MS = 2000,
+  TOTALS_VALID_MS = 2000,
   /* Time for a report to the collector to be included in its totals.  */
   SETTLE_MS = 200
 };
@@ -23,33 +23,35 @@
 /* ---- Reports to collectors.  ---- */
 
 static bool
-is_idle (const struct marjoram_spot_load_sum *load)
+is_idle (const struct marjoram_endpoint_load *load)
 {
   return load->running == 0;
 }
 
 static bool
-has_changed (const struct marjoram_spot *spot)
+has_changed (const struct marjoram_endpoint *endpoint)
 {
-  return spot->tell_lost
-         || memcmp (&spot->own, &spot->reported, sizeof spot->own) != 0;
+  return endpoint->report_disconnect
+         || memcmp (&endpoint->own, &endpoint->reported, sizeof endpoint->own)
+                != 0;
 }
 
 static size_t
 add_item (marjoram_placement *placement, int64_t now,
-          struct marjoram_load_report *report, struct marjoram_spot *spot)
+          struct marjoram_load_report *report,
+          struct marjoram_endpoint *endpoint)
 {
   struct marjoram_load_item *items = report->items.items;
 
-  if (spot->report == placement->reports)
-    return spot->item;
-  items[report->items.count] = marjoram_spot_item (spot);
-  spot->report = placement->reports;
-  spot->item = report->items.count++;
-  spot->reported_before = spot->reported;
-  spot->reported = spot->own;
-  spot->reported_at = now;
-  return spot->item;
+  if (endpoint->report_number == placement->report_count)
+    return endpoint->item_index;
+  items[report->items.count] = marjoram_endpoint_report_item (endpoint);
+  endpoint->report_number = placement->report_count;
+  endpoint->item_index = report->items.count++;
+  endpoint->previously_reported = endpoint->reported;
+  endpoint->reported = endpoint->own;
+  endpoint->reported_at = now;
+  return endpoint->item_index;
 }
 
 static void
@@ -60,12 +62,15 @@
   size_t items[MARJORAM_LOAD_GROUPS] = { 0 };
   size_t parts[MARJORAM_LOAD_GROUPS] = { 0 };
   const struct marjoram_placed_item *placed;
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next;
 
-  HASH_ITER (hh, placement->spots, spot, next) { items[spot->group]++; }
+  HASH_ITER (hh, placement->endpoints, endpoint, next)
+  {
+    items[endpoint->group]++;
+  }
   STAILQ_FOREACH (placed, &placement->placed, link)
-  parts[placed->spot->group]++;
+  parts[placed->endpoint->group]++;
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
       memset (&reports[i], 0, sizeof reports[i]);
@@ -85,17 +90,17 @@
 
   STAILQ_FOREACH (placed, &placement->placed, link)
   {
-    struct marjoram_load_report *report = &reports[placed->spot->group];
+    struct marjoram_load_report *report = &reports[placed->endpoint->group];
     struct marjoram_placed_part *parts = report->placed.items;
 
     if (report->placed.count == MARJORAM_PLACED_MAX)
       continue;
     parts[report->placed.count++] = (struct marjoram_placed_part){
       placed->part.id, (uint64_t)placed->part.tokens,
-      add_item (placement, now, report, placed->spot)
+      add_item (placement, now, report, placed->endpoint)
     };
   }
-  marjoram_placement_forget_placed (placement);
+  marjoram_placement_clear_placed (placement);
 }
 
 void
@@ -104,18 +109,19 @@
     const bool whole[MARJORAM_LOAD_GROUPS],
     struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS])
 {
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next;
 
-  placement->reports++;
+  placement->report_count++;
   start_reports (placement, whole, reports);
-  HASH_ITER (hh, placement->spots, spot, next)
+  HASH_ITER (hh, placement->endpoints, endpoint, next)
   {
-    struct marjoram_load_report *report = &reports[spot->group];
+    struct marjoram_load_report *report = &reports[endpoint->group];
 
-    if ((has_changed (spot) || (report->whole && !is_idle (&spot->own)))
+    if ((has_changed (endpoint)
+         || (report->whole && !is_idle (&endpoint->own)))
         && report->items.count < MARJORAM_LOADS_MAX)
-      add_item (placement, now, report, spot);
+      add_item (placement, now, report, endpoint);
   }
   add_placed (placement, now, reports);
 }
@@ -123,7 +129,7 @@
 /* ---- Totals from collectors.  ---- */
 
 static int64_t
-without_own (int64_t sum, int64_t reported, int64_t before, bool settled)
+subtract_own (int64_t sum, int64_t reported, int64_t before, bool settled)
 {
   int64_t own = settled || reported < before ? reported : before;
 
@@ -133,51 +139,52 @@
 /* Subtracts this host's own load from the collector's total.  Until the last
    report is known to be included, the lower of the last two reports is
    subtracted, so that a request just sent does not appear as free capacity. */
-struct marjoram_spot_load_sum
-marjoram_spot_collected (const struct marjoram_spot *spot, int64_t now)
+struct marjoram_endpoint_load
+marjoram_endpoint_collected_load (const struct marjoram_endpoint *endpoint,
+                                  int64_t now)
 {
-  const struct marjoram_spot_load_sum *sum = &spot->collected;
-  const struct marjoram_spot_load_sum *told = &spot->reported;
-  const struct marjoram_spot_load_sum *before = &spot->reported_before;
-  const bool settled = now > spot->reported_at + SETTLE_MS;
-
-  return (struct marjoram_spot_load_sum){
-    without_own (sum->running, told->running, before->running, settled),
-    without_own (sum->unread, told->unread, before->unread, settled),
-    without_own (sum->urgent, told->urgent, before->urgent, settled),
-    without_own (sum->held, told->held, before->held, settled),
-    without_own (sum->answer, told->answer, before->answer, settled)
+  const struct marjoram_endpoint_load *sum = &endpoint->collected;
+  const struct marjoram_endpoint_load *reported = &endpoint->reported;
+  const struct marjoram_endpoint_load *before = &endpoint->previously_reported;
+  const bool settled = now > endpoint->reported_at + SETTLE_MS;
+
+  return (struct marjoram_endpoint_load){
+    subtract_own (sum->running, reported->running, before->running, settled),
+    subtract_own (sum->unread, reported->unread, before->unread, settled),
+    subtract_own (sum->urgent, reported->urgent, before->urgent, settled),
+    subtract_own (sum->held, reported->held, before->held, settled),
+    subtract_own (sum->answer, reported->answer, before->answer, settled)
   };
 }
 
 static void
-forget_group (marjoram_placement *placement, int group)
+clear_group (marjoram_placement *placement, int group)
 {
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next;
 
-  HASH_ITER (hh, placement->spots, spot, next)
+  HASH_ITER (hh, placement->endpoints, endpoint, next)
   {
-    if (spot->group == group)
-      memset (&spot->collected, 0, sizeof spot->collected);
+    if (endpoint->group == group)
+      memset (&endpoint->collected, 0, sizeof endpoint->collected);
   }
 }
 
 void
-marjoram_placement_forget_sums (marjoram_placement *placement, int64_t now)
+marjoram_placement_expire_totals (marjoram_placement *placement, int64_t now)
 {
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     if (placement->collected_at[i] != 0
-        && now - placement->collected_at[i] > SUMS_VALID_MS)
+        && now - placement->collected_at[i] > TOTALS_VALID_MS)
       {
         placement->collected_at[i] = 0;
-        forget_group (placement, i);
+        clear_group (placement, i);
       }
 }
 
 static void
-note_groups (marjoram_placement *placement, int64_t now,
-             const bool groups[MARJORAM_LOAD_GROUPS], bool whole)
+refresh_groups (marjoram_placement *placement, int64_t now,
+                const bool groups[MARJORAM_LOAD_GROUPS], bool whole)
 {
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
@@ -185,7 +192,7 @@
         continue;
       placement->collected_at[i] = now;
       if (whole)
-        forget_group (placement, i);
+        clear_group (placement, i);
     }
 }
 
@@ -197,24 +204,25 @@
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
 
-  note_groups (placement, now, groups, report->whole);
+  refresh_groups (placement, now, groups, report->whole);
   for (size_t i = 0; i < report->items.count; i++)
     {
-      struct marjoram_spot *spot
+      struct marjoram_endpoint *endpoint
           = items[i].upstream
-                ? marjoram_spot_find (placement, items[i].upstream)
+                ? marjoram_endpoint_find (placement, items[i].upstream)
                 : NULL;
 
-      if (!spot || !groups[spot->group])
+      if (!endpoint || !groups[endpoint->group])
         continue;
-      spot->collected = marjoram_load_of_item (&items[i]);
+      endpoint->collected = marjoram_load_from_item (&items[i]);
       if (items[i].lost)
-        spot->lost_at = now;
+        endpoint->disconnected_at = now;
     }
   for (size_t i = 0; i < report->placed.count; i++)
     if (placed[i].upstream < report->items.count
         && items[placed[i].upstream].upstream)
-      marjoram_spot_hear_placed (
-          marjoram_spot_find (placement, items[placed[i].upstream].upstream),
+      marjoram_endpoint_apply_placed (
+          marjoram_endpoint_find (placement,
+                                  items[placed[i].upstream].upstream),
           &placed[i]);
 }
--- a/src/placement_copy.c
+++ b/src/placement_copy.c
@@ -28,26 +28,27 @@
 
 static void
 add_source (struct marjoram_copy_zone *zone,
-            const struct marjoram_registered *upstream, int64_t kept)
+            const struct marjoram_registered *upstream, int64_t cached)
 {
-  const struct marjoram_copy_source source = { upstream, kept };
+  const struct marjoram_copy_source source = { upstream, cached };
 
-  if (kept > zone->first.kept)
+  if (cached > zone->first.cached)
     {
       zone->second = zone->first;
       zone->first = source;
     }
-  else if (kept > zone->second.kept)
+  else if (cached > zone->second.cached)
     zone->second = source;
 }
 
 /* An engine whose connections broke may have restarted with an empty cache. */
 static bool
-may_give (const struct marjoram_spot *spot,
-          const struct marjoram_registered *upstream, int64_t now)
+may_copy_from (const struct marjoram_endpoint *endpoint,
+               const struct marjoram_registered *upstream, int64_t now)
 {
-  return now >= spot->paused_until && now >= spot->doubted_until
-         && (spot->lost_at == 0 || upstream->heard_at > spot->lost_at);
+  return now >= endpoint->paused_until && now >= endpoint->suspected_until
+         && (endpoint->disconnected_at == 0
+             || upstream->heard_at > endpoint->disconnected_at);
 }
 
 void
@@ -67,14 +68,15 @@
   TAILQ_FOREACH (upstream, upstreams, service_link)
   {
     struct marjoram_copy_zone *zone;
-    struct marjoram_spot *spot;
+    struct marjoram_endpoint *endpoint;
 
     if (!marjoram_placement_is_candidate (placement, upstream, query, now))
       continue;
-    spot = marjoram_spot_of (placement, upstream);
+    endpoint = marjoram_endpoint_of (placement, upstream);
     zone = find_zone (sources, upstream->news.zone);
-    if (zone && may_give (spot, upstream, now))
-      add_source (zone, upstream, marjoram_spot_kept (spot, query->facts));
+    if (zone && may_copy_from (endpoint, upstream, now))
+      add_source (zone, upstream,
+                  marjoram_endpoint_cached_tokens (endpoint, query->facts));
   }
 }
 
@@ -92,7 +94,7 @@
 
 void
 marjoram_copy_sources_best (const struct marjoram_copy_sources *sources,
-                            const struct marjoram_spot *spot,
+                            const struct marjoram_endpoint *endpoint,
                             const struct marjoram_registered *upstream,
                             const struct marjoram_place_query *query,
                             struct marjoram_copy *copy)
@@ -100,12 +102,12 @@
   const struct marjoram_copy_source *source = source_for (sources, upstream);
 
   memset (copy, 0, sizeof *copy);
-  copy->kept = marjoram_spot_kept (spot, query->facts);
+  copy->cached = marjoram_endpoint_cached_tokens (endpoint, query->facts);
   if (!source || !source->upstream
-      || source->kept - copy->kept < COPY_TOKENS_MIN)
+      || source->cached - copy->cached < COPY_TOKENS_MIN)
     return;
   copy->from = source->upstream;
-  copy->tokens = source->kept - copy->kept;
+  copy->tokens = source->cached - copy->cached;
   copy->ms = COPY_SETUP_MS
              + (double)copy->tokens / query->service->engine.copied_per_ms;
 }
--- a/src/placement_copy.h
+++ b/src/placement_copy.h
@@ -15,7 +15,7 @@
 struct marjoram_copy_source
 {
   const struct marjoram_registered *upstream; /* NULL if none */
-  int64_t kept;                               /* cached tokens of the prompt */
+  int64_t cached;                             /* cached tokens of the prompt */
 };
 
 struct marjoram_copy_zone
@@ -36,7 +36,7 @@
 /* Cached and copied tokens of a prompt at one engine.  */
 struct marjoram_copy
 {
-  int64_t kept;                           /* tokens in its own cache */
+  int64_t cached;                         /* tokens in its own cache */
   const struct marjoram_registered *from; /* NULL if nothing is copied */
   int64_t tokens;                         /* to copy */
   double ms;                              /* duration of the copy */
@@ -47,7 +47,7 @@
                                  const struct marjoram_place_query *query,
                                  int64_t now);
 void marjoram_copy_sources_best (const struct marjoram_copy_sources *sources,
-                                 const struct marjoram_spot *spot,
+                                 const struct marjoram_endpoint *endpoint,
                                  const struct marjoram_registered *upstream,
                                  const struct marjoram_place_query *query,
                                  struct marjoram_copy *copy);
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -9,7 +9,7 @@
 
 #include <uthash.h>
 
-struct marjoram_spot_load_sum
+struct marjoram_endpoint_load
 {
   int64_t running; /* requests */
   int64_t unread;  /* prompt tokens not yet prefilled */
@@ -18,13 +18,13 @@
   int64_t answer;  /* response tokens still expected */
 };
 
-struct marjoram_spot;
+struct marjoram_endpoint;
 
 /* Load of another host at one endpoint, from its last report.  */
-struct marjoram_told_load
+struct marjoram_reported_load
 {
-  struct marjoram_spot *spot;
-  struct marjoram_spot_load_sum load;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint_load load;
 };
 
 /* Another host of the region that reports its load.  */
@@ -33,49 +33,47 @@
   TAILQ_ENTRY (marjoram_reporter) link; /* oldest report first */
   char *host;
   int64_t at; /* time of the last report */
-  struct marjoram_told_load *loads;
+  struct marjoram_reported_load *loads;
   size_t count;
-  size_t room; /* allocated entries of LOADS */
+  size_t allocated;
   UT_hash_handle hh;
 };
 
 /* The endpoint is known only from other hosts' reports.  */
-#define MARJORAM_BORN_UNKNOWN INT64_MIN
+#define MARJORAM_START_UNKNOWN INT64_MIN
 
 /* Placement state of one upstream, in addition to the registry entry.  */
-struct marjoram_spot
+struct marjoram_endpoint
 {
   char *id;
-  struct marjoram_spot_load_sum own;
-  struct marjoram_spot_load_sum told; /* total of all other hosts */
-  size_t tellers;                     /* hosts whose reports include it */
+  struct marjoram_endpoint_load own;
+  struct marjoram_endpoint_load others; /* total of other hosts */
+  size_t reporter_count;                /* hosts whose reports include it */
   int group;
-  struct marjoram_spot_load_sum
+  struct marjoram_endpoint_load
       collected; /* total of all hosts, including this one */
   /* Values of OWN last sent to the collector, and those sent before.  */
-  struct marjoram_spot_load_sum reported;
-  struct marjoram_spot_load_sum reported_before;
+  struct marjoram_endpoint_load reported;
+  struct marjoram_endpoint_load previously_reported;
   int64_t reported_at;
   marjoram_engine_memory *memory;
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
   int64_t born;     /* start time of the instance that MEMORY models */
   int64_t paused_until;
-  int64_t doubted_until; /* used only if there is no alternative */
-  int64_t lost_at;       /* 0 if its connections never broke */
-  int64_t wrong_at;      /* time of the last address conflict */
-  int64_t heard_at;      /* last response data to this host; 0 if none */
+  int64_t suspected_until;     /* used only if there is no alternative */
+  int64_t disconnected_at;     /* 0 if its connections never broke */
+  int64_t address_conflict_at; /* time of the last address conflict */
+  int64_t heard_at;            /* last response data to this host; 0 if none */
   int64_t cold_until;
   int64_t cold_sent_at;
-  int unreached;
-  int broken;
+  int connect_failures;
+  int broken_responses;
   double failure_share;
-  double late_ms; /* moving mean of the delay of first events beyond the
-                     estimate */
+  double delay_ms; /* mean delay of first events beyond the estimate */
   TAILQ_HEAD (, marjoram_placed_attempt) unanswered; /* oldest first */
-  bool tell_lost;
-  uint64_t
-      report; /* number of the last report that includes it, at index ITEM */
-  size_t item;
+  bool report_disconnect;
+  uint64_t report_number; /* last report with it, at ITEM_INDEX */
+  size_t item_index;
   UT_hash_handle hh;
 };
 
@@ -84,11 +82,11 @@
   TAILQ_ENTRY (marjoram_placed_attempt)
   link; /* in UNANSWERED, until the response starts */
   uint64_t number;
-  struct marjoram_spot *spot;
+  struct marjoram_endpoint *endpoint;
   char *service;
   int64_t started_at;
   int64_t unread;
-  int64_t ahead; /* unread tokens queued ahead when it was sent */
+  int64_t queued; /* unread tokens queued ahead when it was sent */
   int64_t held;
   int64_t answer;
   int64_t expected_ms; /* estimated time to the first event when sent */
@@ -98,7 +96,7 @@
 };
 
 /* Moving means over the upstreams of one service.  */
-struct marjoram_service_speed
+struct marjoram_service_stats
 {
   char *service;
   double tokens_per_ms;
@@ -110,7 +108,7 @@
 struct marjoram_placed_item
 {
   STAILQ_ENTRY (marjoram_placed_item) link;
-  struct marjoram_spot *spot;
+  struct marjoram_endpoint *endpoint;
   struct marjoram_prompt_part part;
 };
 
@@ -119,63 +117,69 @@
   struct marjoram_placement_options options;
   char *host; /* this host's name; owned */
   char *region;
-  struct marjoram_spot *spots;
+  struct marjoram_endpoint *endpoints;
   struct marjoram_placed_attempt *attempts;
-  struct marjoram_service_speed *speeds;
+  struct marjoram_service_stats *service_stats;
   STAILQ_HEAD (, marjoram_placed_item)
-  placed;           /* placed since the last report */
-  uint64_t reports; /* number of reports built */
+  placed;                /* placed since the last report */
+  uint64_t report_count; /* number of reports built */
   int64_t collected_at[MARJORAM_LOAD_GROUPS]; /* 0 if no totals are held */
   struct marjoram_reporter *reporters;
   TAILQ_HEAD (, marjoram_reporter) reporters_by_age;
 };
 
-struct marjoram_spot *marjoram_spot_find (marjoram_placement *placement,
-                                          const char *id);
+struct marjoram_endpoint *
+marjoram_endpoint_find (marjoram_placement *placement, const char *id);
 /* The endpoint of UPSTREAM, reset if the upstream has restarted.  */
-struct marjoram_spot *
-marjoram_spot_of (marjoram_placement *placement,
-                  const struct marjoram_registered *upstream);
+struct marjoram_endpoint *
+marjoram_endpoint_of (marjoram_placement *placement,
+                      const struct marjoram_registered *upstream);
 /* Total load there from this and all other reporting hosts.  Call
-   marjoram_placement_forget_reports first.  */
-struct marjoram_spot_load_sum
-marjoram_spot_load (const struct marjoram_spot *spot, int64_t now);
+   marjoram_placement_expire_reports first.  */
+struct marjoram_endpoint_load
+marjoram_endpoint_total_load (const struct marjoram_endpoint *endpoint,
+                              int64_t now);
 /* Drops reports of hosts that have timed out.  */
-void marjoram_placement_forget_reports (marjoram_placement *placement,
+void marjoram_placement_expire_reports (marjoram_placement *placement,
                                         int64_t now);
 /* placement_collect.c */
 /* Drops totals of collectors that have timed out.  */
-void marjoram_placement_forget_sums (marjoram_placement *placement,
-                                     int64_t now);
-/* Load of other hosts at SPOT according to its collector.  */
-struct marjoram_spot_load_sum
-marjoram_spot_collected (const struct marjoram_spot *spot, int64_t now);
+void marjoram_placement_expire_totals (marjoram_placement *placement,
+                                       int64_t now);
+/* Load of other hosts at ENDPOINT according to its collector.  */
+struct marjoram_endpoint_load
+marjoram_endpoint_collected_load (const struct marjoram_endpoint *endpoint,
+                                  int64_t now);
 int marjoram_load_group (const char *upstream);
-void marjoram_load_add (struct marjoram_spot_load_sum *sum,
-                        const struct marjoram_spot_load_sum *load,
+void marjoram_load_add (struct marjoram_endpoint_load *sum,
+                        const struct marjoram_endpoint_load *load,
                         int64_t sign);
-struct marjoram_spot_load_sum
-marjoram_load_of_item (const struct marjoram_load_item *item);
-/* Builds the report item for SPOT; the item owns its string.  */
-struct marjoram_load_item marjoram_spot_item (struct marjoram_spot *spot);
-void marjoram_spot_hear_placed (struct marjoram_spot *spot,
+struct marjoram_endpoint_load
+marjoram_load_from_item (const struct marjoram_load_item *item);
+/* Builds the report item for ENDPOINT; the item owns its string.  */
+struct marjoram_load_item
+marjoram_endpoint_report_item (struct marjoram_endpoint *endpoint);
+void
+marjoram_endpoint_apply_placed (struct marjoram_endpoint *endpoint,
                                 const struct marjoram_placed_part *placed);
 void marjoram_reporter_destroy (marjoram_placement *placement,
                                 struct marjoram_reporter *reporter);
 /* Prompt tokens that the engine has cached.  */
-int64_t marjoram_spot_kept (const struct marjoram_spot *spot,
-                            const struct marjoram_call_facts *facts);
+int64_t
+marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
+                                 const struct marjoram_call_facts *facts);
 /* Whether UPSTREAM is usable, in this region and not in an evacuated zone.  */
 bool marjoram_placement_is_candidate (
     marjoram_placement *placement, const struct marjoram_registered *upstream,
     const struct marjoram_place_query *query, int64_t now);
 /* Unread tokens that delay a request of PRIORITY.  */
-int64_t marjoram_load_ahead (const struct marjoram_spot_load_sum *load,
-                             int priority);
+int64_t marjoram_load_queued_tokens (const struct marjoram_endpoint_load *load,
+                                     int priority);
 /* Expected number of response tokens.  */
 double marjoram_answer_tokens (const struct marjoram_call_facts *facts);
-struct marjoram_service_speed *
-marjoram_placement_speed (marjoram_placement *placement, const char *service);
-void marjoram_placement_forget_placed (marjoram_placement *placement);
+struct marjoram_service_stats *
+marjoram_placement_service_stats (marjoram_placement *placement,
+                                  const char *service);
+void marjoram_placement_clear_placed (marjoram_placement *placement);
 
 #endif
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -11,8 +11,8 @@
 };
 
 void
-marjoram_load_add (struct marjoram_spot_load_sum *sum,
-                   const struct marjoram_spot_load_sum *load, int64_t sign)
+marjoram_load_add (struct marjoram_endpoint_load *sum,
+                   const struct marjoram_endpoint_load *load, int64_t sign)
 {
   sum->running += sign * load->running;
   sum->unread += sign * load->unread;
@@ -21,10 +21,10 @@
   sum->answer += sign * load->answer;
 }
 
-struct marjoram_spot_load_sum
-marjoram_load_of_item (const struct marjoram_load_item *item)
+struct marjoram_endpoint_load
+marjoram_load_from_item (const struct marjoram_load_item *item)
 {
-  return (struct marjoram_spot_load_sum){ (int64_t)item->running,
+  return (struct marjoram_endpoint_load){ (int64_t)item->running,
                                           (int64_t)item->unread_tokens,
                                           (int64_t)item->urgent_tokens,
                                           (int64_t)item->held_tokens,
@@ -32,19 +32,19 @@
 }
 
 struct marjoram_load_item
-marjoram_spot_item (struct marjoram_spot *spot)
+marjoram_endpoint_report_item (struct marjoram_endpoint *endpoint)
 {
   const struct marjoram_load_item item = {
-    .upstream = marjoram_strdup (spot->id),
-    .running = (uint64_t)spot->own.running,
-    .unread_tokens = (uint64_t)spot->own.unread,
-    .urgent_tokens = (uint64_t)spot->own.urgent,
-    .held_tokens = (uint64_t)spot->own.held,
-    .answer_tokens = (uint64_t)spot->own.answer,
-    .lost = spot->tell_lost,
+    .upstream = marjoram_strdup (endpoint->id),
+    .running = (uint64_t)endpoint->own.running,
+    .unread_tokens = (uint64_t)endpoint->own.unread,
+    .urgent_tokens = (uint64_t)endpoint->own.urgent,
+    .held_tokens = (uint64_t)endpoint->own.held,
+    .answer_tokens = (uint64_t)endpoint->own.answer,
+    .lost = endpoint->report_disconnect,
   };
 
-  spot->tell_lost = false;
+  endpoint->report_disconnect = false;
   return item;
 }
 
@@ -52,16 +52,16 @@
 
 static size_t
 add_item (marjoram_placement *placement, struct marjoram_load_report *report,
-          struct marjoram_spot *spot)
+          struct marjoram_endpoint *endpoint)
 {
   struct marjoram_load_item *items = report->items.items;
 
-  if (spot->report == placement->reports)
-    return spot->item;
-  items[report->items.count] = marjoram_spot_item (spot);
-  spot->report = placement->reports;
-  spot->item = report->items.count++;
-  return spot->item;
+  if (endpoint->report_number == placement->report_count)
+    return endpoint->item_index;
+  items[report->items.count] = marjoram_endpoint_report_item (endpoint);
+  endpoint->report_number = placement->report_count;
+  endpoint->item_index = report->items.count++;
+  return endpoint->item_index;
 }
 
 static size_t
@@ -79,23 +79,23 @@
 marjoram_placement_report (marjoram_placement *placement,
                            struct marjoram_load_report *report)
 {
-  size_t spots = HASH_COUNT (placement->spots);
+  size_t endpoints = HASH_COUNT (placement->endpoints);
   size_t parts = count_placed (placement);
   struct marjoram_placed_part *out = marjoram_alloc (parts * sizeof *out);
-  struct marjoram_spot *spot;
-  struct marjoram_spot *next;
+  struct marjoram_endpoint *endpoint;
+  struct marjoram_endpoint *next;
   const struct marjoram_placed_item *placed;
 
   memset (report, 0, sizeof *report);
   report->items.items
-      = marjoram_alloc (spots * sizeof (struct marjoram_load_item));
+      = marjoram_alloc (endpoints * sizeof (struct marjoram_load_item));
   report->placed.items = out;
-  placement->reports++;
-  HASH_ITER (hh, placement->spots, spot, next)
+  placement->report_count++;
+  HASH_ITER (hh, placement->endpoints, endpoint, next)
   {
-    if ((spot->own.running > 0 || spot->tell_lost)
+    if ((endpoint->own.running > 0 || endpoint->report_disconnect)
         && report->items.count < MARJORAM_LOADS_MAX)
-      add_item (placement, report, spot);
+      add_item (placement, report, endpoint);
   }
   STAILQ_FOREACH (placed, &placement->placed, link)
   {
@@ -103,23 +103,23 @@
       break;
     out[report->placed.count++] = (struct marjoram_placed_part){
       placed->part.id, (uint64_t)placed->part.tokens,
-      add_item (placement, report, placed->spot)
+      add_item (placement, report, placed->endpoint)
     };
   }
-  marjoram_placement_forget_placed (placement);
+  marjoram_placement_clear_placed (placement);
 }
 
 /* ---- Reports from other hosts.  ---- */
 
 static void
-take_off_loads (struct marjoram_reporter *reporter)
+subtract_loads (struct marjoram_reporter *reporter)
 {
   for (size_t i = 0; i < reporter->count; i++)
     {
-      struct marjoram_told_load *told = &reporter->loads[i];
+      struct marjoram_reported_load *entry = &reporter->loads[i];
 
-      marjoram_load_add (&told->spot->told, &told->load, -1);
-      told->spot->tellers--;
+      marjoram_load_add (&entry->endpoint->others, &entry->load, -1);
+      entry->endpoint->reporter_count--;
     }
   reporter->count = 0;
 }
@@ -128,7 +128,7 @@
 marjoram_reporter_destroy (marjoram_placement *placement,
                            struct marjoram_reporter *reporter)
 {
-  take_off_loads (reporter);
+  subtract_loads (reporter);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, placement->reporters, reporter);
   TAILQ_REMOVE (&placement->reporters_by_age, reporter, link);
@@ -138,7 +138,7 @@
 }
 
 void
-marjoram_placement_forget_reports (marjoram_placement *placement, int64_t now)
+marjoram_placement_expire_reports (marjoram_placement *placement, int64_t now)
 {
   struct marjoram_reporter *oldest;
 
@@ -146,7 +146,7 @@
          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
          && now - oldest->at > REPORT_VALID_MS)
     marjoram_reporter_destroy (placement, oldest);
-  marjoram_placement_forget_sums (placement, now);
+  marjoram_placement_expire_totals (placement, now);
 }
 
 static struct marjoram_reporter *
@@ -170,37 +170,38 @@
 }
 
 static void
-make_room (struct marjoram_reporter *reporter, size_t count)
+reserve_loads (struct marjoram_reporter *reporter, size_t count)
 {
-  if (count <= reporter->room)
+  if (count <= reporter->allocated)
     return;
   free (reporter->loads);
   reporter->loads = marjoram_alloc (count * sizeof *reporter->loads);
-  reporter->room = count;
+  reporter->allocated = count;
 }
 
 static void
-hear_load (struct marjoram_reporter *reporter, struct marjoram_spot *spot,
-           int64_t now, const struct marjoram_load_item *item)
+add_reported_load (struct marjoram_reporter *reporter,
+                   struct marjoram_endpoint *endpoint, int64_t now,
+                   const struct marjoram_load_item *item)
 {
-  struct marjoram_told_load *told = &reporter->loads[reporter->count++];
+  struct marjoram_reported_load *entry = &reporter->loads[reporter->count++];
 
-  told->spot = spot;
-  told->load = marjoram_load_of_item (item);
-  marjoram_load_add (&spot->told, &told->load, 1);
-  spot->tellers++;
+  entry->endpoint = endpoint;
+  entry->load = marjoram_load_from_item (item);
+  marjoram_load_add (&endpoint->others, &entry->load, 1);
+  endpoint->reporter_count++;
   if (item->lost)
-    spot->lost_at = now;
+    endpoint->disconnected_at = now;
 }
 
 void
-marjoram_spot_hear_placed (struct marjoram_spot *spot,
-                           const struct marjoram_placed_part *placed)
+marjoram_endpoint_apply_placed (struct marjoram_endpoint *endpoint,
+                                const struct marjoram_placed_part *placed)
 {
   /* The capacity is unknown until this host has sent a request there.  */
-  int64_t capacity = spot->capacity > 0 ? spot->capacity : INT64_MAX;
+  int64_t capacity = endpoint->capacity > 0 ? endpoint->capacity : INT64_MAX;
 
-  marjoram_engine_memory_use (spot->memory, placed->part,
+  marjoram_engine_memory_use (endpoint->memory, placed->part,
                               (int64_t)placed->tokens, capacity);
 }
 
@@ -212,23 +213,25 @@
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
   struct marjoram_reporter *reporter = find_reporter (placement, host);
-  marjoram_auto_free size_t *named
-      = marjoram_alloc ((report->items.count + 1) * sizeof *named);
+  marjoram_auto_free size_t *load_index
+      = marjoram_alloc ((report->items.count + 1) * sizeof *load_index);
 
   /* A report is complete: requests that it omits have ended.  */
   reporter->at = now;
-  take_off_loads (reporter);
-  make_room (reporter, report->items.count);
+  subtract_loads (reporter);
+  reserve_loads (reporter, report->items.count);
   for (size_t i = 0; i < report->items.count; i++)
     {
-      named[i] = reporter->count;
+      load_index[i] = reporter->count;
       if (items[i].upstream)
-        hear_load (reporter, marjoram_spot_find (placement, items[i].upstream),
-                   now, &items[i]);
+        add_reported_load (
+            reporter, marjoram_endpoint_find (placement, items[i].upstream),
+            now, &items[i]);
     }
   for (size_t i = 0; i < report->placed.count; i++)
     if (placed[i].upstream < report->items.count
         && items[placed[i].upstream].upstream)
-      marjoram_spot_hear_placed (
-          reporter->loads[named[placed[i].upstream]].spot, &placed[i]);
+      marjoram_endpoint_apply_placed (
+          reporter->loads[load_index[placed[i].upstream]].endpoint,
+          &placed[i]);
 }
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -13,13 +13,13 @@
 {
   /* Time to wait for all connected hosts to acknowledge a deregistration; an
      unresponsive host learns of it after it has recovered.  */
-  CONFIRM_WITHIN_MS = 600,
+  ACK_TIMEOUT_MS = 600,
   /* Renewals are batched for an interval that grows with the number of
      upstreams, to limit traffic.  The maximum stays well below the 6 s after
      which hosts treat an upstream as silent.  */
-  GATHER_MS = 200,
-  GATHER_PER_UPSTREAM_MS = 2,
-  GATHER_MAX_MS = 2000
+  RENEW_INTERVAL_MS = 200,
+  RENEW_PER_UPSTREAM_MS = 2,
+  RENEW_INTERVAL_MAX_MS = 2000
 };
 
 marjoram_registrar *
@@ -36,25 +36,25 @@
 }
 
 void
-marjoram_registrar_forget (marjoram_registrar *registrar,
-                           struct marjoram_waiting *waiting)
+marjoram_registrar_remove_pending (marjoram_registrar *registrar,
+                                   struct marjoram_pending_request *pending)
 {
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, registrar->waiting, waiting);
-  free (waiting);
+  HASH_DELETE (hh, registrar->pending, pending);
+  free (pending);
 }
 
 void
 marjoram_registrar_destroy (marjoram_registrar *registrar)
 {
-  struct marjoram_waiting *waiting;
-  struct marjoram_waiting *next;
+  struct marjoram_pending_request *pending;
+  struct marjoram_pending_request *next;
 
   if (!registrar)
     return;
-  HASH_ITER (hh, registrar->waiting, waiting, next)
+  HASH_ITER (hh, registrar->pending, pending, next)
   {
-    marjoram_registrar_forget (registrar, waiting);
+    marjoram_registrar_remove_pending (registrar, pending);
   }
   marjoram_route_table_destroy (registrar->table);
   free (registrar);
@@ -68,28 +68,29 @@
                           body ? strlen (body) : 0);
 }
 
-struct marjoram_waiting *
-marjoram_registrar_wait (marjoram_registrar *registrar, int64_t now,
-                         uint64_t ask, enum marjoram_wait_kind kind,
-                         int64_t within_ms)
+struct marjoram_pending_request *
+marjoram_registrar_add_pending (marjoram_registrar *registrar, int64_t now,
+                                uint64_t ask, enum marjoram_pending_kind kind,
+                                int64_t timeout_ms)
 {
-  struct marjoram_waiting *waiting = marjoram_alloc (sizeof *waiting);
-
-  waiting->number = ++registrar->next_number;
-  waiting->ask = ask;
-  waiting->kind = kind;
-  waiting->deadline = now + within_ms;
-  HASH_ADD (hh, registrar->waiting, number, sizeof waiting->number, waiting);
-  return waiting;
+  struct marjoram_pending_request *pending = marjoram_alloc (sizeof *pending);
+
+  pending->number = ++registrar->next_number;
+  pending->ask = ask;
+  pending->kind = kind;
+  pending->deadline = now + timeout_ms;
+  HASH_ADD (hh, registrar->pending, number, sizeof pending->number, pending);
+  return pending;
 }
 
-struct marjoram_waiting *
-marjoram_registrar_find (marjoram_registrar *registrar, uint64_t number)
+struct marjoram_pending_request *
+marjoram_registrar_find_pending (marjoram_registrar *registrar,
+                                 uint64_t number)
 {
-  struct marjoram_waiting *waiting;
+  struct marjoram_pending_request *pending;
 
-  HASH_FIND (hh, registrar->waiting, &number, sizeof number, waiting);
-  return waiting;
+  HASH_FIND (hh, registrar->pending, &number, sizeof number, pending);
+  return pending;
 }
 
 /* ---- Upstream heartbeats.  ---- */
@@ -114,8 +115,8 @@
 }
 
 static size_t
-tell_one (marjoram_registrar *registrar, int64_t now, const char *id,
-          uint64_t ticket)
+broadcast_one (marjoram_registrar *registrar, int64_t now, const char *id,
+               uint64_t ticket)
 {
   const struct marjoram_registered *upstream
       = marjoram_registry_find (registrar->options.registry, id);
@@ -134,13 +135,13 @@
 confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t ask,
                const char *id)
 {
-  struct marjoram_waiting *waiting = marjoram_registrar_wait (
-      registrar, now, ask, MARJORAM_WAIT_LEAVE, CONFIRM_WITHIN_MS);
+  struct marjoram_pending_request *pending = marjoram_registrar_add_pending (
+      registrar, now, ask, MARJORAM_PENDING_LEAVE, ACK_TIMEOUT_MS);
 
-  waiting->missing = tell_one (registrar, now, id, waiting->number);
-  if (waiting->missing > 0)
+  pending->pending_acks = broadcast_one (registrar, now, id, pending->number);
+  if (pending->pending_acks > 0)
     return;
-  marjoram_registrar_forget (registrar, waiting);
+  marjoram_registrar_remove_pending (registrar, pending);
   marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
 }
 
@@ -172,24 +173,24 @@
 }
 
 static void
-note_spoken (marjoram_registrar *registrar, int64_t now, const char *id)
+record_contact (marjoram_registrar *registrar, int64_t now, const char *id)
 {
   struct marjoram_registered *upstream
       = marjoram_registry_find (registrar->options.registry, id);
 
   if (upstream)
-    upstream->spoke_at = now;
+    upstream->direct_heard_at = now;
 }
 
 static void
-take_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-           const struct marjoram_upstream_news *news)
+process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+              const struct marjoram_upstream_news *news)
 {
   enum marjoram_hearing hearing
       = marjoram_registry_hear (registrar->options.registry, now, news, 0);
 
   log_news (news, hearing);
-  note_spoken (registrar, now, news->id);
+  record_contact (registrar, now, news->id);
   marjoram_metrics_add (registrar->options.metrics,
                         hearing == MARJORAM_HEARING_STALE
                             ? MARJORAM_METRIC_NEWS_STALE
@@ -201,9 +202,9 @@
       return;
     }
   if (hearing == MARJORAM_HEARING_CHANGED)
-    tell_one (registrar, now, news->id, 0);
-  else if (hearing == MARJORAM_HEARING_RENEWED && !registrar->gathered_at)
-    registrar->gathered_at = now;
+    broadcast_one (registrar, now, news->id, 0);
+  else if (hearing == MARJORAM_HEARING_RENEWED && !registrar->renewals_since)
+    registrar->renewals_since = now;
   marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
 }
 
@@ -241,7 +242,8 @@
   batch->items.items = items = marjoram_alloc (count * sizeof *items);
   batch->items.count = 0;
   TAILQ_FOREACH (upstream, all, link)
-  if (upstream->spoke_at >= since && batch->items.count < MARJORAM_NEWS_MAX)
+  if (upstream->direct_heard_at >= since
+      && batch->items.count < MARJORAM_NEWS_MAX)
     marjoram_registry_pack (upstream, now, &items[batch->items.count++]);
 }
 
@@ -253,27 +255,27 @@
 }
 
 static int64_t
-gather_ms (marjoram_registrar *registrar)
+batch_interval_ms (marjoram_registrar *registrar)
 {
   int64_t msec
-      = GATHER_PER_UPSTREAM_MS
+      = RENEW_PER_UPSTREAM_MS
         * (int64_t)marjoram_registry_count (registrar->options.registry);
 
-  if (msec > GATHER_MAX_MS)
-    return GATHER_MAX_MS;
-  return msec > GATHER_MS ? msec : GATHER_MS;
+  if (msec > RENEW_INTERVAL_MAX_MS)
+    return RENEW_INTERVAL_MAX_MS;
+  return msec > RENEW_INTERVAL_MS ? msec : RENEW_INTERVAL_MS;
 }
 
 static void
-tell_gathered (marjoram_registrar *registrar, int64_t now)
+send_renewals (marjoram_registrar *registrar, int64_t now)
 {
   struct marjoram_news_batch batch;
 
-  if (!registrar->gathered_at
-      || now < registrar->gathered_at + gather_ms (registrar))
+  if (!registrar->renewals_since
+      || now < registrar->renewals_since + batch_interval_ms (registrar))
     return;
-  pack_since (registrar, now, registrar->gathered_at, &batch);
-  registrar->gathered_at = 0;
+  pack_since (registrar, now, registrar->renewals_since, &batch);
+  registrar->renewals_since = 0;
   registrar->ops->renew (registrar->context, &batch);
   free (batch.items.items);
 }
@@ -281,21 +283,21 @@
 void
 marjoram_registrar_seen (marjoram_registrar *registrar, uint64_t ticket)
 {
-  struct marjoram_waiting *waiting
-      = marjoram_registrar_find (registrar, ticket);
+  struct marjoram_pending_request *pending
+      = marjoram_registrar_find_pending (registrar, ticket);
 
-  if (!waiting || waiting->kind != MARJORAM_WAIT_LEAVE
-      || --waiting->missing > 0)
+  if (!pending || pending->kind != MARJORAM_PENDING_LEAVE
+      || --pending->pending_acks > 0)
     return;
-  marjoram_registrar_answer (registrar, waiting->ask, MARJORAM_STATUS_OK,
+  marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
                              "{}");
-  marjoram_registrar_forget (registrar, waiting);
+  marjoram_registrar_remove_pending (registrar, pending);
 }
 
 /* ---- Requests.  ---- */
 
 static const struct marjoram_route_table *
-table_in_force (marjoram_registrar *registrar)
+current_table (marjoram_registrar *registrar)
 {
   const struct marjoram_state *state
       = registrar->ops->state (registrar->context);
@@ -316,7 +318,7 @@
 {
   const struct marjoram_route_table *table; /* NULL if none is committed */
   const char *host;
-  bool is_bound;     /* some routes of HOST have home regions */
+  bool has_homes;    /* some routes of HOST have home regions */
   size_t most_homes; /* maximum of routes of HOST with the same home region */
 };
 
@@ -333,11 +335,11 @@
    among those with serving hosts, and none if no home region has any: the
    request must not leave its home regions.  */
 static bool
-may_be_named (void *context, const char *region)
+is_allowed_region (void *context, const char *region)
 {
   const struct lookup *lookup = context;
 
-  if (!lookup->is_bound)
+  if (!lookup->has_homes)
     return true;
   return lookup->most_homes > 0
          && homes_in (lookup, region) == lookup->most_homes;
@@ -365,17 +367,17 @@
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
   struct lookup lookup
-      = { .table = table_in_force (registrar), .host = what->host };
+      = { .table = current_table (registrar), .host = what->host };
   enum marjoram_lookup_reach reach;
   size_t count;
   marjoram_auto_free char *body = NULL;
 
-  lookup.is_bound
+  lookup.has_homes
       = lookup.table
         && marjoram_route_table_has_homes (lookup.table, what->host);
   find_most_homes (registrar, now, &lookup);
   count = marjoram_host_list_lookup (registrar->options.hosts, now, what->zone,
-                                     what->region, may_be_named, &lookup,
+                                     what->region, is_allowed_region, &lookup,
                                      addresses, &reach);
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_LOOKUPS,
                         1);
@@ -418,16 +420,16 @@
       look_up (registrar, now, ask, &what);
       break;
     case MARJORAM_ASK_NEWS:
-      take_news (registrar, now, ask, &what.news);
+      process_news (registrar, now, ask, &what.news);
       break;
     case MARJORAM_ASK_CONFIG_SET:
       marjoram_registrar_set_config (registrar, now, ask, body, size);
       break;
     case MARJORAM_ASK_CONFIG_GET:
       registrar->ops->read (registrar->context,
-                            marjoram_registrar_wait (registrar, now, ask,
-                                                     MARJORAM_WAIT_READ,
-                                                     MARJORAM_ANSWER_WITHIN_MS)
+                            marjoram_registrar_add_pending (
+                                registrar, now, ask, MARJORAM_PENDING_READ,
+                                MARJORAM_RESPONSE_TIMEOUT_MS)
                                 ->number);
       break;
     case MARJORAM_ASK_EVACUATE:
@@ -450,19 +452,19 @@
 void
 marjoram_registrar_tick (marjoram_registrar *registrar, int64_t now)
 {
-  struct marjoram_waiting *waiting;
-  struct marjoram_waiting *next;
+  struct marjoram_pending_request *pending;
+  struct marjoram_pending_request *next;
 
-  tell_gathered (registrar, now);
-  HASH_ITER (hh, registrar->waiting, waiting, next)
+  send_renewals (registrar, now);
+  HASH_ITER (hh, registrar->pending, pending, next)
   {
-    if (now < waiting->deadline)
+    if (now < pending->deadline)
       continue;
-    marjoram_registrar_answer (registrar, waiting->ask,
-                               waiting->kind == MARJORAM_WAIT_LEAVE
+    marjoram_registrar_answer (registrar, pending->ask,
+                               pending->kind == MARJORAM_PENDING_LEAVE
                                    ? MARJORAM_STATUS_OK
                                    : MARJORAM_STATUS_UNAVAILABLE,
                                "{}");
-    marjoram_registrar_forget (registrar, waiting);
+    marjoram_registrar_remove_pending (registrar, pending);
   }
 }
--- a/src/registrar_order.c
+++ b/src/registrar_order.c
@@ -9,11 +9,11 @@
 
 enum
 {
-  EVACUATE_TRIES = 8 /* attempts to win a concurrent update */
+  EVACUATE_ATTEMPTS_MAX = 8 /* attempts to win a concurrent update */
 };
 
 static uint64_t
-held_version (const struct marjoram_state *state, const char *name)
+current_version (const struct marjoram_state *state, const char *name)
 {
   const struct marjoram_file *file
       = state ? marjoram_state_file (state, name) : NULL;
@@ -34,13 +34,14 @@
 }
 
 static void
-apply (marjoram_registrar *registrar, const struct marjoram_waiting *waiting,
+apply (marjoram_registrar *registrar,
+       const struct marjoram_pending_request *pending,
        const struct marjoram_file *file)
 {
   char id[MARJORAM_NAME_MAX];
 
   change_id (file, id);
-  registrar->ops->apply (registrar->context, waiting->number, id, file);
+  registrar->ops->apply (registrar->context, pending->number, id, file);
 }
 
 /* Acknowledges a version that is not newer than the current one without a
@@ -56,7 +57,7 @@
   uint64_t version = table ? table->version : 0;
   struct marjoram_file file
       = { (char *)MARJORAM_FILE_ROUTES, version, NULL, (char *)body };
-  struct marjoram_waiting *waiting;
+  struct marjoram_pending_request *pending;
 
   marjoram_route_table_destroy (table);
   if (!valid)
@@ -64,8 +65,8 @@
       marjoram_registrar_reject (registrar, ask, "configuration", &err);
       return;
     }
-  if (version <= held_version (registrar->ops->state (registrar->context),
-                               MARJORAM_FILE_ROUTES))
+  if (version <= current_version (registrar->ops->state (registrar->context),
+                                  MARJORAM_FILE_ROUTES))
     {
       marjoram_event (MARJORAM_EVENT_CONFIG,
                       "version=%" PRIu64 " taken=no reason=not-above-held",
@@ -73,10 +74,11 @@
       marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
       return;
     }
-  waiting = marjoram_registrar_wait (registrar, now, ask, MARJORAM_WAIT_CONFIG,
-                                     MARJORAM_ANSWER_WITHIN_MS);
-  waiting->version = version;
-  apply (registrar, waiting, &file);
+  pending = marjoram_registrar_add_pending (registrar, now, ask,
+                                            MARJORAM_PENDING_CONFIG,
+                                            MARJORAM_RESPONSE_TIMEOUT_MS);
+  pending->version = version;
+  apply (registrar, pending, &file);
 }
 
 static bool
@@ -90,14 +92,15 @@
 }
 
 static void
-try_evacuate (marjoram_registrar *registrar, struct marjoram_waiting *waiting)
+try_evacuate (marjoram_registrar *registrar,
+              struct marjoram_pending_request *pending)
 {
   struct marjoram_file file;
 
-  waiting->tries++;
+  pending->attempts++;
   marjoram_agreed_evacuate (registrar->ops->state (registrar->context),
-                            waiting->zone, waiting->evacuated, &file);
-  apply (registrar, waiting, &file);
+                            pending->zone, pending->evacuated, &file);
+  apply (registrar, pending, &file);
   marjoram_wire_clear (&marjoram_file_layout, &file);
 }
 
@@ -107,7 +110,7 @@
 marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
                              uint64_t ask, const struct marjoram_ask *what)
 {
-  struct marjoram_waiting *waiting;
+  struct marjoram_pending_request *pending;
 
   if (!registrar->options.knows_zone (registrar->options.context, what->zone))
     {
@@ -119,48 +122,49 @@
       marjoram_registrar_reject (registrar, ask, "evacuation", &err);
       return;
     }
-  waiting
-      = marjoram_registrar_wait (registrar, now, ask, MARJORAM_WAIT_EVACUATION,
-                                 MARJORAM_ANSWER_WITHIN_MS);
-  snprintf (waiting->zone, sizeof waiting->zone, "%s", what->zone);
-  waiting->evacuated = what->kind == MARJORAM_ASK_EVACUATE;
-  registrar->ops->read (registrar->context, waiting->number);
+  pending = marjoram_registrar_add_pending (registrar, now, ask,
+                                            MARJORAM_PENDING_EVACUATION,
+                                            MARJORAM_RESPONSE_TIMEOUT_MS);
+  snprintf (pending->zone, sizeof pending->zone, "%s", what->zone);
+  pending->evacuated = what->kind == MARJORAM_ASK_EVACUATE;
+  registrar->ops->read (registrar->context, pending->number);
 }
 
 static void
 end_evacuation (marjoram_registrar *registrar,
-                struct marjoram_waiting *waiting, int status)
+                struct marjoram_pending_request *pending, int status)
 {
   marjoram_event (MARJORAM_EVENT_CONFIG,
-                  "zone=%s evacuated=%d status=%d tries=%d", waiting->zone,
-                  waiting->evacuated, status, waiting->tries);
+                  "zone=%s evacuated=%d status=%d tries=%d", pending->zone,
+                  pending->evacuated, status, pending->attempts);
   marjoram_metrics_add (registrar->options.metrics,
                         MARJORAM_METRIC_EVACUATIONS,
                         status == MARJORAM_STATUS_OK);
-  marjoram_registrar_answer (registrar, waiting->ask, status, "{}");
-  marjoram_registrar_forget (registrar, waiting);
+  marjoram_registrar_answer (registrar, pending->ask, status, "{}");
+  marjoram_registrar_remove_pending (registrar, pending);
 }
 
 static void
-go_on_evacuating (marjoram_registrar *registrar,
-                  struct marjoram_waiting *waiting,
-                  const struct marjoram_apply_answer *what)
+continue_evacuation (marjoram_registrar *registrar,
+                     struct marjoram_pending_request *pending,
+                     const struct marjoram_apply_answer *what)
 {
   const struct marjoram_state *state
       = registrar->ops->state (registrar->context);
 
   const bool known = what->outcome == MARJORAM_APPLY_DECIDED && state;
 
-  if (known && is_evacuated (state, waiting->zone) == waiting->evacuated)
-    end_evacuation (registrar, waiting, MARJORAM_STATUS_OK);
-  else if (known && waiting->tries < EVACUATE_TRIES)
-    try_evacuate (registrar, waiting);
+  if (known && is_evacuated (state, pending->zone) == pending->evacuated)
+    end_evacuation (registrar, pending, MARJORAM_STATUS_OK);
+  else if (known && pending->attempts < EVACUATE_ATTEMPTS_MAX)
+    try_evacuate (registrar, pending);
   else
-    end_evacuation (registrar, waiting, MARJORAM_STATUS_UNAVAILABLE);
+    end_evacuation (registrar, pending, MARJORAM_STATUS_UNAVAILABLE);
 }
 
 static void
-end_config (marjoram_registrar *registrar, struct marjoram_waiting *waiting,
+end_config (marjoram_registrar *registrar,
+            struct marjoram_pending_request *pending,
             const struct marjoram_apply_answer *what)
 {
   int status = MARJORAM_STATUS_OK;
@@ -172,18 +176,19 @@
   marjoram_event (MARJORAM_EVENT_CONFIG,
                   "version=%" PRIu64 " taken=%s status=%d number=%" PRIu64
                   " held=%" PRIu64 " why=\"%s\"",
-                  waiting->version,
+                  pending->version,
                   what->result == MARJORAM_CHANGE_ACCEPTED ? "yes" : "no",
                   status, what->number, what->version,
                   what->message ? what->message : "");
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_CONFIGS,
                         status == MARJORAM_STATUS_OK);
-  marjoram_registrar_answer (registrar, waiting->ask, status, "{}");
-  marjoram_registrar_forget (registrar, waiting);
+  marjoram_registrar_answer (registrar, pending->ask, status, "{}");
+  marjoram_registrar_remove_pending (registrar, pending);
 }
 
 static void
-end_read (marjoram_registrar *registrar, struct marjoram_waiting *waiting,
+end_read (marjoram_registrar *registrar,
+          struct marjoram_pending_request *pending,
           const struct marjoram_apply_answer *what)
 {
   const struct marjoram_state *state
@@ -192,12 +197,12 @@
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
 
   if (what->outcome == MARJORAM_APPLY_DECIDED && file)
-    marjoram_registrar_answer (registrar, waiting->ask, MARJORAM_STATUS_OK,
+    marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
                                file->text);
   else
-    marjoram_registrar_answer (registrar, waiting->ask,
+    marjoram_registrar_answer (registrar, pending->ask,
                                MARJORAM_STATUS_UNAVAILABLE, "{}");
-  marjoram_registrar_forget (registrar, waiting);
+  marjoram_registrar_remove_pending (registrar, pending);
 }
 
 void
@@ -205,24 +210,24 @@
                             uint64_t request,
                             const struct marjoram_apply_answer *what)
 {
-  struct marjoram_waiting *waiting
-      = marjoram_registrar_find (registrar, request);
+  struct marjoram_pending_request *pending
+      = marjoram_registrar_find_pending (registrar, request);
 
   (void)now;
-  if (!waiting)
+  if (!pending)
     return;
-  switch (waiting->kind)
+  switch (pending->kind)
     {
-    case MARJORAM_WAIT_CONFIG:
-      end_config (registrar, waiting, what);
+    case MARJORAM_PENDING_CONFIG:
+      end_config (registrar, pending, what);
       break;
-    case MARJORAM_WAIT_READ:
-      end_read (registrar, waiting, what);
+    case MARJORAM_PENDING_READ:
+      end_read (registrar, pending, what);
       break;
-    case MARJORAM_WAIT_EVACUATION:
-      go_on_evacuating (registrar, waiting, what);
+    case MARJORAM_PENDING_EVACUATION:
+      continue_evacuation (registrar, pending, what);
       break;
-    case MARJORAM_WAIT_LEAVE:
+    case MARJORAM_PENDING_LEAVE:
       break;
     }
 }
--- a/src/registrar_private.h
+++ b/src/registrar_private.h
@@ -14,29 +14,29 @@
   MARJORAM_STATUS_NOT_FOUND = 404,
   MARJORAM_STATUS_UNAVAILABLE = 503,
   /* Response deadline; clients try another keeper after a second.  */
-  MARJORAM_ANSWER_WITHIN_MS = 900
+  MARJORAM_RESPONSE_TIMEOUT_MS = 900
 };
 
-enum marjoram_wait_kind
+enum marjoram_pending_kind
 {
-  MARJORAM_WAIT_LEAVE,
-  MARJORAM_WAIT_CONFIG,
-  MARJORAM_WAIT_READ,
-  MARJORAM_WAIT_EVACUATION
+  MARJORAM_PENDING_LEAVE,
+  MARJORAM_PENDING_CONFIG,
+  MARJORAM_PENDING_READ,
+  MARJORAM_PENDING_EVACUATION
 };
 
 /* A pending request that waits for other hosts.  Tickets and register requests
    share one sequence of numbers.  */
-struct marjoram_waiting
+struct marjoram_pending_request
 {
   uint64_t number; /* ticket or register request */
   uint64_t ask;
-  enum marjoram_wait_kind kind;
+  enum marjoram_pending_kind kind;
   int64_t deadline;
-  size_t missing; /* LEAVE: hosts yet to acknowledge */
+  size_t pending_acks; /* LEAVE: hosts yet to acknowledge */
   char zone[MARJORAM_ID_MAX];
   bool evacuated;
-  int tries;
+  int attempts;
   uint64_t version;
   UT_hash_handle hh;
 };
@@ -46,25 +46,27 @@
   struct marjoram_registrar_options options;
   const struct marjoram_registrar_ops *ops;
   void *context;
-  struct marjoram_waiting *waiting;
+  struct marjoram_pending_request *pending;
   uint64_t next_number;
-  int64_t gathered_at; /* first renewal in the pending batch; 0 if none */
+  int64_t renewals_since; /* first renewal in the pending batch; 0 if none */
   struct marjoram_route_table *table; /* parsed from state TABLE_NUMBER */
   uint64_t table_number;
 };
 
-void marjoram_registrar_forget (marjoram_registrar *registrar,
-                                struct marjoram_waiting *waiting);
+void
+marjoram_registrar_remove_pending (marjoram_registrar *registrar,
+                                   struct marjoram_pending_request *pending);
 /* BODY is a string or NULL.  */
 void marjoram_registrar_answer (marjoram_registrar *registrar, uint64_t ask,
                                 int status, const char *body);
-struct marjoram_waiting *
-marjoram_registrar_wait (marjoram_registrar *registrar, int64_t now,
-                         uint64_t ask, enum marjoram_wait_kind kind,
-                         int64_t within_ms);
+struct marjoram_pending_request *
+marjoram_registrar_add_pending (marjoram_registrar *registrar, int64_t now,
+                                uint64_t ask, enum marjoram_pending_kind kind,
+                                int64_t timeout_ms);
 /* NULL if no request is pending under NUMBER.  */
-struct marjoram_waiting *
-marjoram_registrar_find (marjoram_registrar *registrar, uint64_t number);
+struct marjoram_pending_request *
+marjoram_registrar_find_pending (marjoram_registrar *registrar,
+                                 uint64_t number);
 /* Logs invalid input and responds with status 400.  */
 void marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t ask,
                                 const char *target,
--- a/src/registry.c
+++ b/src/registry.c
@@ -90,7 +90,8 @@
 }
 
 static void
-forget (marjoram_registry *registry, struct marjoram_registered *upstream)
+remove_upstream (marjoram_registry *registry,
+                 struct marjoram_registered *upstream)
 {
   leave_service (registry, upstream);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
@@ -105,7 +106,7 @@
   if (!registry)
     return;
   while (!TAILQ_EMPTY (&registry->list))
-    forget (registry, TAILQ_FIRST (&registry->list));
+    remove_upstream (registry, TAILQ_FIRST (&registry->list));
   free (registry);
 }
 
@@ -144,8 +145,9 @@
 }
 
 static void
-take (marjoram_registry *registry, struct marjoram_registered *upstream,
-      int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
+store_news (marjoram_registry *registry, struct marjoram_registered *upstream,
+            int64_t now, const struct marjoram_upstream_news *news,
+            int64_t age_ms)
 {
   int64_t heard_at = now - age_ms;
 
@@ -160,8 +162,8 @@
 /* A delayed heartbeat may carry an address that a later instance has taken
    over; the most recently started instance keeps the address.  */
 static bool
-wins_address (marjoram_registry *registry,
-              const struct marjoram_upstream_news *news)
+resolve_address (marjoram_registry *registry,
+                 const struct marjoram_upstream_news *news)
 {
   struct marjoram_registered *other;
 
@@ -187,11 +189,11 @@
 
   /* A deregistration of an unknown upstream is recorded too, as delayed
      heartbeats may follow it.  */
-  if (news->state != MARJORAM_NEWS_GONE && !wins_address (registry, news))
+  if (news->state != MARJORAM_NEWS_GONE && !resolve_address (registry, news))
     return MARJORAM_HEARING_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
-  upstream->spoke_at = INT64_MIN;
-  take (registry, upstream, now, news, age_ms);
+  upstream->direct_heard_at = INT64_MIN;
+  store_news (registry, upstream, now, news, age_ms);
   TAILQ_INSERT_TAIL (&registry->list, upstream, link);
   HASH_ADD_STR (registry->by_id, news.id, upstream);
   return MARJORAM_HEARING_CHANGED;
@@ -221,7 +223,7 @@
   if (before == MARJORAM_NEWS_GONE
       || news->sequence <= upstream->news.sequence)
     return MARJORAM_HEARING_STALE;
-  take (registry, upstream, now, news, age_ms);
+  store_news (registry, upstream, now, news, age_ms);
   if (upstream->news.state < before)
     upstream->news.state = before;
   return upstream->news.state != before || moved || news->cold_ms > 0
@@ -247,9 +249,9 @@
     return MARJORAM_HEARING_STALE;
   if (news->born > upstream->news.born)
     {
-      if (!wins_address (registry, news))
+      if (!resolve_address (registry, news))
         return MARJORAM_HEARING_STALE;
-      take (registry, upstream, now, news, age_ms);
+      store_news (registry, upstream, now, news, age_ms);
       return MARJORAM_HEARING_CHANGED;
     }
   return renew (registry, upstream, now, news, age_ms);
@@ -285,13 +287,13 @@
 
       if (now - upstream->heard_at > FORGET_MS
           && registry->heard_at - upstream->heard_at > SILENT_MS)
-        forget (registry, upstream);
+        remove_upstream (registry, upstream);
       upstream = next;
     }
 }
 
 static int64_t
-left (int64_t until, int64_t now)
+remaining_ms (int64_t until, int64_t now)
 {
   return until > now ? until - now : 0;
 }
@@ -310,16 +312,17 @@
     .state = news->state,
     .born = news->born,
     .sequence = news->sequence,
-    .cold_ms = left (upstream->cold_until, now),
-    .ends_ms
-    = upstream->ends_at == INT64_MAX ? -1 : left (upstream->ends_at, now),
+    .cold_ms = remaining_ms (upstream->cold_until, now),
+    .ends_ms = upstream->ends_at == INT64_MAX
+                   ? -1
+                   : remaining_ms (upstream->ends_at, now),
     .age_ms = now - upstream->heard_at,
     .slots = news->slots,
   };
 }
 
 static bool
-copy (char target[MARJORAM_ID_MAX], const char *text)
+copy_id (char target[MARJORAM_ID_MAX], const char *text)
 {
   if (!text || strlen (text) >= MARJORAM_ID_MAX)
     return false;
@@ -332,9 +335,10 @@
                           struct marjoram_upstream_news *news)
 {
   memset (news, 0, sizeof *news);
-  if (!copy (news->id, item->id) || !copy (news->service, item->service)
-      || !copy (news->address, item->address) || !copy (news->zone, item->zone)
-      || item->state > MARJORAM_NEWS_GONE || item->age_ms < 0)
+  if (!copy_id (news->id, item->id) || !copy_id (news->service, item->service)
+      || !copy_id (news->address, item->address)
+      || !copy_id (news->zone, item->zone) || item->state > MARJORAM_NEWS_GONE
+      || item->age_ms < 0)
     return false;
   news->state = (enum marjoram_news_state)item->state;
   news->born = item->born;
--- a/src/registry.h
+++ b/src/registry.h
@@ -21,9 +21,10 @@
   TAILQ_ENTRY (marjoram_registered) service_link;
   struct marjoram_registered_service *service;
   struct marjoram_upstream_news
-      news;         /* latest heartbeat, durations as received */
-  int64_t heard_at; /* when a keeper received the heartbeat */
-  int64_t spoke_at; /* last heartbeat received directly; INT64_MIN if none */
+      news;                /* latest heartbeat, durations as received */
+  int64_t heard_at;        /* when a keeper received the heartbeat */
+  int64_t direct_heard_at; /* last heartbeat received directly; INT64_MIN if
+                              none */
   int64_t cold_until;
   int64_t ends_at; /* INT64_MAX if unknown */
   UT_hash_handle hh;
--- a/src/shortage.c
+++ b/src/shortage.c
@@ -8,10 +8,10 @@
 enum
 {
   /* A shortage ends after this long without rejections.  */
-  PAUSE_MS = 500,
+  SHORTAGE_END_MS = 500,
   /* Upper limit of the part of the delay that follows from the duration of the
      shortage.  */
-  AGAIN_MAX_MS = 4000
+  RETRY_MAX_MS = 4000
 };
 
 struct shortage
@@ -74,13 +74,13 @@
                            const char *service, int64_t at_least_ms)
 {
   struct shortage *shortage = find (shortages, now, service);
-  int64_t lasted;
+  int64_t duration_ms;
 
-  if (now > shortage->last + PAUSE_MS)
+  if (now > shortage->last + SHORTAGE_END_MS)
     shortage->since = now;
   shortage->last = now;
-  lasted = now - shortage->since;
-  if (lasted > AGAIN_MAX_MS)
-    lasted = AGAIN_MAX_MS;
-  return lasted > at_least_ms ? lasted : at_least_ms;
+  duration_ms = now - shortage->since;
+  if (duration_ms > RETRY_MAX_MS)
+    duration_ms = RETRY_MAX_MS;
+  return duration_ms > at_least_ms ? duration_ms : at_least_ms;
 }
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -120,7 +120,7 @@
 }
 
 static void
-hear_all (struct load *load, int64_t now)
+send_heartbeats (struct load *load, int64_t now)
 {
   for (int i = 0; i < load->terms->engines; i++)
     {
@@ -136,7 +136,7 @@
 }
 
 static void
-open_load (struct load *load)
+setup_load (struct load *load)
 {
   struct marjoram_placement_options options = { .region = "r",
                                                 .region_of = region_of,
@@ -171,7 +171,7 @@
 }
 
 static void
-close_load (struct load *load)
+teardown_load (struct load *load)
 {
   struct seen_part *part;
   struct seen_part *next;
@@ -205,7 +205,7 @@
 /* ---- Engines.  ---- */
 
 static bool
-was_seen (struct load *load, uint64_t id)
+mark_seen (struct load *load, uint64_t id)
 {
   struct seen_part *part;
 
@@ -228,7 +228,7 @@
 
   for (size_t i = 0; i < facts->part_count; i++)
     {
-      bool again = was_seen (load, facts->parts[i].id);
+      bool again = mark_seen (load, facts->parts[i].id);
 
       if (before >= kept)
         {
@@ -405,7 +405,7 @@
 }
 
 static struct sim_engine *
-choose_simply (struct load *load)
+choose_by_policy (struct load *load)
 {
   struct sim_engine *best = &load->engines[0];
 
@@ -431,7 +431,7 @@
 
   if (load->terms->way < LOAD_PLACED)
     {
-      start_job (load, choose_simply (load), NULL, job);
+      start_job (load, choose_by_policy (load), NULL, job);
       return;
     }
   marjoram_placement_choose (placement, now, &query, &place);
@@ -450,7 +450,7 @@
 }
 
 static void
-ask (struct load *load, int64_t now, double per_s, bool review)
+generate_request (struct load *load, int64_t now, double per_s, bool review)
 {
   enum
   {
@@ -465,19 +465,19 @@
 }
 
 static void
-tell_hosts (struct load *load, int64_t now)
+exchange_reports (struct load *load, int64_t now)
 {
   for (int from = 0; from < load->terms->hosts; from++)
     {
-      struct marjoram_load_report told;
+      struct marjoram_load_report report;
       char name[16];
 
       snprintf (name, sizeof name, "h%d", from);
-      marjoram_placement_report (load->placements[from], &told);
+      marjoram_placement_report (load->placements[from], &report);
       for (int to = 0; to < load->terms->hosts; to++)
         if (to != from)
-          marjoram_placement_hear (load->placements[to], now, name, &told);
-      marjoram_wire_clear (&marjoram_load_report_layout, &told);
+          marjoram_placement_hear (load->placements[to], now, name, &report);
+      marjoram_wire_clear (&marjoram_load_report_layout, &report);
     }
 }
 
@@ -489,19 +489,19 @@
   memset (result, 0, sizeof *result);
   load->terms = terms;
   load->result = result;
-  open_load (load);
+  setup_load (load);
   for (int64_t now = 0; now < terms->span_ms; now++)
     {
       if (now % REPORT_MS == 0)
         {
-          hear_all (load, now);
-          tell_hosts (load, now);
+          send_heartbeats (load, now);
+          exchange_reports (load, now);
         }
-      ask (load, now, terms->reviews_per_s, true);
-      ask (load, now, terms->asks_per_s, false);
+      generate_request (load, now, terms->reviews_per_s, true);
+      generate_request (load, now, terms->asks_per_s, false);
       for (int i = 0; i < terms->engines; i++)
         run_engine (load, &load->engines[i], now);
     }
-  close_load (load);
+  teardown_load (load);
   free (load);
 }
--- a/test/test_engine_survey.c
+++ b/test/test_engine_survey.c
@@ -21,10 +21,10 @@
 static marjoram_engine_survey *survey;
 static char address[64];
 static const char *answer;
-static int asked;
-static int told;
-static size_t told_count;
-static struct marjoram_prompt_part first_told;
+static int query_count;
+static int reported;
+static size_t reported_count;
+static struct marjoram_prompt_part first_reported;
 
 static void
 on_request (void *context, uint64_t call,
@@ -34,7 +34,7 @@
 
   (void)context;
   ck_assert_str_eq (request->target, "/-/kv-list");
-  asked++;
+  query_count++;
   marjoram_http_server_head (engine, call, 200, &headers,
                              (int64_t)strlen (answer));
   marjoram_http_server_data (engine, call, answer, strlen (answer));
@@ -66,10 +66,10 @@
 {
   (void)context;
   ck_assert_str_eq (id, "e1");
-  told++;
-  told_count = count;
+  reported++;
+  reported_count = count;
   if (count > 0)
-    first_told = parts[0];
+    first_reported = parts[0];
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
@@ -82,7 +82,7 @@
 
   signal (SIGPIPE, SIG_IGN);
   base = event_base_new ();
-  asked = told = 0;
+  query_count = reported = 0;
   for (int port = 20200; port < 20300 && !engine; port++)
     {
       snprintf (address, sizeof address, "127.78.%d.%d:%d",
@@ -122,15 +122,15 @@
 }
 
 static bool
-is_told (void)
+is_reported (void)
 {
-  return told > 0;
+  return reported > 0;
 }
 
 static bool
 is_over (void)
 {
-  return marjoram_engine_survey_open (survey) == 0;
+  return marjoram_engine_survey_pending (survey) == 0;
 }
 
 /* Guards against repeated prefill of cached parts after all hosts have
@@ -141,11 +141,11 @@
            "[\"\",\"91bd3f06\",410,\"m\"]]}";
   marjoram_engine_survey_ask (survey, "e1", address);
   marjoram_engine_survey_ask (survey, "e1", address);
-  run_until (is_told);
-  ck_assert_int_eq (asked, 1);
-  ck_assert_uint_eq (told_count, 2);
-  ck_assert_uint_eq (first_told.id, 0x5c1e07a2);
-  ck_assert_int_eq (first_told.tokens, 800);
+  run_until (is_reported);
+  ck_assert_int_eq (query_count, 1);
+  ck_assert_uint_eq (reported_count, 2);
+  ck_assert_uint_eq (first_reported.id, 0x5c1e07a2);
+  ck_assert_int_eq (first_reported.tokens, 800);
 }
 END_TEST
 
@@ -155,9 +155,9 @@
   answer = "{\"held\":[[\"\",\"zz\",800,\"m\"],7,[\"\",\"1f\",\"x\"],"
            "[\"\",\"1f\",0],[\"\",\"2f\",5,\"m\"]]}";
   marjoram_engine_survey_ask (survey, "e1", address);
-  run_until (is_told);
-  ck_assert_uint_eq (told_count, 1);
-  ck_assert_uint_eq (first_told.id, 0x2f);
+  run_until (is_reported);
+  ck_assert_uint_eq (reported_count, 1);
+  ck_assert_uint_eq (first_reported.id, 0x2f);
 }
 END_TEST
 
@@ -166,7 +166,7 @@
   answer = "[]";
   marjoram_engine_survey_ask (survey, "e1", address);
   run_until (is_over);
-  ck_assert_int_eq (told, 0);
+  ck_assert_int_eq (reported, 0);
 }
 END_TEST
 
@@ -177,7 +177,7 @@
   engine = NULL;
   marjoram_engine_survey_ask (survey, "e1", address);
   run_until (is_over);
-  ck_assert_int_eq (told, 0);
+  ck_assert_int_eq (reported, 0);
 }
 END_TEST
 
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -63,7 +63,7 @@
 }
 
 static void
-hear_upstream (struct fleet *fleet, int number)
+receive_upstream (struct fleet *fleet, int number)
 {
   struct marjoram_upstream_news news = { 0 };
 
@@ -79,7 +79,7 @@
 }
 
 static void
-hear_beat (struct fleet *fleet, int number)
+receive_beat (struct fleet *fleet, int number)
 {
   char name[16];
   const struct marjoram_host_beat beat
@@ -96,9 +96,9 @@
 }
 
 static void
-hear_from (struct fleet *fleet, int number,
-           void (*hear) (struct fleet *fleet, const char *host,
-                         const struct marjoram_load_report *report))
+receive_from (struct fleet *fleet, int number,
+              void (*receive) (struct fleet *fleet, const char *host,
+                               const struct marjoram_load_report *report))
 {
   struct marjoram_load_item items[ITEMS];
   char ids[ITEMS][16];
@@ -114,37 +114,37 @@
                                               .running = 1,
                                               .answer_tokens = 1 };
     }
-  hear (fleet, name, &report);
+  receive (fleet, name, &report);
 }
 
 static void
-hear_as_placement (struct fleet *fleet, const char *host,
-                   const struct marjoram_load_report *report)
+apply_to_placement (struct fleet *fleet, const char *host,
+                    const struct marjoram_load_report *report)
 {
   marjoram_placement_hear (fleet->placement, fleet->now, host, report);
 }
 
 static void
-hear_as_collector (struct fleet *fleet, const char *host,
-                   const struct marjoram_load_report *report)
+apply_to_collector (struct fleet *fleet, const char *host,
+                    const struct marjoram_load_report *report)
 {
   marjoram_load_collector_hear (fleet->collector, fleet->now, host, report);
 }
 
 static void
-hear_report (struct fleet *fleet, int number)
+receive_report (struct fleet *fleet, int number)
 {
-  hear_from (fleet, number, hear_as_placement);
+  receive_from (fleet, number, apply_to_placement);
 }
 
 static void
 collect_report (struct fleet *fleet, int number)
 {
-  hear_from (fleet, number, hear_as_collector);
+  receive_from (fleet, number, apply_to_collector);
 }
 
 static void
-hear_repeats (struct fleet *fleet, int number)
+receive_repeats (struct fleet *fleet, int number)
 {
   struct marjoram_repeat_use use = { (char *)"lm", 10, 1, true };
   struct marjoram_repeat_use answered[MARJORAM_REPEAT_USES_MAX];
@@ -191,14 +191,14 @@
 }
 
 static void
-hear_all (struct fleet *fleet)
+receive_all (struct fleet *fleet)
 {
   for (int i = 0; i < fleet->hosts; i++)
     {
-      hear_beat (fleet, i);
-      hear_report (fleet, i);
+      receive_beat (fleet, i);
+      receive_report (fleet, i);
       collect_report (fleet, i);
-      hear_repeats (fleet, i);
+      receive_repeats (fleet, i);
     }
 }
 
@@ -228,10 +228,10 @@
   fleet->facts.prompt_tokens = 100;
   fleet->now = 1000;
   for (int i = 0; i < UPSTREAMS; i++)
-    hear_upstream (fleet, i);
-  hear_all (fleet);
+    receive_upstream (fleet, i);
+  receive_all (fleet);
   fleet->now += 10;
-  hear_all (fleet);
+  receive_all (fleet);
   return fleet;
 }
 
@@ -281,13 +281,13 @@
 
 START_TEST (a_beat_costs_the_same_in_any_fleet)
 {
-  check_growth ("beat", hear_beat);
+  check_growth ("beat", receive_beat);
 }
 END_TEST
 
 START_TEST (a_report_costs_the_same_in_any_fleet)
 {
-  check_growth ("report", hear_report);
+  check_growth ("report", receive_report);
 }
 END_TEST
 
@@ -311,7 +311,7 @@
 
 START_TEST (sums_of_repeats_cost_the_same_in_any_fleet)
 {
-  check_growth ("repeats", hear_repeats);
+  check_growth ("repeats", receive_repeats);
 }
 END_TEST
 
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -39,7 +39,8 @@
 }
 
 static void
-hear (int64_t now, const char *name, const char *zone, const char *region)
+receive_beat (int64_t now, const char *name, const char *zone,
+              const char *region)
 {
   struct marjoram_host_beat made
       = beat (name, zone, region, (uint64_t)now + 1);
@@ -62,10 +63,10 @@
 
 START_TEST (own_zone_first_then_region_then_home)
 {
-  hear (0, "h1", "z1", "r1");
-  hear (0, "h2", "z2", "r1");
-  hear (0, "h3", "z3", "r2");
-  hear (0, "h4", "z4", "r3");
+  receive_beat (0, "h1", "z1", "r1");
+  receive_beat (0, "h2", "z2", "r1");
+  receive_beat (0, "h3", "z3", "r2");
+  receive_beat (0, "h4", "z4", "r3");
   ck_assert_uint_eq (look_up (100, "z1", "r1"), 1);
   ck_assert_str_eq (found[0], "h1");
   ck_assert_int_eq (reach, MARJORAM_REACH_ZONE);
@@ -80,10 +81,10 @@
 /* Guards against lookups that return a host two seconds after its death.  */
 START_TEST (dead_host_is_left_out_in_time)
 {
-  hear (0, "h1", "z1", "r1");
-  hear (0, "h2", "z1", "r1");
+  receive_beat (0, "h1", "z1", "r1");
+  receive_beat (0, "h2", "z1", "r1");
   for (int64_t now = 300; now <= 1800; now += 300)
-    hear (now, "h2", "z1", "r1");
+    receive_beat (now, "h2", "z1", "r1");
   ck_assert_uint_eq (look_up (1900, "z1", "r1"), 1);
   ck_assert_str_eq (found[0], "h2");
 }
@@ -94,7 +95,7 @@
 {
   struct marjoram_host_beat made = beat ("h1", "z1", "r1", 2);
 
-  hear (0, "h1", "z1", "r1");
+  receive_beat (0, "h1", "z1", "r1");
   made.ready = false;
   made.leaving = true;
   ck_assert (marjoram_host_list_hear (list, 10, &made, true));
@@ -120,14 +121,14 @@
 {
   const char *owner;
 
-  hear (0, "h1", "z1", "r1");
-  hear (0, "h2", "z1", "r1");
-  hear (0, "h3", "z3", "r2");
+  receive_beat (0, "h1", "z1", "r1");
+  receive_beat (0, "h2", "z1", "r1");
+  receive_beat (0, "h3", "z3", "r2");
   owner = marjoram_host_list_owner (list, 10, "r1", "upstream-7");
   ck_assert (strcmp (owner, "h1") == 0 || strcmp (owner, "h2") == 0);
   ck_assert_ptr_null (marjoram_host_list_owner (list, 9000, "r1", "a"));
   /* The other host takes over.  */
-  hear (9000, strcmp (owner, "h1") == 0 ? "h2" : "h1", "z1", "r1");
+  receive_beat (9000, strcmp (owner, "h1") == 0 ? "h2" : "h1", "z1", "r1");
   ck_assert_str_ne (marjoram_host_list_owner (list, 9000, "r1", "upstream-7"),
                     owner);
 }
@@ -137,8 +138,8 @@
    budget at once.  */
 START_TEST (dead_entries_count_for_a_while)
 {
-  hear (0, "h1", "z1", "r1");
-  hear (0, "h2", "z1", "r1");
+  receive_beat (0, "h1", "z1", "r1");
+  receive_beat (0, "h2", "z1", "r1");
   marjoram_host_list_tick (list, 5000);
   ck_assert_uint_eq (marjoram_host_list_entries (list), 2);
   marjoram_host_list_tick (list, 90000);
@@ -150,8 +151,8 @@
    late.  */
 START_TEST (late_host_takes_nobody_for_dead)
 {
-  hear (0, "h1", "z1", "r1");
-  hear (2000, "h2", "z1", "r1");
+  receive_beat (0, "h1", "z1", "r1");
+  receive_beat (2000, "h2", "z1", "r1");
   marjoram_host_list_set_late (list, 1500);
   ck_assert_uint_eq (look_up (2000, "z1", "r1"), 2);
   ck_assert_uint_eq (look_up (2900, "z1", "r1"), 1);
@@ -206,7 +207,7 @@
   marjoram_host_list_set_beat (list, region, 900);
   free (region);
   region = marjoram_strdup ("xx");
-  hear (0, "h", "z1", "za");
+  receive_beat (0, "h", "z1", "za");
   ck_assert_uint_eq (marjoram_host_list_serving (list, 3000, "za"), 1);
   ck_assert_uint_eq (marjoram_host_list_serving (list, 4000, "za"), 0);
   free (region);
@@ -215,10 +216,10 @@
 
 START_TEST (a_broken_connection_counts_as_death_until_the_next_beat)
 {
-  hear (0, "h", "z1", "za");
+  receive_beat (0, "h", "z1", "za");
   marjoram_host_list_lost (list, 100, "h");
   ck_assert_uint_eq (marjoram_host_list_serving (list, 100, "za"), 0);
-  hear (300, "h", "z1", "za");
+  receive_beat (300, "h", "z1", "za");
   ck_assert_uint_eq (marjoram_host_list_serving (list, 300, "za"), 1);
 }
 END_TEST
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -22,8 +22,8 @@
 }
 
 static void
-tell (int64_t now, const char *host, const char *upstream, uint64_t running,
-      bool whole)
+report_load (int64_t now, const char *host, const char *upstream,
+             uint64_t running, bool whole)
 {
   struct marjoram_load_item item
       = { .upstream = (char *)upstream, .running = running };
@@ -37,7 +37,7 @@
 /* Running requests reported for UPSTREAM at NOW; -1 if it is not in the
    report.  */
 static int64_t
-told (int64_t now, const char *upstream)
+reported_running (int64_t now, const char *upstream)
 {
   struct marjoram_load_report report;
   const struct marjoram_load_item *items;
@@ -54,46 +54,46 @@
 
 START_TEST (sums_follow_changes)
 {
-  tell (1000, "a", "u", 2, false);
-  tell (1000, "b", "u", 3, false);
-  ck_assert_int_eq (told (1100, "u"), 5);
-  ck_assert_int_eq (told (1200, "u"), -1);
-  tell (1250, "a", "u", 1, false);
-  ck_assert_int_eq (told (1300, "u"), 4);
-  tell (1350, "a", "u", 0, false);
-  tell (1350, "b", "u", 0, false);
-  ck_assert_int_eq (told (1400, "u"), 0);
-  ck_assert_int_eq (told (2500, "u"), -1);
+  report_load (1000, "a", "u", 2, false);
+  report_load (1000, "b", "u", 3, false);
+  ck_assert_int_eq (reported_running (1100, "u"), 5);
+  ck_assert_int_eq (reported_running (1200, "u"), -1);
+  report_load (1250, "a", "u", 1, false);
+  ck_assert_int_eq (reported_running (1300, "u"), 4);
+  report_load (1350, "a", "u", 0, false);
+  report_load (1350, "b", "u", 0, false);
+  ck_assert_int_eq (reported_running (1400, "u"), 0);
+  ck_assert_int_eq (reported_running (2500, "u"), -1);
 }
 END_TEST
 
 START_TEST (a_whole_report_ends_what_it_leaves_out)
 {
-  tell (1000, "a", "u", 2, false);
-  tell (1000, "a", "v", 3, true);
-  ck_assert_int_eq (told (1100, "u"), 0);
-  tell (1150, "a", "v", 3, false);
-  ck_assert_int_eq (told (1200, "v"), 3);
+  report_load (1000, "a", "u", 2, false);
+  report_load (1000, "a", "v", 3, true);
+  ck_assert_int_eq (reported_running (1100, "u"), 0);
+  report_load (1150, "a", "v", 3, false);
+  ck_assert_int_eq (reported_running (1200, "v"), 3);
 }
 END_TEST
 
 /* Guards against counting the load of a dead host for good.  */
 START_TEST (a_silent_host_is_taken_off)
 {
-  tell (1000, "a", "u", 2, false);
-  tell (2000, "b", "u", 1, false);
-  ck_assert_int_eq (told (2100, "u"), 3);
-  ck_assert_int_eq (told (3100, "u"), 1);
+  report_load (1000, "a", "u", 2, false);
+  report_load (2000, "b", "u", 1, false);
+  ck_assert_int_eq (reported_running (2100, "u"), 3);
+  ck_assert_int_eq (reported_running (3100, "u"), 1);
 }
 END_TEST
 
 /* Guards against lasting errors at a host that missed some reports.  */
 START_TEST (all_sums_are_told_now_and_then)
 {
-  tell (1000, "a", "u", 2, false);
-  ck_assert_int_eq (told (1100, "u"), 2);
-  tell (2050, "a", "v", 1, false);
-  ck_assert_int_eq (told (2150, "u"), 2);
+  report_load (1000, "a", "u", 2, false);
+  ck_assert_int_eq (reported_running (1100, "u"), 2);
+  report_load (2050, "a", "v", 1, false);
+  ck_assert_int_eq (reported_running (2150, "u"), 2);
 }
 END_TEST
 
@@ -222,7 +222,7 @@
 }
 
 static void
-sum_up (struct pair *pair, int64_t now)
+distribute_totals (struct pair *pair, int64_t now)
 {
   struct marjoram_load_report sums;
 
@@ -242,7 +242,7 @@
   own = backlog (pair, 0, 1000);
   ck_assert_int_gt (own, 0);
   report (pair, 0, 1050);
-  sum_up (pair, 1100);
+  distribute_totals (pair, 1100);
   ck_assert_int_eq (backlog (pair, 1, 1100), own);
   ck_assert_int_eq (backlog (pair, 0, 1300), own);
   pair_destroy (pair);
@@ -260,11 +260,11 @@
   one = backlog (pair, 0, 1000);
   start (pair, 1, 1000);
   report (pair, 1, 1050);
-  sum_up (pair, 1100);
+  distribute_totals (pair, 1100);
   ck_assert_int_ge (backlog (pair, 0, 1100), 2 * one - 1);
   report (pair, 0, 1110);
   ck_assert_int_ge (backlog (pair, 0, 1120), 2 * one - 1);
-  sum_up (pair, 1200);
+  distribute_totals (pair, 1200);
   ck_assert_int_ge (backlog (pair, 0, 1400), 2 * one - 1);
   ck_assert_int_le (backlog (pair, 0, 1400), 2 * one + 1);
   pair_destroy (pair);
@@ -278,7 +278,7 @@
 
   start (pair, 0, 1000);
   report (pair, 0, 1050);
-  sum_up (pair, 1100);
+  distribute_totals (pair, 1100);
   ck_assert_int_gt (backlog (pair, 1, 3000), 0);
   ck_assert_int_eq (backlog (pair, 1, 3200), 0);
   pair_destroy (pair);
--- a/test/test_own_lag.c
+++ b/test/test_own_lag.c
@@ -19,9 +19,9 @@
 {
   struct marjoram_link_lag lag;
   int64_t heard_at;
-  int64_t asked_at[BEATS_MAX];
-  int asked;
-  bool gone;
+  int64_t sent_at[BEATS_MAX];
+  int pending;
+  bool dead;
 };
 
 static struct peer peers[LINKS];
@@ -43,30 +43,30 @@
 static void
 send_beat (struct peer *peer)
 {
-  ck_assert_int_lt (peer->asked, BEATS_MAX);
+  ck_assert_int_lt (peer->pending, BEATS_MAX);
   marjoram_link_lag_sent (&peer->lag, now);
-  peer->asked_at[peer->asked++] = now;
+  peer->sent_at[peer->pending++] = now;
 }
 
 /* Processes the acknowledgements that were under way for LATE_MS.  */
 static void
-hear (struct peer *peer, int64_t late_ms)
+receive_acks (struct peer *peer, int64_t late_ms)
 {
   int taken = 0;
 
-  while (taken < peer->asked && peer->asked_at[taken] + late_ms <= now)
+  while (taken < peer->pending && peer->sent_at[taken] + late_ms <= now)
     {
       marjoram_link_lag_answered (&peer->lag, now);
       peer->heard_at = now;
       taken++;
     }
-  for (int i = taken; i < peer->asked; i++)
-    peer->asked_at[i - taken] = peer->asked_at[i];
-  peer->asked -= taken;
+  for (int i = taken; i < peer->pending; i++)
+    peer->sent_at[i - taken] = peer->sent_at[i];
+  peer->pending -= taken;
 }
 
 static void
-look (void)
+measure (void)
 {
   marjoram_own_lag_begin (&own);
   for (int i = 0; i < LINKS; i++)
@@ -77,27 +77,27 @@
 /* Advances the clock by MS while acknowledgements take LATE_MS.  PARTS: parts
    of large frames arrive all the time.  */
 static void
-pass (int64_t ms, int64_t late_ms, bool parts)
+advance (int64_t ms, int64_t late_ms, bool parts)
 {
   for (int64_t end = now + ms; now < end; now += TICK_MS)
     {
       for (int i = 0; i < LINKS; i++)
         {
-          if (!peers[i].gone)
-            hear (&peers[i], late_ms);
+          if (!peers[i].dead)
+            receive_acks (&peers[i], late_ms);
           if (now % BEAT_MS == 0)
             send_beat (&peers[i]);
         }
       if (parts)
         peers[0].heard_at = now;
-      look ();
+      measure ();
     }
 }
 
 START_TEST (host_that_hears_well_has_no_lag)
 {
   ck_assert_int_eq (own.ms, 0);
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
   ck_assert_int_le (own.ms, TICK_MS);
 }
 END_TEST
@@ -108,12 +108,12 @@
 {
   const int64_t known_ms = 2000 - BEAT_MS - TICK_MS;
 
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  pass (2000, QUIET_MS, true);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (2000, QUIET_MS, true);
   ck_assert_int_ge (own.ms, known_ms);
-  pass (1000, 2000, true);
+  advance (1000, 2000, true);
   ck_assert_int_ge (own.ms, known_ms);
-  pass (1300, ROUND_TRIP_MS, false);
+  advance (1300, ROUND_TRIP_MS, false);
   ck_assert_int_le (own.ms, TICK_MS);
 }
 END_TEST
@@ -122,13 +122,13 @@
    recovered.  */
 START_TEST (lag_is_held_until_others_recover)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  pass (2000, QUIET_MS, true);
-  hear (&peers[0], ROUND_TRIP_MS);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (2000, QUIET_MS, true);
+  receive_acks (&peers[0], ROUND_TRIP_MS);
   send_beat (&peers[0]);
   now += TICK_MS;
-  hear (&peers[0], ROUND_TRIP_MS);
-  look ();
+  receive_acks (&peers[0], ROUND_TRIP_MS);
+  measure ();
   ck_assert_int_ge (own.ms, 2000 - BEAT_MS - TICK_MS);
 }
 END_TEST
@@ -137,11 +137,11 @@
    buffers after a stall of the event loop.  */
 START_TEST (stalled_loop_makes_all_late)
 {
-  pass (QUIET_MS - QUIET_MS % BEAT_MS + TICK_MS, ROUND_TRIP_MS, false);
-  ck_assert_int_gt (peers[0].asked, 0);
+  advance (QUIET_MS - QUIET_MS % BEAT_MS + TICK_MS, ROUND_TRIP_MS, false);
+  ck_assert_int_gt (peers[0].pending, 0);
   now += 2000;
-  hear (&peers[0], ROUND_TRIP_MS);
-  look ();
+  receive_acks (&peers[0], ROUND_TRIP_MS);
+  measure ();
   ck_assert_int_ge (own.ms, 2000 - TICK_MS);
 }
 END_TEST
@@ -149,12 +149,12 @@
 /* Guards against missing a stall during which no heartbeat was pending.  */
 START_TEST (stalled_loop_is_late_between_beats)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
   while (now % BEAT_MS != BEAT_MS / 2)
-    pass (TICK_MS, ROUND_TRIP_MS, false);
-  ck_assert_int_eq (peers[0].asked, 0);
+    advance (TICK_MS, ROUND_TRIP_MS, false);
+  ck_assert_int_eq (peers[0].pending, 0);
   now += 2000;
-  look ();
+  measure ();
   ck_assert_int_ge (own.ms, 2000);
 }
 END_TEST
@@ -162,10 +162,10 @@
 /* Guards against attributing the delay of dead or slow peers to this host.  */
 START_TEST (late_peers_dont_make_the_host_late)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  peers[0].gone = true;
-  peers[1].gone = true;
-  pass (QUIET_MS, ROUND_TRIP_MS, true);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  peers[0].dead = true;
+  peers[1].dead = true;
+  advance (QUIET_MS, ROUND_TRIP_MS, true);
   ck_assert_int_le (own.ms, TICK_MS);
 }
 END_TEST
@@ -174,8 +174,8 @@
    connections open.  */
 START_TEST (cut_off_host_is_not_late)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  pass (1500, QUIET_MS, false);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (1500, QUIET_MS, false);
   ck_assert_int_le (own.ms, TICK_MS);
 }
 END_TEST
@@ -184,13 +184,13 @@
    the slow one.  */
 START_TEST (single_link_tells_nothing)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
   marjoram_link_lag_start (&peers[1].lag);
   marjoram_link_lag_start (&peers[2].lag);
-  peers[0].gone = true;
-  peers[1].gone = true;
-  peers[2].gone = true;
-  pass (2000, QUIET_MS, true);
+  peers[0].dead = true;
+  peers[1].dead = true;
+  peers[2].dead = true;
+  advance (2000, QUIET_MS, true);
   ck_assert_int_le (own.ms, TICK_MS);
 }
 END_TEST
@@ -198,11 +198,11 @@
 /* Guards against a new connection without a measurement ending the lag.  */
 START_TEST (new_link_hides_no_lag)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  pass (2000, QUIET_MS, true);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (2000, QUIET_MS, true);
   marjoram_link_lag_start (&peers[2].lag);
-  peers[2].asked = 0;
-  pass (1000, QUIET_MS, true);
+  peers[2].pending = 0;
+  advance (1000, QUIET_MS, true);
   ck_assert_int_ge (own.ms, 2000);
 }
 END_TEST
@@ -210,8 +210,8 @@
 /* Guards against a lag so large that dead peers are not detected.  */
 START_TEST (lag_is_bounded)
 {
-  pass (QUIET_MS, ROUND_TRIP_MS, false);
-  pass (LONG_MS / 2, LONG_MS, true);
+  advance (QUIET_MS, ROUND_TRIP_MS, false);
+  advance (LONG_MS / 2, LONG_MS, true);
   ck_assert_int_eq (own.ms, 3000);
 }
 END_TEST
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -54,7 +54,7 @@
 }
 
 static void
-hear_host (int64_t now, const char *name)
+receive_host_beat (int64_t now, const char *name)
 {
   struct marjoram_host_beat beat = { .name = (char *)name,
                                      .zone = (char *)"za",
@@ -75,7 +75,7 @@
   registry = marjoram_registry_create ();
   hosts = marjoram_host_list_create ();
   placement = create ("h1");
-  hear_host (0, "h1");
+  receive_host_beat (0, "h1");
 }
 
 static void
@@ -87,8 +87,8 @@
 }
 
 static void
-hear_full (int64_t now, const char *service, const char *id, const char *zone,
-           int64_t cold_ms, int64_t sequence)
+receive_upstream (int64_t now, const char *service, const char *id,
+                  const char *zone, int64_t cold_ms, int64_t sequence)
 {
   struct marjoram_upstream_news news = { .born = 1,
                                          .sequence = sequence,
@@ -104,9 +104,9 @@
 }
 
 static void
-hear (int64_t now, const char *id)
+receive (int64_t now, const char *id)
 {
-  hear_full (now, "lm", id, "za", 0, now + 1);
+  receive_upstream (now, "lm", id, "za", 0, now + 1);
 }
 
 /* A prompt that consists of a shared part and one of its own.  */
@@ -125,7 +125,7 @@
 }
 
 static struct marjoram_place_query
-ask_for (const struct marjoram_call_facts *facts, int priority)
+make_query (const struct marjoram_call_facts *facts, int priority)
 {
   struct marjoram_place_query query = {
     .service = &engine, .facts = facts, .priority = priority, .useful_ms = 1000
@@ -157,11 +157,11 @@
 {
   const struct marjoram_prompt_part kept = { 7, 4000 };
   struct marjoram_call_facts facts = prompt (7, 4000, 100, 500);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
-  hear (0, "2");
-  hear (0, "3");
+  receive (0, "1");
+  receive (0, "2");
+  receive (0, "3");
   marjoram_placement_keeps (placement, "2", &kept, 1);
   ck_assert_str_eq (place (10, &query).upstream->news.id, "2");
   marjoram_placement_keeps (placement, "3", &kept, 1);
@@ -172,11 +172,11 @@
 START_TEST (prompt_goes_where_its_part_is_kept)
 {
   struct marjoram_call_facts first = prompt (7, 4000, 100, 500);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   char where[MARJORAM_ID_MAX];
 
   for (int i = 1; i <= 4; i++)
-    hear (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+    receive (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   snprintf (where, sizeof where, "%s", place (0, &query).upstream->news.id);
   marjoram_placement_answering (placement, 100, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
@@ -185,7 +185,7 @@
       struct marjoram_call_facts next = prompt (7, 4000, 200 + i, 500);
       struct marjoram_place chosen;
 
-      query = ask_for (&next, 1);
+      query = make_query (&next, 1);
       chosen = place (300 + (int64_t)i * 200, &query);
       ck_assert_str_eq (chosen.upstream->news.id, where);
       ck_assert_int_lt (chosen.wait_ms, 20);
@@ -203,19 +203,19 @@
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
   struct marjoram_call_facts other = prompt (8, 3000, 200, 1000);
   struct marjoram_call_facts next = prompt (7, 6000, 300, 10);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  hear (0, "1");
+  receive (0, "1");
   ck_assert_ptr_null (place (0, &query).copy_from);
   marjoram_placement_answering (placement, 150, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
   query.facts = &other;
   place (300, &query);
-  hear (300, "2");
-  hear_full (300, "lm", "3", "zb", 0, 301);
+  receive (300, "2");
+  receive_upstream (300, "lm", "3", "zb", 0, 301);
   query.facts = &next;
   chosen = place (310, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
@@ -237,15 +237,15 @@
 {
   struct marjoram_service_rule copying = engine;
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  hear (10, "1");
+  receive (10, "1");
   place (10, &query);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
-  hear (300, "2");
+  receive (300, "2");
   marjoram_placement_lost (placement, 400, "10.0.0.1:80");
   query.tried[query.tried_count++] = "1";
   chosen = place (410, &query);
@@ -261,11 +261,11 @@
   int at[5] = { 0 };
 
   for (int i = 1; i <= 4; i++)
-    hear (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+    receive (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   for (uint64_t i = 0; i < 12; i++)
     {
       struct marjoram_call_facts facts = prompt (7, 4000, 100 + i, 3000);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
       struct marjoram_place chosen = place (0, &query);
 
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
@@ -283,11 +283,11 @@
   struct marjoram_place chosen = { 0 };
   int taken = 0;
 
-  hear (0, "1");
+  receive (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
       chosen = place (0, &query);
       taken += chosen.outcome == MARJORAM_PLACE_FOUND;
@@ -306,15 +306,15 @@
   struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
   struct marjoram_place_query query;
 
-  hear (0, "1");
+  receive (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
 
-      query = ask_for (&facts, 1);
+      query = make_query (&facts, 1);
       place (0, &query);
     }
-  query = ask_for (&urgent, 0);
+  query = make_query (&urgent, 0);
   ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_FOUND);
 }
 END_TEST
@@ -326,15 +326,15 @@
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
   int sent = 0;
 
-  hear_host (0, "h2");
-  hear_host (0, "h3");
-  hear_full (0, "lm", "1", "za", 3000, 1);
+  receive_host_beat (0, "h2");
+  receive_host_beat (0, "h3");
+  receive_upstream (0, "lm", "1", "za", 3000, 1);
   for (int64_t now = 1; now < 1000; now += 10)
     for (int i = 0; i < 3; i++)
       {
         struct marjoram_call_facts facts
             = prompt (7, 10, (uint64_t)now * 3 + (uint64_t)i, 10);
-        struct marjoram_place_query query = ask_for (&facts, 1);
+        struct marjoram_place_query query = make_query (&facts, 1);
         marjoram_placement *by = i == 0 ? placement : others[i - 1];
         struct marjoram_place chosen;
 
@@ -359,12 +359,12 @@
 {
   int sent = 0;
 
-  hear (0, "1");
+  receive (0, "1");
   marjoram_placement_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
       if (place (now, &query).outcome != MARJORAM_PLACE_FOUND)
         continue;
@@ -373,13 +373,13 @@
                                 MARJORAM_ATTEMPT_SERVED);
     }
   ck_assert_int_le (sent, 2);
-  hear_host (1200, "h1");
-  hear (1200, "1");
+  receive_host_beat (1200, "h1");
+  receive (1200, "1");
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
       sent += place (now, &query).outcome == MARJORAM_PLACE_FOUND;
     }
@@ -392,20 +392,20 @@
 START_TEST (restored_zone_is_cold_until_it_is_heard)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
+  receive (0, "1");
   evacuated = "za";
   ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
   evacuated = NULL;
   marjoram_placement_restored (placement, 10, "za");
   ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_FOUND);
   ck_assert_int_eq (place (40, &query).outcome, MARJORAM_PLACE_NONE);
-  hear (400, "1");
+  receive (400, "1");
   ck_assert_int_eq (place (410, &query).outcome, MARJORAM_PLACE_FOUND);
   ck_assert_int_eq (place (420, &query).outcome, MARJORAM_PLACE_FOUND);
   marjoram_placement_restored (placement, 500, "za");
-  hear_full (900, "lm", "1", "za", 2000, 901);
+  receive_upstream (900, "lm", "1", "za", 2000, 901);
   ck_assert_int_eq (place (1000, &query).outcome, MARJORAM_PLACE_FOUND);
   ck_assert_int_eq (place (1020, &query).outcome, MARJORAM_PLACE_NONE);
 }
@@ -416,12 +416,12 @@
 START_TEST (slow_engine_is_avoided)
 {
   struct marjoram_call_facts facts = prompt (7, 4000, 8, 100);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
   char slow[MARJORAM_ID_MAX];
   struct marjoram_place chosen;
 
-  hear (0, "1");
-  hear (0, "2");
+  receive (0, "1");
+  receive (0, "2");
   chosen = place (0, &query);
   snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
   marjoram_placement_answering (placement, 110, 1);
@@ -440,9 +440,9 @@
 START_TEST (only_the_own_region)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear_full (0, "lm", "1", "far", 0, 1);
+  receive_upstream (0, "lm", "1", "far", 0, 1);
   ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
 }
 END_TEST
@@ -450,9 +450,9 @@
 START_TEST (unreached_and_wrong_ones_are_left_alone)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
+  receive (0, "1");
   place (0, &query);
   marjoram_placement_ended (placement, 10, next_attempt,
                             MARJORAM_ATTEMPT_UNREACHED);
@@ -463,7 +463,7 @@
   marjoram_placement_ended (placement, 410, next_attempt,
                             MARJORAM_ATTEMPT_WRONG);
   ck_assert_int_eq (place (5000, &query).outcome, MARJORAM_PLACE_NONE);
-  hear (5100, "1");
+  receive (5100, "1");
   ck_assert_int_eq (place (5200, &query).outcome, MARJORAM_PLACE_FOUND);
 }
 END_TEST
@@ -473,16 +473,16 @@
 START_TEST (doubted_upstream_is_better_than_none)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
+  receive (0, "1");
   for (int i = 0; i < 4; i++)
     {
       ck_assert_int_eq (place (i, &query).outcome, MARJORAM_PLACE_FOUND);
       marjoram_placement_ended (placement, i, next_attempt,
                                 MARJORAM_ATTEMPT_BROKEN);
     }
-  hear (10, "2");
+  receive (10, "2");
   for (int i = 0; i < 4; i++)
     ck_assert_str_eq (place (20 + i, &query).upstream->news.id, "2");
 }
@@ -493,7 +493,7 @@
 START_TEST (slow_answers_do_not_close_a_service_for_good)
 {
   const struct marjoram_call_facts small = prompt (7, 10, 8, 10);
-  struct marjoram_place_query queries[2] = { ask_for (&small, 1) };
+  struct marjoram_place_query queries[2] = { make_query (&small, 1) };
 
   queries[1] = queries[0];
   queries[1].service = &plain;
@@ -503,8 +503,8 @@
         struct marjoram_place_query patient = queries[kind];
 
         patient.useful_ms = 60000;
-        hear (i * 3000, "1");
-        hear_full (i * 3000, "app", "2", "za", 0, i + 1);
+        receive (i * 3000, "1");
+        receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
         ck_assert_int_eq (place (i * 3000, &patient).outcome,
                           MARJORAM_PLACE_FOUND);
         marjoram_placement_answering (placement, i * 3000 + 2900,
@@ -528,8 +528,8 @@
       = { .service = &plain, .facts = &facts, .useful_ms = 300 };
   int at[3] = { 0 };
 
-  hear_full (0, "app", "1", "za", 0, 1);
-  hear_full (0, "app", "2", "za", 0, 1);
+  receive_upstream (0, "app", "1", "za", 0, 1);
+  receive_upstream (0, "app", "2", "za", 0, 1);
   for (int i = 0; i < 8; i++)
     {
       snprintf (facts.id, sizeof facts.id, "%d", i);
@@ -547,10 +547,10 @@
   marjoram_placement *other = create ("h2");
   struct marjoram_load_report report;
   struct marjoram_call_facts facts = prompt (7, 4000, 8, 4000);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
   struct marjoram_place chosen;
 
-  hear (0, "1");
+  receive (0, "1");
   place (0, &query);
   marjoram_placement_report (placement, &report);
   marjoram_placement_hear (other, 10, "h1", &report);
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -32,10 +32,10 @@
 static int renewals;         /* batches of renewals */
 static size_t renewed_count; /* upstreams in the last batch of renewals */
 static char renewed[64];     /* first upstream of the last batch of renewals */
-static size_t told;          /* batches sent */
+static size_t batches_sent;  /* batches sent */
 static uint64_t ticket;      /* ticket of the last batch */
-static size_t in_reach;      /* connected hosts */
-static uint64_t request;     /* last apply or read request */
+static size_t connected_hosts; /* connected hosts */
+static uint64_t request;       /* last apply or read request */
 static int reads;
 static char change_id[MARJORAM_NAME_MAX + 1];
 static struct marjoram_file applied;
@@ -67,9 +67,9 @@
 op_tell (void *context, const struct marjoram_news_batch *batch)
 {
   (void)context;
-  told++;
+  batches_sent++;
   ticket = batch->ticket;
-  return in_reach;
+  return connected_hosts;
 }
 
 static void
@@ -128,12 +128,12 @@
   registrar = marjoram_registrar_create (&options, &ops, NULL);
   state = NULL;
   asks = 0;
-  told = 0;
+  batches_sent = 0;
   renewals = 0;
   renewed_count = 0;
   ticket = 0;
   reads = 0;
-  in_reach = 0;
+  connected_hosts = 0;
 }
 
 static void
@@ -170,8 +170,8 @@
 
 /* Completes the pending register request; an accepted file takes effect.  */
 static void
-decide (int64_t now, enum marjoram_apply_outcome outcome,
-        enum marjoram_change_result result)
+complete_request (int64_t now, enum marjoram_apply_outcome outcome,
+                  enum marjoram_change_result result)
 {
   const struct marjoram_apply_answer what
       = { .outcome = outcome, .result = result };
@@ -191,13 +191,13 @@
 {
   beat (0, "ready", 1);
   ck_assert_int_eq (status, 200);
-  ck_assert_uint_eq (told, 1);
+  ck_assert_uint_eq (batches_sent, 1);
   ck_assert_ptr_nonnull (marjoram_registry_find (registry, "u1"));
   beat (1200, "ready", 2);
   ck_assert_int_eq (status, 200);
-  ck_assert_uint_eq (told, 1);
+  ck_assert_uint_eq (batches_sent, 1);
   marjoram_registrar_tick (registrar, 1500);
-  ck_assert_uint_eq (told, 1);
+  ck_assert_uint_eq (batches_sent, 1);
   ck_assert_int_eq (renewals, 1);
 }
 END_TEST
@@ -233,7 +233,7 @@
        "\"zone\":\"nowhere\",\"state\":\"ready\",\"seq\":1}");
   ck_assert_int_eq (status, 400);
   ck_assert_ptr_null (marjoram_registry_find (registry, "u1"));
-  ck_assert_uint_eq (told, 0);
+  ck_assert_uint_eq (batches_sent, 0);
   ck_assert_uint_eq (
       marjoram_metrics_get (metrics, MARJORAM_METRIC_REJECTED_INPUT), 2);
 }
@@ -243,7 +243,7 @@
    response.  */
 START_TEST (leave_is_confirmed_before_it_is_answered)
 {
-  in_reach = 2;
+  connected_hosts = 2;
   beat (0, "ready", 1);
   beat (100, "draining", 2);
   ck_assert_int_eq (status, NONE);
@@ -258,7 +258,7 @@
    the client's timeout.  */
 START_TEST (leave_does_not_wait_for_a_frozen_host)
 {
-  in_reach = 1;
+  connected_hosts = 1;
   ask (100, "POST", "/-/instances/u1/deregister", "");
   ck_assert_int_eq (status, NONE);
   marjoram_registrar_tick (registrar, 750);
@@ -272,7 +272,7 @@
   ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   ck_assert_int_eq (status, NONE);
   ck_assert_str_eq (applied.text, CONFIG ("7", "app"));
-  decide (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   ck_assert_int_eq (status, 200);
 }
 END_TEST
@@ -282,7 +282,7 @@
 START_TEST (versions_not_above_the_held_change_nothing)
 {
   ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
-  decide (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   request = 0;
   ask (200, "POST", "/-/config/replace", CONFIG ("7", "app"));
   ck_assert_int_eq (status, 200);
@@ -291,7 +291,7 @@
   ck_assert_uint_eq (request, 0);
   /* Another keeper was faster, which the register reports.  */
   ask (400, "POST", "/-/config/replace", CONFIG ("8", "app"));
-  decide (500, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
+  complete_request (500, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
   ck_assert_int_eq (status, 200);
 }
 END_TEST
@@ -314,24 +314,24 @@
   marjoram_registrar_tick (registrar, 950);
   ck_assert_int_eq (status, 503);
   /* A late result sends no second response.  */
-  decide (2000, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (2000, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
 }
 END_TEST
 
 START_TEST (read_needs_a_majority)
 {
   ask (0, "GET", "/-/config/read", "");
-  decide (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
+  complete_request (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 503);
   ask (100, "POST", "/-/config/replace", CONFIG ("7", "app"));
-  decide (200, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (200, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   ask (300, "GET", "/-/config/read", "");
   ck_assert_int_eq (status, NONE);
-  decide (400, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
+  complete_request (400, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 200);
   ck_assert_str_eq (body, CONFIG ("7", "app"));
   ask (500, "GET", "/-/config/read", "");
-  decide (600, MARJORAM_APPLY_NOT_RUN, MARJORAM_CHANGE_SAME);
+  complete_request (600, MARJORAM_APPLY_NOT_RUN, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 503);
 }
 END_TEST
@@ -344,24 +344,24 @@
   state = marjoram_state_copy (NULL);
   ask (0, "POST", "/-/evacuations/za/begin", "");
   ck_assert_int_eq (reads, 1);
-  decide (10, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
+  complete_request (10, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_str_eq (applied.text, "za");
   /* Another keeper's command is committed first.  */
   free (applied.text);
   applied.text = marjoram_strdup ("zb");
   marjoram_state_set_file (state, &applied);
-  decide (20, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
+  complete_request (20, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
   ck_assert_int_eq (status, NONE);
   ck_assert_str_eq (applied.text, "zb,za");
-  decide (30, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (30, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   ck_assert_int_eq (status, 200);
   zones = marjoram_agreed_evacuations (state);
   ck_assert (marjoram_agreed_is_evacuated (&zones, "za"));
   ck_assert (marjoram_agreed_is_evacuated (&zones, "zb"));
   marjoram_names_clear (&zones);
   ask (40, "POST", "/-/evacuations/za/finish", "");
-  decide (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
-  decide (60, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
+  complete_request (60, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   ck_assert_int_eq (status, 200);
   zones = marjoram_agreed_evacuations (state);
   ck_assert (!marjoram_agreed_is_evacuated (&zones, "za"));
@@ -413,7 +413,7 @@
   static const char *const names[] = { "10.0.0.3", "10.0.0.2", "10.0.0.4" };
 
   ask (0, "POST", "/-/config/replace", routes);
-  decide (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   for (size_t i = 0; i < 3; i++)
     {
       struct marjoram_host_beat host = { .name = (char *)names[i],
@@ -454,7 +454,7 @@
                                      .sequence = 1 };
 
   ask (0, "POST", "/-/config/replace", routes);
-  decide (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
+  complete_request (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   marjoram_host_list_hear (hosts, 0, &host, true);
   ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 503);
--- a/test/test_spill.c
+++ b/test/test_spill.c
@@ -97,19 +97,19 @@
   ARRIVALS = 160, /* requests per second, all in the first region */
   STEP_MS = 5,
   OFFER_MS = 600, /* maximum age of the other region's reported load */
-  DAY_MS = 30000,
-  PACE_MS = 600 /* longest acceptable pause in a response */
+  DURATION_MS = 30000,
+  PAUSE_MAX_MS = 600 /* longest acceptable pause in a response */
 };
 
 /* Share of engine time spent on response tokens: 13 of them every 5 ms.  */
-static const double answer_share = 65.0 / PACE_MS;
+static const double answer_share = 65.0 / PAUSE_MAX_MS;
 
 struct region
 {
   double ahead_ms[ENGINES];
   double read_ms[ENGINES]; /* in the current window */
   double mean_ms;          /* smoothed backlog */
-  double told_ms;          /* backlog last reported to the other region */
+  double reported_ms;      /* backlog last reported to the other region */
 };
 
 /* Picks the less loaded of two random engines, since hosts know loads only
@@ -129,14 +129,15 @@
         bool spills)
 {
   char id[16];
-  const struct marjoram_spill_query query = { .id = id,
-                                              .engines = ENGINES,
-                                              .here_ms = regions[0].mean_ms,
-                                              .there_ms = regions[1].told_ms,
-                                              .unread_ms = PROMPT_MS,
-                                              .prompt_ms = 2.0 * PROMPT_MS,
-                                              .there_first_ms = 130,
-                                              .useful_ms = 1000 };
+  const struct marjoram_spill_query query
+      = { .id = id,
+          .engines = ENGINES,
+          .here_ms = regions[0].mean_ms,
+          .there_ms = regions[1].reported_ms,
+          .unread_ms = PROMPT_MS,
+          .prompt_ms = 2.0 * PROMPT_MS,
+          .there_first_ms = 130,
+          .useful_ms = 1000 };
 
   snprintf (id, sizeof id, "%d", number);
   if (spills && marjoram_spill_wanted (&query))
@@ -170,7 +171,7 @@
 
   for (int i = 0; i < ENGINES; i++)
     {
-      late += region->read_ms[i] > (1 - answer_share) * PACE_MS;
+      late += region->read_ms[i] > (1 - answer_share) * PAUSE_MAX_MS;
       region->read_ms[i] = 0;
     }
   return late;
@@ -178,7 +179,7 @@
 
 /* Share of windows of both regions with a pause that is too long.  */
 static double
-play (bool spills)
+simulate (bool spills)
 {
   struct region regions[REGIONS] = { 0 };
   marjoram_random *random = marjoram_random_create (7);
@@ -186,7 +187,7 @@
   int windows = 0;
   int number = 0;
 
-  for (int now = 0; now < DAY_MS; now += STEP_MS)
+  for (int now = 0; now < DURATION_MS; now += STEP_MS)
     {
       while (number * 1000 < now * ARRIVALS)
         arrive (regions, random, number++, spills);
@@ -194,8 +195,8 @@
         {
           work (&regions[i]);
           if (now % OFFER_MS == 0)
-            regions[i].told_ms = regions[i].mean_ms;
-          if (now % PACE_MS == 0)
+            regions[i].reported_ms = regions[i].mean_ms;
+          if (now % PAUSE_MAX_MS == 0)
             {
               late += count_late (&regions[i]);
               windows += ENGINES;
@@ -210,8 +211,8 @@
    idle.  */
 START_TEST (answers_keep_their_pace_while_another_region_is_idle)
 {
-  double stay = play (false);
-  double spill = play (true);
+  double stay = simulate (false);
+  double spill = simulate (true);
 
   printf ("windows with pauses: %.3f without spill, %.3f with\n", stay, spill);
   ck_assert_double_ge (stay, 0.2);
