--- a/src/engine_memory.c
+++ b/src/engine_memory.c
@@ -24,72 +24,72 @@
 marjoram_engine_memory *
 marjoram_engine_memory_create (void)
 {
-  marjoram_engine_memory *memory = marjoram_alloc (sizeof *memory);
+  marjoram_engine_memory *cache = marjoram_alloc (sizeof *cache);
 
-  TAILQ_INIT (&memory->by_use);
-  return memory;
+  TAILQ_INIT (&cache->by_use);
+  return cache;
 }
 
 static struct cached_part *
-find (const marjoram_engine_memory *memory, uint64_t part)
+find (const marjoram_engine_memory *cache, uint64_t part)
 {
   struct cached_part *cached_part;
 
-  HASH_FIND (hh, memory->by_part, &part, sizeof part, cached_part);
+  HASH_FIND (hh, cache->by_part, &part, sizeof part, cached_part);
   return cached_part;
 }
 
 static void
-evict (marjoram_engine_memory *memory, struct cached_part *cached_part)
+evict (marjoram_engine_memory *cache, struct cached_part *cached_part)
 {
-  memory->tokens -= cached_part->tokens;
-  TAILQ_REMOVE (&memory->by_use, cached_part, link);
+  cache->tokens -= cached_part->tokens;
+  TAILQ_REMOVE (&cache->by_use, cached_part, link);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, memory->by_part, cached_part);
+  HASH_DELETE (hh, cache->by_part, cached_part);
   free (cached_part);
 }
 
 void
-marjoram_engine_memory_clear (marjoram_engine_memory *memory)
+marjoram_engine_memory_clear (marjoram_engine_memory *cache)
 {
-  while (!TAILQ_EMPTY (&memory->by_use))
-    evict (memory, TAILQ_FIRST (&memory->by_use));
+  while (!TAILQ_EMPTY (&cache->by_use))
+    evict (cache, TAILQ_FIRST (&cache->by_use));
 }
 
 void
-marjoram_engine_memory_destroy (marjoram_engine_memory *memory)
+marjoram_engine_memory_destroy (marjoram_engine_memory *cache)
 {
-  if (!memory)
+  if (!cache)
     return;
-  marjoram_engine_memory_clear (memory);
-  free (memory);
+  marjoram_engine_memory_clear (cache);
+  free (cache);
 }
 
 void
-marjoram_engine_memory_use (marjoram_engine_memory *memory, uint64_t part,
+marjoram_engine_memory_use (marjoram_engine_memory *cache, uint64_t part,
                             int64_t tokens, int64_t capacity)
 {
-  struct cached_part *cached_part = find (memory, part);
+  struct cached_part *cached_part = find (cache, part);
 
   if (cached_part)
-    TAILQ_REMOVE (&memory->by_use, cached_part, link);
+    TAILQ_REMOVE (&cache->by_use, cached_part, link);
   else
     {
       cached_part = marjoram_alloc (sizeof *cached_part);
       cached_part->part = part;
-      HASH_ADD (hh, memory->by_part, part, sizeof cached_part->part,
+      HASH_ADD (hh, cache->by_part, part, sizeof cached_part->part,
                 cached_part);
     }
-  memory->tokens += tokens - cached_part->tokens;
+  cache->tokens += tokens - cached_part->tokens;
   cached_part->tokens = tokens;
-  TAILQ_INSERT_HEAD (&memory->by_use, cached_part, link);
-  while (memory->tokens > capacity && !TAILQ_EMPTY (&memory->by_use))
+  TAILQ_INSERT_HEAD (&cache->by_use, cached_part, link);
+  while (cache->tokens > capacity && !TAILQ_EMPTY (&cache->by_use))
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    evict (memory, TAILQ_LAST (&memory->by_use, cached_part_list));
+    evict (cache, TAILQ_LAST (&cache->by_use, cached_part_list));
 }
 
 int64_t
-marjoram_engine_memory_kept (const marjoram_engine_memory *memory,
+marjoram_engine_memory_kept (const marjoram_engine_memory *cache,
                              const struct marjoram_prompt_part *parts,
                              size_t count)
 {
@@ -97,7 +97,7 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      const struct cached_part *cached_part = find (memory, parts[i].id);
+      const struct cached_part *cached_part = find (cache, parts[i].id);
 
       if (!cached_part)
         break;
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -54,7 +54,7 @@
 struct marjoram_host_list
 {
   int64_t relayed_valid_ms; /* validity of relayed heartbeats */
-  int64_t late_ms;          /* receive lag of this host */
+  int64_t lag_ms;           /* receive lag of this host */
   char *region; /* region whose entry hosts use BEAT_MS; NULL if none */
   int64_t beat_ms;
   struct marjoram_listed_hosts hosts;
@@ -88,9 +88,9 @@
    a cold upstream.  The lag is bounded by its source, so that dead hosts are
    still detected.  */
 void
-marjoram_host_list_set_late (marjoram_host_list *list, int64_t late_ms)
+marjoram_host_list_set_late (marjoram_host_list *list, int64_t lag_ms)
 {
-  list->late_ms = late_ms;
+  list->lag_ms = lag_ms;
 }
 
 static void
@@ -372,8 +372,7 @@
 marjoram_host_list_alive (const struct marjoram_listed_host *host, int64_t now)
 {
   return host->heard_at > host->lost_at
-         && now - host->heard_at - host->list->late_ms
-                <= max_silence_ms (host);
+         && now - host->heard_at - host->list->lag_ms <= max_silence_ms (host);
 }
 
 bool
--- a/src/host_list.h
+++ b/src/host_list.h
@@ -44,7 +44,7 @@
 void marjoram_host_list_lost (marjoram_host_list *list, int64_t now,
                               const char *name);
 /* Sets the receive lag of this host, allowed for in all liveness checks.  */
-void marjoram_host_list_set_late (marjoram_host_list *list, int64_t late_ms);
+void marjoram_host_list_set_late (marjoram_host_list *list, int64_t lag_ms);
 /* Processes a heartbeat received from its host (DIRECT) or relayed.  Returns
    whether it changed anything besides the host's liveness.  */
 bool marjoram_host_list_hear (marjoram_host_list *list, int64_t now,
--- a/src/placement.c
+++ b/src/placement.c
@@ -56,7 +56,7 @@
     return endpoint;
   endpoint = marjoram_alloc (sizeof *endpoint);
   endpoint->id = marjoram_strdup (id);
-  endpoint->memory = marjoram_engine_memory_create ();
+  endpoint->cache = marjoram_engine_memory_create ();
   endpoint->born = MARJORAM_START_UNKNOWN;
   endpoint->group = marjoram_load_group (id);
   TAILQ_INIT (&endpoint->unanswered);
@@ -71,7 +71,7 @@
 {
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, placement->endpoints, endpoint);
-  marjoram_engine_memory_destroy (endpoint->memory);
+  marjoram_engine_memory_destroy (endpoint->cache);
   free (endpoint->id);
   free (endpoint);
 }
@@ -162,7 +162,7 @@
   /* Other hosts' reports may have filled the cache model before the upstream's
      first heartbeat.  */
   if (endpoint->born != MARJORAM_START_UNKNOWN)
-    marjoram_engine_memory_clear (endpoint->memory);
+    marjoram_engine_memory_clear (endpoint->cache);
   endpoint->born = upstream->news.born;
   endpoint->paused_until = 0;
   endpoint->connect_failures = 0;
@@ -197,7 +197,7 @@
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
                                  const struct marjoram_call_facts *facts)
 {
-  int64_t cached = marjoram_engine_memory_kept (endpoint->memory, facts->parts,
+  int64_t cached = marjoram_engine_memory_kept (endpoint->cache, facts->parts,
                                                 facts->part_count);
 
   return cached < facts->prompt_tokens ? cached : facts->prompt_tokens;
@@ -229,7 +229,7 @@
 {
   struct marjoram_placed_item *placed = marjoram_alloc (sizeof *placed);
 
-  marjoram_engine_memory_use (endpoint->memory, part->id, part->tokens,
+  marjoram_engine_memory_use (endpoint->cache, part->id, part->tokens,
                               capacity);
   placed->endpoint = endpoint;
   placed->part = *part;
@@ -333,9 +333,9 @@
   struct marjoram_service_stats *stats;
   int64_t tokens;
 
-  if (!attempt || attempt->answering)
+  if (!attempt || attempt->responding)
     return;
-  attempt->answering = true;
+  attempt->responding = true;
   TAILQ_REMOVE (&attempt->endpoint->unanswered, attempt, link);
   record_delay (attempt, now);
   stats = marjoram_placement_service_stats (placement, attempt->service);
@@ -410,7 +410,7 @@
   if (!attempt)
     return;
   endpoint = attempt->endpoint;
-  if (!attempt->answering)
+  if (!attempt->responding)
     TAILQ_REMOVE (&endpoint->unanswered, attempt, link);
   clear_unread (attempt);
   endpoint->own.running--;
@@ -483,7 +483,7 @@
       = marjoram_endpoint_find (placement, upstream);
 
   for (size_t i = 0; i < count; i++)
-    marjoram_engine_memory_use (endpoint->memory, parts[i].id, parts[i].tokens,
+    marjoram_engine_memory_use (endpoint->cache, parts[i].id, parts[i].tokens,
                                 INT64_MAX);
 }
 
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -241,9 +241,9 @@
 }
 
 static bool
-may_use (marjoram_placement *placement, struct marjoram_endpoint *endpoint,
-         const struct marjoram_registered *upstream,
-         const struct marjoram_place_query *query, int64_t now)
+is_usable (marjoram_placement *placement, struct marjoram_endpoint *endpoint,
+           const struct marjoram_registered *upstream,
+           const struct marjoram_place_query *query, int64_t now)
 {
   if (now < endpoint->paused_until
       || (endpoint->address_conflict_at != 0
@@ -272,8 +272,8 @@
 }
 
 static bool
-is_in_time (const struct estimate *estimate,
-            const struct marjoram_place_query *query)
+meets_deadline (const struct estimate *estimate,
+                const struct marjoram_place_query *query)
 {
   return limit_of (estimate, query) == MARJORAM_PLACE_LIMIT_NONE;
 }
@@ -316,8 +316,8 @@
 static const struct sample all_upstreams = { 0, UINT64_MAX };
 
 static struct sample
-take_sample (marjoram_placement *placement, int64_t now,
-             const struct marjoram_place_query *query)
+select_sample (marjoram_placement *placement, int64_t now,
+               const struct marjoram_place_query *query)
 {
   const double hosts = (double)marjoram_host_list_serving (
       placement->options.hosts, now, placement->region);
@@ -376,7 +376,7 @@
     if (now - upstream->heard_at > place->news_age_ms)
       place->news_age_ms = now - upstream->heard_at;
     endpoint = marjoram_endpoint_of (placement, upstream);
-    if (!may_use (placement, endpoint, upstream, query, now))
+    if (!is_usable (placement, endpoint, upstream, query, now))
       continue;
     place->usable++;
     marjoram_copy_sources_best (&sources, endpoint, upstream, query, &copy);
@@ -387,7 +387,7 @@
     if (was_tried (query, endpoint->id))
       estimate.cost_ms += (double)query->useful_ms;
     keep_cheaper (cheapest, upstream, &estimate, &copy);
-    if (is_in_time (&estimate, query))
+    if (meets_deadline (&estimate, query))
       keep_cheaper (in_time, upstream, &estimate, &copy);
   }
 }
@@ -415,13 +415,13 @@
 {
   struct choice cheapest = { 0 };
   struct choice in_time = { 0 };
-  const struct choice *taken = &cheapest;
+  const struct choice *chosen = &cheapest;
   struct sample sample;
 
   memset (place, 0, sizeof *place);
   place->outcome = MARJORAM_PLACE_NONE;
   place->retry_ms = RETRY_MIN_MS;
-  sample = take_sample (placement, now, query);
+  sample = select_sample (placement, now, query);
   find_choices (placement, now, query, &sample, place, &cheapest, &in_time);
   if (!in_time.upstream && sample.below != UINT64_MAX)
     {
@@ -435,19 +435,19 @@
   if (in_time.upstream
       && in_time.estimate.cost_ms
              <= cheapest.estimate.cost_ms + DEADLINE_COST_MS)
-    taken = &in_time;
-  place->upstream = taken->upstream;
-  place->copy_from = taken->copy.from;
-  place->copied_tokens = taken->copy.tokens;
-  place->wait_ms = (int64_t)taken->estimate.wait_ms;
-  place->backlog_ms = (int64_t)taken->estimate.backlog_ms;
-  place->limit = limit_of (&taken->estimate, query);
+    chosen = &in_time;
+  place->upstream = chosen->upstream;
+  place->copy_from = chosen->copy.from;
+  place->copied_tokens = chosen->copy.tokens;
+  place->wait_ms = (int64_t)chosen->estimate.wait_ms;
+  place->backlog_ms = (int64_t)chosen->estimate.backlog_ms;
+  place->limit = limit_of (&chosen->estimate, query);
   place->outcome = place->limit == MARJORAM_PLACE_LIMIT_NONE
                        ? MARJORAM_PLACE_FOUND
                        : MARJORAM_PLACE_BUSY;
-  place->unread_tokens = taken->estimate.unread;
-  if (taken->estimate.backlog_ms > BACKLOG_MAX_MS)
-    place->over_ms = (int64_t)taken->estimate.backlog_ms - BACKLOG_MAX_MS;
+  place->unread_tokens = chosen->estimate.unread;
+  if (chosen->estimate.backlog_ms > BACKLOG_MAX_MS)
+    place->over_ms = (int64_t)chosen->estimate.backlog_ms - BACKLOG_MAX_MS;
   if (query->service->has_engine)
     set_throughput (placement, now, query, place);
   if (place->outcome == MARJORAM_PLACE_BUSY)
--- a/src/placement_collect.c
+++ b/src/placement_collect.c
@@ -55,9 +55,9 @@
 }
 
 static void
-start_reports (const marjoram_placement *placement,
-               const bool whole[MARJORAM_LOAD_GROUPS],
-               struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS])
+init_reports (const marjoram_placement *placement,
+              const bool whole[MARJORAM_LOAD_GROUPS],
+              struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS])
 {
   size_t items[MARJORAM_LOAD_GROUPS] = { 0 };
   size_t parts[MARJORAM_LOAD_GROUPS] = { 0 };
@@ -113,7 +113,7 @@
   struct marjoram_endpoint *next;
 
   placement->report_count++;
-  start_reports (placement, whole, reports);
+  init_reports (placement, whole, reports);
   HASH_ITER (hh, placement->endpoints, endpoint, next)
   {
     struct marjoram_load_report *report = &reports[endpoint->group];
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -32,7 +32,7 @@
 {
   TAILQ_ENTRY (marjoram_reporter) link; /* oldest report first */
   char *host;
-  int64_t at; /* time of the last report */
+  int64_t received_at; /* time of the last report */
   struct marjoram_reported_load *loads;
   size_t count;
   size_t allocated;
@@ -56,9 +56,9 @@
   struct marjoram_endpoint_load reported;
   struct marjoram_endpoint_load previously_reported;
   int64_t reported_at;
-  marjoram_engine_memory *memory;
+  marjoram_engine_memory *cache;
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
-  int64_t born;     /* start time of the instance that MEMORY models */
+  int64_t born;     /* start time of the instance that CACHE models */
   int64_t paused_until;
   int64_t suspected_until;     /* used only if there is no alternative */
   int64_t disconnected_at;     /* 0 if its connections never broke */
@@ -91,7 +91,7 @@
   int64_t answer;
   int64_t expected_ms; /* estimated time to the first event when sent */
   bool urgent;
-  bool answering;
+  bool responding;
   UT_hash_handle hh;
 };
 
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -144,7 +144,7 @@
 
   while ((oldest = TAILQ_FIRST (&placement->reporters_by_age))
          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-         && now - oldest->at > REPORT_VALID_MS)
+         && now - oldest->received_at > REPORT_VALID_MS)
     marjoram_reporter_destroy (placement, oldest);
   marjoram_placement_expire_totals (placement, now);
 }
@@ -201,7 +201,7 @@
   /* The capacity is unknown until this host has sent a request there.  */
   int64_t capacity = endpoint->capacity > 0 ? endpoint->capacity : INT64_MAX;
 
-  marjoram_engine_memory_use (endpoint->memory, placed->part,
+  marjoram_engine_memory_use (endpoint->cache, placed->part,
                               (int64_t)placed->tokens, capacity);
 }
 
@@ -217,7 +217,7 @@
       = marjoram_alloc ((report->items.count + 1) * sizeof *load_index);
 
   /* A report is complete: requests that it omits have ended.  */
-  reporter->at = now;
+  reporter->received_at = now;
   subtract_loads (reporter);
   reserve_loads (reporter, report->items.count);
   for (size_t i = 0; i < report->items.count; i++)
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -323,7 +323,7 @@
 };
 
 static size_t
-homes_in (const struct lookup *lookup, const char *region)
+home_route_count (const struct lookup *lookup, const char *region)
 {
   return lookup->table
              ? marjoram_route_table_homes (lookup->table, lookup->host, region)
@@ -342,7 +342,7 @@
   if (!lookup->has_homes)
     return true;
   return lookup->most_homes > 0
-         && homes_in (lookup, region) == lookup->most_homes;
+         && home_route_count (lookup, region) == lookup->most_homes;
 }
 
 static void
@@ -354,7 +354,7 @@
   TAILQ_FOREACH (host, marjoram_host_list_all (registrar->options.hosts), link)
   if (marjoram_host_list_serves (host, now))
     {
-      size_t homes = homes_in (lookup, host->beat.region);
+      size_t homes = home_route_count (lookup, host->beat.region);
 
       if (homes > lookup->most_homes)
         lookup->most_homes = homes;
--- a/src/registry.c
+++ b/src/registry.c
@@ -162,8 +162,8 @@
 /* A delayed heartbeat may carry an address that a later instance has taken
    over; the most recently started instance keeps the address.  */
 static bool
-resolve_address (marjoram_registry *registry,
-                 const struct marjoram_upstream_news *news)
+claim_address (marjoram_registry *registry,
+               const struct marjoram_upstream_news *news)
 {
   struct marjoram_registered *other;
 
@@ -189,7 +189,7 @@
 
   /* A deregistration of an unknown upstream is recorded too, as delayed
      heartbeats may follow it.  */
-  if (news->state != MARJORAM_NEWS_GONE && !resolve_address (registry, news))
+  if (news->state != MARJORAM_NEWS_GONE && !claim_address (registry, news))
     return MARJORAM_HEARING_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
   upstream->direct_heard_at = INT64_MIN;
@@ -249,7 +249,7 @@
     return MARJORAM_HEARING_STALE;
   if (news->born > upstream->news.born)
     {
-      if (!resolve_address (registry, news))
+      if (!claim_address (registry, news))
         return MARJORAM_HEARING_STALE;
       store_news (registry, upstream, now, news, age_ms);
       return MARJORAM_HEARING_CHANGED;
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -24,13 +24,13 @@
   REVIEW_TOKENS = 2890, /* not shared */
   REVIEW_ANSWER = 49,
   REVIEW_OBJECTIVE_MS = 1000,
-  ASK_PARTS = 12,
-  ASK_SHARED = 198,
-  ASK_TOKENS = 628,
-  ASK_ANSWER = 294,
-  ASK_OBJECTIVE_MS = 800,
+  CHAT_PARTS = 12,
+  CHAT_SHARED = 198,
+  CHAT_TOKENS = 628,
+  CHAT_ANSWER = 294,
+  CHAT_OBJECTIVE_MS = 800,
   SESSION_IDS = 1000,
-  ASK_IDS = 100000,
+  CHAT_IDS = 100000,
   OWN_IDS = 1000000,
   CHUNK = 4096,     /* maximum prompt tokens per step */
   EVENT_TOKENS = 7, /* response tokens per event */
@@ -65,7 +65,7 @@
 struct sim_engine
 {
   char id[16];
-  marjoram_engine_memory *memory;
+  marjoram_engine_memory *cache;
   TAILQ_HEAD (, job) jobs; /* in prefill order */
   int running;
   double step_until; /* end of the current step, ms */
@@ -89,7 +89,7 @@
   struct sim_engine engines[ENGINES_MAX];
   struct seen_part *seen; /* parts read by some engine */
   uint64_t jobs;
-  uint64_t turn;
+  uint64_t next_engine;
 };
 
 const char *
@@ -157,7 +157,7 @@
       struct sim_engine *engine = &load->engines[i];
 
       snprintf (engine->id, sizeof engine->id, "e%d", i);
-      engine->memory = marjoram_engine_memory_create ();
+      engine->cache = marjoram_engine_memory_create ();
       TAILQ_INIT (&engine->jobs);
     }
   for (int i = 0; i < load->terms->hosts; i++)
@@ -187,7 +187,7 @@
           /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
           free (job);
         }
-      marjoram_engine_memory_destroy (engine->memory);
+      marjoram_engine_memory_destroy (engine->cache);
     }
   for (int i = 0; i < load->terms->hosts; i++)
     marjoram_placement_destroy (load->placements[i]);
@@ -218,10 +218,10 @@
   return false;
 }
 
-/* Counts the tokens that the engine reads: those of parts from KEPT tokens
-   on.  */
+/* Counts the tokens that the engine reads: parts after the first CACHED
+   tokens.  */
 static void
-count_read (struct load *load, const struct job *job, int64_t kept)
+count_read (struct load *load, const struct job *job, int64_t cached)
 {
   const struct marjoram_call_facts *facts = &job->facts;
   int64_t before = 0;
@@ -230,7 +230,7 @@
     {
       bool again = mark_seen (load, facts->parts[i].id);
 
-      if (before >= kept)
+      if (before >= cached)
         {
           load->result->read += facts->parts[i].tokens;
           load->result->read_again += again ? facts->parts[i].tokens : 0;
@@ -240,9 +240,9 @@
 }
 
 static int64_t
-kept_at (const struct sim_engine *engine, const struct job *job)
+cached_tokens (const struct sim_engine *engine, const struct job *job)
 {
-  return marjoram_engine_memory_kept (engine->memory, job->facts.parts,
+  return marjoram_engine_memory_kept (engine->cache, job->facts.parts,
                                       job->facts.part_count);
 }
 
@@ -250,17 +250,17 @@
 start_job (struct load *load, struct sim_engine *engine,
            const struct sim_engine *source, struct job *job)
 {
-  int64_t own = kept_at (engine, job);
-  int64_t kept = source ? kept_at (source, job) : 0;
-
-  if (kept < own)
-    kept = own;
-  load->result->copied += kept - own;
-  count_read (load, job, kept);
-  job->unread = (double)(job->facts.prompt_tokens - kept)
-                + (double)(kept - own) * READ_PER_MS / COPIED_PER_MS;
+  int64_t own = cached_tokens (engine, job);
+  int64_t cached = source ? cached_tokens (source, job) : 0;
+
+  if (cached < own)
+    cached = own;
+  load->result->copied += cached - own;
+  count_read (load, job, cached);
+  job->unread = (double)(job->facts.prompt_tokens - cached)
+                + (double)(cached - own) * READ_PER_MS / COPIED_PER_MS;
   for (size_t i = job->facts.part_count; i > 0; i--)
-    marjoram_engine_memory_use (engine->memory, job->facts.parts[i - 1].id,
+    marjoram_engine_memory_use (engine->cache, job->facts.parts[i - 1].id,
                                 job->facts.parts[i - 1].tokens, CAPACITY);
   TAILQ_INSERT_TAIL (&engine->jobs, job, link);
   engine->running++;
@@ -371,9 +371,9 @@
   job->host = (int)marjoram_random_below (load->random,
                                           (uint64_t)load->terms->hosts);
   job->asked_at = now;
-  job->objective_ms = review ? REVIEW_OBJECTIVE_MS : ASK_OBJECTIVE_MS;
+  job->objective_ms = review ? REVIEW_OBJECTIVE_MS : CHAT_OBJECTIVE_MS;
   snprintf (facts->id, sizeof facts->id, "%" PRIu64, job->number);
-  facts->answer_tokens_hint = review ? REVIEW_ANSWER : ASK_ANSWER;
+  facts->answer_tokens_hint = review ? REVIEW_ANSWER : CHAT_ANSWER;
   job->answer = (int)facts->answer_tokens_hint;
   if (review)
     {
@@ -385,11 +385,11 @@
     }
   else
     facts->parts[facts->part_count++]
-        = (struct marjoram_prompt_part){ ASK_IDS + drawn % ASK_PARTS,
-                                         ASK_SHARED };
+        = (struct marjoram_prompt_part){ CHAT_IDS + drawn % CHAT_PARTS,
+                                         CHAT_SHARED };
   facts->parts[facts->part_count++]
       = (struct marjoram_prompt_part){ OWN_IDS + job->number,
-                                       review ? REVIEW_TOKENS : ASK_TOKENS };
+                                       review ? REVIEW_TOKENS : CHAT_TOKENS };
   for (size_t i = 0; i < facts->part_count; i++)
     facts->prompt_tokens += facts->parts[i].tokens;
   return job;
@@ -410,7 +410,8 @@
   struct sim_engine *best = &load->engines[0];
 
   if (load->terms->way == LOAD_ROUND_ROBIN)
-    return &load->engines[load->turn++ % (uint64_t)load->terms->engines];
+    return &load->engines[load->next_engine++
+                          % (uint64_t)load->terms->engines];
   for (int i = 1; i < load->terms->engines; i++)
     if (load->engines[i].running < best->running)
       best = &load->engines[i];
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -104,7 +104,7 @@
 }
 
 static void
-receive (int64_t now, const char *id)
+receive_heartbeat (int64_t now, const char *id)
 {
   receive_upstream (now, "lm", id, "za", 0, now + 1);
 }
@@ -136,7 +136,7 @@
 
 /* Chooses an upstream and, if one is found, starts an attempt there.  */
 static struct marjoram_place
-place (int64_t now, const struct marjoram_place_query *query)
+choose_and_start (int64_t now, const struct marjoram_place_query *query)
 {
   struct marjoram_place chosen;
 
@@ -159,13 +159,13 @@
   struct marjoram_call_facts facts = prompt (7, 4000, 100, 500);
   struct marjoram_place_query query = make_query (&facts, 1);
 
-  receive (0, "1");
-  receive (0, "2");
-  receive (0, "3");
+  receive_heartbeat (0, "1");
+  receive_heartbeat (0, "2");
+  receive_heartbeat (0, "3");
   marjoram_placement_keeps (placement, "2", &kept, 1);
-  ck_assert_str_eq (place (10, &query).upstream->news.id, "2");
+  ck_assert_str_eq (choose_and_start (10, &query).upstream->news.id, "2");
   marjoram_placement_keeps (placement, "3", &kept, 1);
-  ck_assert_int_lt (place (20, &query).wait_ms, 40);
+  ck_assert_int_lt (choose_and_start (20, &query).wait_ms, 40);
 }
 END_TEST
 
@@ -176,8 +176,9 @@
   char where[MARJORAM_ID_MAX];
 
   for (int i = 1; i <= 4; i++)
-    receive (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
-  snprintf (where, sizeof where, "%s", place (0, &query).upstream->news.id);
+    receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+  snprintf (where, sizeof where, "%s",
+            choose_and_start (0, &query).upstream->news.id);
   marjoram_placement_answering (placement, 100, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
   for (uint64_t i = 0; i < 5; i++)
@@ -186,7 +187,7 @@
       struct marjoram_place chosen;
 
       query = make_query (&next, 1);
-      chosen = place (300 + (int64_t)i * 200, &query);
+      chosen = choose_and_start (300 + (int64_t)i * 200, &query);
       ck_assert_str_eq (chosen.upstream->news.id, where);
       ck_assert_int_lt (chosen.wait_ms, 20);
       marjoram_placement_ended (placement, 400 + (int64_t)i * 200,
@@ -208,16 +209,16 @@
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  receive (0, "1");
-  ck_assert_ptr_null (place (0, &query).copy_from);
+  receive_heartbeat (0, "1");
+  ck_assert_ptr_null (choose_and_start (0, &query).copy_from);
   marjoram_placement_answering (placement, 150, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
   query.facts = &other;
-  place (300, &query);
-  receive (300, "2");
+  choose_and_start (300, &query);
+  receive_heartbeat (300, "2");
   receive_upstream (300, "lm", "3", "zb", 0, 301);
   query.facts = &next;
-  chosen = place (310, &query);
+  chosen = choose_and_start (310, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
   ck_assert_str_eq (chosen.copy_from->news.id, "1");
   ck_assert_int_eq (chosen.copied_tokens, 6000);
@@ -225,7 +226,7 @@
   /* No engine in the zone of upstream 3 has it cached.  */
   query.tried[query.tried_count++] = "1";
   query.tried[query.tried_count++] = "2";
-  chosen = place (320, &query);
+  chosen = choose_and_start (320, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "3");
   ck_assert_ptr_null (chosen.copy_from);
 }
@@ -242,13 +243,13 @@
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  receive (10, "1");
-  place (10, &query);
+  receive_heartbeat (10, "1");
+  choose_and_start (10, &query);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
-  receive (300, "2");
+  receive_heartbeat (300, "2");
   marjoram_placement_lost (placement, 400, "10.0.0.1:80");
   query.tried[query.tried_count++] = "1";
-  chosen = place (410, &query);
+  chosen = choose_and_start (410, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
   ck_assert_ptr_null (chosen.copy_from);
 }
@@ -261,12 +262,12 @@
   int at[5] = { 0 };
 
   for (int i = 1; i <= 4; i++)
-    receive (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+    receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   for (uint64_t i = 0; i < 12; i++)
     {
       struct marjoram_call_facts facts = prompt (7, 4000, 100 + i, 3000);
       struct marjoram_place_query query = make_query (&facts, 1);
-      struct marjoram_place chosen = place (0, &query);
+      struct marjoram_place chosen = choose_and_start (0, &query);
 
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
         at[atoi (chosen.upstream->news.id)]++;
@@ -283,13 +284,13 @@
   struct marjoram_place chosen = { 0 };
   int taken = 0;
 
-  receive (0, "1");
+  receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
       struct marjoram_place_query query = make_query (&facts, 1);
 
-      chosen = place (0, &query);
+      chosen = choose_and_start (0, &query);
       taken += chosen.outcome == MARJORAM_PLACE_FOUND;
     }
   ck_assert_int_ge (taken, 1);
@@ -306,16 +307,17 @@
   struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
   struct marjoram_place_query query;
 
-  receive (0, "1");
+  receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
 
       query = make_query (&facts, 1);
-      place (0, &query);
+      choose_and_start (0, &query);
     }
   query = make_query (&urgent, 0);
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
 }
 END_TEST
 
@@ -359,14 +361,14 @@
 {
   int sent = 0;
 
-  receive (0, "1");
+  receive_heartbeat (0, "1");
   marjoram_placement_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
       struct marjoram_place_query query = make_query (&facts, 1);
 
-      if (place (now, &query).outcome != MARJORAM_PLACE_FOUND)
+      if (choose_and_start (now, &query).outcome != MARJORAM_PLACE_FOUND)
         continue;
       sent++;
       marjoram_placement_ended (placement, now, next_attempt,
@@ -374,14 +376,14 @@
     }
   ck_assert_int_le (sent, 2);
   receive_host_beat (1200, "h1");
-  receive (1200, "1");
+  receive_heartbeat (1200, "1");
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
       struct marjoram_place_query query = make_query (&facts, 1);
 
-      sent += place (now, &query).outcome == MARJORAM_PLACE_FOUND;
+      sent += choose_and_start (now, &query).outcome == MARJORAM_PLACE_FOUND;
     }
   ck_assert_int_eq (sent, 10);
 }
@@ -394,20 +396,26 @@
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
-  receive (0, "1");
+  receive_heartbeat (0, "1");
   evacuated = "za";
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
   evacuated = NULL;
   marjoram_placement_restored (placement, 10, "za");
-  ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (40, &query).outcome, MARJORAM_PLACE_NONE);
-  receive (400, "1");
-  ck_assert_int_eq (place (410, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (420, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (20, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (40, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  receive_heartbeat (400, "1");
+  ck_assert_int_eq (choose_and_start (410, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (420, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
   marjoram_placement_restored (placement, 500, "za");
   receive_upstream (900, "lm", "1", "za", 2000, 901);
-  ck_assert_int_eq (place (1000, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (1020, &query).outcome, MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (1000, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (1020, &query).outcome,
+                    MARJORAM_PLACE_NONE);
 }
 END_TEST
 
@@ -420,20 +428,20 @@
   char slow[MARJORAM_ID_MAX];
   struct marjoram_place chosen;
 
-  receive (0, "1");
-  receive (0, "2");
-  chosen = place (0, &query);
+  receive_heartbeat (0, "1");
+  receive_heartbeat (0, "2");
+  chosen = choose_and_start (0, &query);
   snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
   marjoram_placement_answering (placement, 110, 1);
   marjoram_placement_ended (placement, 120, 1, MARJORAM_ATTEMPT_SERVED);
   /* It caches the part, so the next request is sent there and waits.  */
-  ck_assert_str_eq (place (200, &query).upstream->news.id, slow);
-  ck_assert_str_ne (place (1200, &query).upstream->news.id, slow);
+  ck_assert_str_eq (choose_and_start (200, &query).upstream->news.id, slow);
+  ck_assert_str_ne (choose_and_start (1200, &query).upstream->news.id, slow);
   marjoram_placement_answering (placement, 1300, 3);
   marjoram_placement_ended (placement, 1400, 3, MARJORAM_ATTEMPT_SERVED);
   marjoram_placement_answering (placement, 2200, 2);
   marjoram_placement_ended (placement, 2300, 2, MARJORAM_ATTEMPT_SERVED);
-  ck_assert_str_ne (place (2400, &query).upstream->news.id, slow);
+  ck_assert_str_ne (choose_and_start (2400, &query).upstream->news.id, slow);
 }
 END_TEST
 
@@ -443,7 +451,7 @@
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_upstream (0, "lm", "1", "far", 0, 1);
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
 }
 END_TEST
 
@@ -452,19 +460,23 @@
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
-  receive (0, "1");
-  place (0, &query);
+  receive_heartbeat (0, "1");
+  choose_and_start (0, &query);
   marjoram_placement_ended (placement, 10, next_attempt,
                             MARJORAM_ATTEMPT_UNREACHED);
-  ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_NONE);
-  ck_assert_int_eq (place (400, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (20, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (400, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
   /* Another upstream owns its address: only its own heartbeat makes it usable
      again.  */
   marjoram_placement_ended (placement, 410, next_attempt,
                             MARJORAM_ATTEMPT_WRONG);
-  ck_assert_int_eq (place (5000, &query).outcome, MARJORAM_PLACE_NONE);
-  receive (5100, "1");
-  ck_assert_int_eq (place (5200, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (5000, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  receive_heartbeat (5100, "1");
+  ck_assert_int_eq (choose_and_start (5200, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
 }
 END_TEST
 
@@ -475,16 +487,18 @@
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
-  receive (0, "1");
+  receive_heartbeat (0, "1");
   for (int i = 0; i < 4; i++)
     {
-      ck_assert_int_eq (place (i, &query).outcome, MARJORAM_PLACE_FOUND);
+      ck_assert_int_eq (choose_and_start (i, &query).outcome,
+                        MARJORAM_PLACE_FOUND);
       marjoram_placement_ended (placement, i, next_attempt,
                                 MARJORAM_ATTEMPT_BROKEN);
     }
-  receive (10, "2");
+  receive_heartbeat (10, "2");
   for (int i = 0; i < 4; i++)
-    ck_assert_str_eq (place (20 + i, &query).upstream->news.id, "2");
+    ck_assert_str_eq (choose_and_start (20 + i, &query).upstream->news.id,
+                      "2");
 }
 END_TEST
 
@@ -503,9 +517,9 @@
         struct marjoram_place_query patient = queries[kind];
 
         patient.useful_ms = 60000;
-        receive (i * 3000, "1");
+        receive_heartbeat (i * 3000, "1");
         receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
-        ck_assert_int_eq (place (i * 3000, &patient).outcome,
+        ck_assert_int_eq (choose_and_start (i * 3000, &patient).outcome,
                           MARJORAM_PLACE_FOUND);
         marjoram_placement_answering (placement, i * 3000 + 2900,
                                       next_attempt);
@@ -515,7 +529,7 @@
   for (int kind = 0; kind < 2; kind++)
     {
       queries[kind].useful_ms = 300;
-      ck_assert_int_eq (place (180000, &queries[kind]).outcome,
+      ck_assert_int_eq (choose_and_start (180000, &queries[kind]).outcome,
                         MARJORAM_PLACE_FOUND);
     }
 }
@@ -533,7 +547,7 @@
   for (int i = 0; i < 8; i++)
     {
       snprintf (facts.id, sizeof facts.id, "%d", i);
-      at[atoi (place (0, &query).upstream->news.id)]++;
+      at[atoi (choose_and_start (0, &query).upstream->news.id)]++;
     }
   ck_assert_int_eq (at[1], 4);
   ck_assert_int_eq (at[2], 4);
@@ -550,8 +564,8 @@
   struct marjoram_place_query query = make_query (&facts, 1);
   struct marjoram_place chosen;
 
-  receive (0, "1");
-  place (0, &query);
+  receive_heartbeat (0, "1");
+  choose_and_start (0, &query);
   marjoram_placement_report (placement, &report);
   marjoram_placement_hear (other, 10, "h1", &report);
   marjoram_wire_clear (&marjoram_load_report_layout, &report);
--- a/test/test_placement_load.c
+++ b/test/test_placement_load.c
@@ -18,7 +18,7 @@
 };
 
 static struct load_result
-play (enum load_way way)
+run_policy (enum load_way way)
 {
   struct load_terms terms = heavy;
   struct load_result result;
@@ -42,9 +42,9 @@
    or least-in-flight.  */
 START_TEST (placed_requests_are_served_in_time)
 {
-  struct load_result placed = play (LOAD_PLACED);
-  struct load_result turn = play (LOAD_ROUND_ROBIN);
-  struct load_result fewest = play (LOAD_LEAST_IN_FLIGHT);
+  struct load_result placed = run_policy (LOAD_PLACED);
+  struct load_result turn = run_policy (LOAD_ROUND_ROBIN);
+  struct load_result fewest = run_policy (LOAD_LEAST_IN_FLIGHT);
 
   check_more (&placed, &turn, 1.5);
   check_more (&placed, &fewest, 1.3);
@@ -57,8 +57,8 @@
    requests.  */
 START_TEST (copies_serve_more_callers)
 {
-  struct load_result copying = play (LOAD_PLACED_COPYING);
-  struct load_result placed = play (LOAD_PLACED);
+  struct load_result copying = run_policy (LOAD_PLACED_COPYING);
+  struct load_result placed = run_policy (LOAD_PLACED);
 
   check_more (&copying, &placed, 1.03);
   ck_assert_int_lt (copying.refused * 2, placed.refused);
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -38,8 +38,8 @@
 }
 
 static enum marjoram_hearing
-receive (int64_t now, const char *id, int64_t born, int64_t sequence,
-         enum marjoram_news_state state)
+receive_heartbeat (int64_t now, const char *id, int64_t born, int64_t sequence,
+                   enum marjoram_news_state state)
 {
   struct marjoram_upstream_news made = news (id, born, sequence, state);
 
@@ -55,9 +55,9 @@
 
 START_TEST (heartbeats_renew)
 {
-  ck_assert_int_eq (receive (0, "a", 1, 1, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (receive (1200, "a", 1, 2, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (1200, "a", 1, 2, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_RENEWED);
   ck_assert (usable ("a", 1300));
 }
@@ -67,12 +67,12 @@
    again.  */
 START_TEST (late_heartbeat_does_not_undo_leaving)
 {
-  receive (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  receive (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
-  ck_assert_int_eq (receive (200, "a", 1, 2, MARJORAM_NEWS_READY),
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
+  ck_assert_int_eq (receive_heartbeat (200, "a", 1, 2, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_STALE);
   ck_assert (!usable ("a", 300));
-  receive (300, "a", 1, 4, MARJORAM_NEWS_READY);
+  receive_heartbeat (300, "a", 1, 4, MARJORAM_NEWS_READY);
   ck_assert (!usable ("a", 400));
 }
 END_TEST
@@ -81,10 +81,10 @@
    upstream.  */
 START_TEST (gone_stays_gone)
 {
-  receive (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (receive (100, "a", 0, 0, MARJORAM_NEWS_GONE),
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (receive_heartbeat (100, "a", 0, 0, MARJORAM_NEWS_GONE),
                     MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (receive (4000, "a", 1, 9, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (4000, "a", 1, 9, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_STALE);
   ck_assert (!usable ("a", 4100));
 }
@@ -94,11 +94,13 @@
    its earlier instance.  */
 START_TEST (same_id_starts_again)
 {
-  receive (0, "a", 1000, 50, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (receive (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (receive (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
-                    MARJORAM_HEARING_STALE);
+  receive_heartbeat (0, "a", 1000, 50, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (
+      receive_heartbeat (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
+      MARJORAM_HEARING_CHANGED);
+  ck_assert_int_eq (
+      receive_heartbeat (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
+      MARJORAM_HEARING_STALE);
   ck_assert (usable ("a", 5200));
 }
 END_TEST
@@ -107,11 +109,12 @@
    reused.  */
 START_TEST (address_goes_to_the_later_start)
 {
-  receive (0, "old", 1000, 5, MARJORAM_NEWS_READY);
-  receive (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "old", 1000, 5, MARJORAM_NEWS_READY);
+  receive_heartbeat (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
   ck_assert (!usable ("old", 4100));
-  ck_assert_int_eq (receive (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_STALE);
+  ck_assert_int_eq (
+      receive_heartbeat (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
+      MARJORAM_HEARING_STALE);
   ck_assert (usable ("new", 5000));
 }
 END_TEST
@@ -122,7 +125,7 @@
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  receive (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
   marjoram_registry_hear (registry, 0, &other, 0);
   ck_assert (usable ("a", 20000));
   other.sequence = 2;
@@ -168,7 +171,7 @@
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  receive (0, "a", 1, 1, MARJORAM_NEWS_GONE);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_GONE);
   marjoram_registry_hear (registry, 90000, &other, 0);
   marjoram_registry_tick (registry, 90000);
   ck_assert_ptr_null (marjoram_registry_find (registry, "a"));
