--- a/src/engine_memory.c
+++ b/src/engine_memory.c
@@ -5,9 +5,9 @@
 #include <sys/queue.h>
 #include <uthash.h>
 
-struct kept
+struct cached_part
 {
-  TAILQ_ENTRY (kept) link;
+  TAILQ_ENTRY (cached_part) link;
   uint64_t part;
   int64_t tokens;
   UT_hash_handle hh;
@@ -15,79 +15,81 @@
 
 struct marjoram_engine_memory
 {
-  TAILQ_HEAD (kept_list, kept) by_use; /* the latest used comes first */
-  struct kept *by_part;
+  TAILQ_HEAD (cached_part_list, cached_part)
+  by_use; /* most recently used first */
+  struct cached_part *by_part;
   int64_t tokens;
 };
 
 marjoram_engine_memory *
 marjoram_engine_memory_create (void)
 {
-  marjoram_engine_memory *memory = marjoram_alloc (sizeof *memory);
+  marjoram_engine_memory *cache = marjoram_alloc (sizeof *cache);
 
-  TAILQ_INIT (&memory->by_use);
-  return memory;
+  TAILQ_INIT (&cache->by_use);
+  return cache;
 }
 
-static struct kept *
-find (const marjoram_engine_memory *memory, uint64_t part)
+static struct cached_part *
+find (const marjoram_engine_memory *cache, uint64_t part)
 {
-  struct kept *kept;
+  struct cached_part *cached_part;
 
-  HASH_FIND (hh, memory->by_part, &part, sizeof part, kept);
-  return kept;
+  HASH_FIND (hh, cache->by_part, &part, sizeof part, cached_part);
+  return cached_part;
 }
 
 static void
-drop (marjoram_engine_memory *memory, struct kept *kept)
+evict (marjoram_engine_memory *cache, struct cached_part *cached_part)
 {
-  memory->tokens -= kept->tokens;
-  TAILQ_REMOVE (&memory->by_use, kept, link);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DELETE (hh, memory->by_part, kept);
-  free (kept);
+  cache->tokens -= cached_part->tokens;
+  TAILQ_REMOVE (&cache->by_use, cached_part, link);
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
+  HASH_DELETE (hh, cache->by_part, cached_part);
+  free (cached_part);
 }
 
 void
-marjoram_engine_memory_clear (marjoram_engine_memory *memory)
+marjoram_engine_memory_clear (marjoram_engine_memory *cache)
 {
-  while (!TAILQ_EMPTY (&memory->by_use))
-    drop (memory, TAILQ_FIRST (&memory->by_use));
+  while (!TAILQ_EMPTY (&cache->by_use))
+    evict (cache, TAILQ_FIRST (&cache->by_use));
 }
 
 void
-marjoram_engine_memory_destroy (marjoram_engine_memory *memory)
+marjoram_engine_memory_destroy (marjoram_engine_memory *cache)
 {
-  if (!memory)
+  if (!cache)
     return;
-  marjoram_engine_memory_clear (memory);
-  free (memory);
+  marjoram_engine_memory_clear (cache);
+  free (cache);
 }
 
 void
-marjoram_engine_memory_use (marjoram_engine_memory *memory, uint64_t part,
+marjoram_engine_memory_use (marjoram_engine_memory *cache, uint64_t part,
                             int64_t tokens, int64_t capacity)
 {
-  struct kept *kept = find (memory, part);
+  struct cached_part *cached_part = find (cache, part);
 
-  if (kept)
-    TAILQ_REMOVE (&memory->by_use, kept, link);
+  if (cached_part)
+    TAILQ_REMOVE (&cache->by_use, cached_part, link);
   else
     {
-      kept = marjoram_alloc (sizeof *kept);
-      kept->part = part;
-      HASH_ADD (hh, memory->by_part, part, sizeof kept->part, kept);
+      cached_part = marjoram_alloc (sizeof *cached_part);
+      cached_part->part = part;
+      HASH_ADD (hh, cache->by_part, part, sizeof cached_part->part,
+                cached_part);
     }
-  memory->tokens += tokens - kept->tokens;
-  kept->tokens = tokens;
-  TAILQ_INSERT_HEAD (&memory->by_use, kept, link);
-  while (memory->tokens > capacity && !TAILQ_EMPTY (&memory->by_use))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
-    drop (memory, TAILQ_LAST (&memory->by_use, kept_list));
+  cache->tokens += tokens - cached_part->tokens;
+  cached_part->tokens = tokens;
+  TAILQ_INSERT_HEAD (&cache->by_use, cached_part, link);
+  while (cache->tokens > capacity && !TAILQ_EMPTY (&cache->by_use))
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
+    evict (cache, TAILQ_LAST (&cache->by_use, cached_part_list));
 }
 
 int64_t
-marjoram_engine_memory_kept (const marjoram_engine_memory *memory,
+marjoram_engine_memory_kept (const marjoram_engine_memory *cache,
                              const struct marjoram_prompt_part *parts,
                              size_t count)
 {
@@ -95,9 +97,9 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      const struct kept *kept = find (memory, parts[i].id);
+      const struct cached_part *cached_part = find (cache, parts[i].id);
 
-      if (!kept)
+      if (!cached_part)
         break;
       tokens += parts[i].tokens;
     }
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -7,21 +7,21 @@
 
 enum
 {
-  /* Beats come every 300 ms, so that four in a row are missing.  A dead host
-     is then out of look-ups within two seconds.  */
+  /* Four missed heartbeats at the default interval of 300 ms, so that lookups
+     omit a dead host within two seconds.  */
   ALIVE_MS = 1300,
-  /* The same where beats come less often.  */
-  ALIVE_BEATS = 4,
+  /* The same for longer heartbeat intervals.  */
+  ALIVE_HEARTBEATS = 4,
   ALIVE_MARGIN_MS = 100,
-  /* Told by others, a beat is older by their own interval.  */
-  ALIVE_TOLD_MS = 7000,
+  /* For relayed heartbeats, which are sent less often.  */
+  ALIVE_RELAYED_MS = 7000,
   FORGET_MS = 60000,
-  /* For how long a view holds while no host is heard to change: a host that
-     falls silent is still in it for so long.  */
+  /* Lifetime of an unchanged view; a host that falls silent may stay in it for
+     this long.  */
   VIEW_MS = 100
 };
 
-/* The owner of a key among the hosts of a view.  */
+/* Cached owner of a key among the hosts of a view.  */
 struct owner
 {
   char *key;
@@ -29,38 +29,38 @@
   UT_hash_handle hh;
 };
 
-/* Some of the hosts, collected now and then, so that what is asked for each
-   request does not walk all hosts.  */
+/* Cached subset of the hosts, so that per-request queries need not scan the
+   whole list.  */
 enum view_kind
 {
-  VIEW_REGION, /* hosts that serve there */
+  VIEW_REGION, /* serving hosts of a region */
   VIEW_ZONE,
-  VIEW_OFFERING /* that offer something */
+  VIEW_OFFERING /* hosts with offers */
 };
 
 struct view
 {
   enum view_kind kind;
-  char *name; /* of the region or zone */
-  struct marjoram_host_view it;
-  size_t next; /* with which a look-up begins */
-  size_t room;
-  int64_t made_at;
-  uint64_t changes; /* of the list, when it was made */
+  char *name; /* region or zone */
+  struct marjoram_host_view result;
+  size_t next; /* index at which the next lookup starts */
+  size_t capacity;
+  int64_t built_at;
+  uint64_t changes; /* CHANGES of the list when the view was built */
   struct owner *owners;
   UT_hash_handle hh;
 };
 
 struct marjoram_host_list
 {
-  int64_t told_valid_ms; /* how long others' word of a host holds */
-  int64_t late_ms;       /* how far behind this host's own hearing is */
-  char *region;          /* whose entry hosts beat every BEAT_MS; null: none */
+  int64_t relayed_valid_ms; /* validity of relayed heartbeats */
+  int64_t lag_ms;           /* receive lag of this host */
+  char *region; /* region whose entry hosts use BEAT_MS; NULL if none */
   int64_t beat_ms;
   struct marjoram_listed_hosts hosts;
   struct marjoram_listed_host *by_name;
   size_t entries;
-  uint64_t changes; /* of which hosts there are and what they say */
+  uint64_t changes; /* number of changes that may affect views */
   struct view *regions;
   struct view *zones;
   struct view offering;
@@ -72,7 +72,7 @@
   marjoram_host_list *list = marjoram_alloc (sizeof *list);
 
   TAILQ_INIT (&list->hosts);
-  list->told_valid_ms = ALIVE_TOLD_MS;
+  list->relayed_valid_ms = ALIVE_RELAYED_MS;
   list->offering.kind = VIEW_OFFERING;
   return list;
 }
@@ -80,17 +80,17 @@
 void
 marjoram_host_list_set_told_valid (marjoram_host_list *list, int64_t msec)
 {
-  list->told_valid_ms = msec;
+  list->relayed_valid_ms = msec;
 }
 
-/* Where this host's own link is full or its loop stood still, all beats come
-   late, and the live look dead: nothing could be forwarded, and each host that
-   is late would take itself for the one that feeds a cold upstream.  The lag
-   has a bound, so that the dead are found all the same.  */
+/* With a lagging receiver all heartbeats arrive late and live hosts would
+   appear dead; several hosts could then each take themselves for the owner of
+   a cold upstream.  The lag is bounded by its source, so that dead hosts are
+   still detected.  */
 void
-marjoram_host_list_set_late (marjoram_host_list *list, int64_t late_ms)
+marjoram_host_list_set_late (marjoram_host_list *list, int64_t lag_ms)
 {
-  list->late_ms = late_ms;
+  list->lag_ms = lag_ms;
 }
 
 static void
@@ -106,11 +106,11 @@
 }
 
 static void
-forget (marjoram_host_list *list, struct marjoram_listed_host *host)
+remove_host (marjoram_host_list *list, struct marjoram_listed_host *host)
 {
   list->changes++;
   list->entries -= is_entry (&host->beat);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, list->by_name, host);
   TAILQ_REMOVE (&list->hosts, host, link);
   clear_beat (&host->beat);
@@ -125,7 +125,7 @@
 
   HASH_ITER (hh, view->owners, owner, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, view->owners, owner);
     free (owner->key);
     free (owner);
@@ -136,7 +136,7 @@
 clear_view (struct view *view)
 {
   clear_owners (view);
-  free (view->it.hosts);
+  free (view->result.hosts);
 }
 
 static void
@@ -147,7 +147,7 @@
 
   HASH_ITER (hh, *views, view, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, *views, view);
     clear_view (view);
     free (view->name);
@@ -165,8 +165,8 @@
   free (list->region);
   clear_view (&list->offering);
   while (!TAILQ_EMPTY (&list->hosts))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget (list, TAILQ_FIRST (&list->hosts));
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
+    remove_host (list, TAILQ_FIRST (&list->hosts));
   free (list);
 }
 
@@ -202,20 +202,20 @@
 }
 
 static bool
-is_same (const char *known, const char *told)
+is_same_text (const char *known, const char *received)
 {
-  return strcmp (known, told ? told : "") == 0;
+  return strcmp (known, received ? received : "") == 0;
 }
 
-/* Most beats repeat all texts of the one before.  */
+/* Fast path for heartbeats with unchanged strings: updates in place.  */
 static bool
-renew_beat (struct marjoram_host_beat *known,
-            const struct marjoram_host_beat *beat)
+update_beat_in_place (struct marjoram_host_beat *known,
+                      const struct marjoram_host_beat *beat)
 {
   if (known->offers.count > 0 || beat->offers.count > 0
-      || !is_same (known->zone, beat->zone)
-      || !is_same (known->region, beat->region)
-      || !is_same (known->entry, beat->entry))
+      || !is_same_text (known->zone, beat->zone)
+      || !is_same_text (known->region, beat->region)
+      || !is_same_text (known->entry, beat->entry))
     return false;
   known->keeper = beat->keeper;
   known->ready = beat->ready;
@@ -266,14 +266,14 @@
   return host;
 }
 
-/* The name, which is the key of the hash, stays in place.  */
+/* The name is the hash key and must stay allocated.  */
 static void
 replace_beat (struct marjoram_listed_host *host,
               const struct marjoram_host_beat *beat)
 {
   char *name = host->beat.name;
 
-  if (renew_beat (&host->beat, beat))
+  if (update_beat_in_place (&host->beat, beat))
     return;
   host->beat.name = NULL;
   clear_beat (&host->beat);
@@ -282,8 +282,7 @@
   host->beat.name = name;
 }
 
-/* Whether BEAT may put its host, of which HOST is known, into a view or out of
-   one.  */
+/* Whether BEAT may add HOST to a view or remove it.  */
 static bool
 changes_views (const struct marjoram_listed_host *host, int64_t now,
                const struct marjoram_host_beat *beat)
@@ -354,15 +353,15 @@
   list->changes++;
 }
 
-/* How long HOST may be silent.  */
+/* Silence in ms after which HOST counts as dead.  */
 static int64_t
-valid_ms (const struct marjoram_listed_host *host)
+max_silence_ms (const struct marjoram_listed_host *host)
 {
   const marjoram_host_list *list = host->list;
-  int64_t beats_ms = list->beat_ms * ALIVE_BEATS + ALIVE_MARGIN_MS;
+  int64_t beats_ms = list->beat_ms * ALIVE_HEARTBEATS + ALIVE_MARGIN_MS;
 
   if (!host->direct)
-    return list->told_valid_ms;
+    return list->relayed_valid_ms;
   if (host->beat.keeper || !list->region || beats_ms < ALIVE_MS
       || strcmp (host->beat.region, list->region) != 0)
     return ALIVE_MS;
@@ -373,7 +372,7 @@
 marjoram_host_list_alive (const struct marjoram_listed_host *host, int64_t now)
 {
   return host->heard_at > host->lost_at
-         && now - host->heard_at - host->list->late_ms <= valid_ms (host);
+         && now - host->heard_at - host->list->lag_ms <= max_silence_ms (host);
 }
 
 bool
@@ -409,32 +408,32 @@
 }
 
 static void
-make_view (const marjoram_host_list *list, struct view *view, int64_t now)
+build_view (const marjoram_host_list *list, struct view *view, int64_t now)
 {
   struct marjoram_listed_host *host;
 
   clear_owners (view);
-  if (view->room < HASH_COUNT (list->by_name))
+  if (view->capacity < HASH_COUNT (list->by_name))
     {
-      free (view->it.hosts);
-      view->room = HASH_COUNT (list->by_name);
-      view->it.hosts = marjoram_alloc (
-          view->room * sizeof (struct marjoram_listed_host *));
+      free (view->result.hosts);
+      view->capacity = HASH_COUNT (list->by_name);
+      view->result.hosts = marjoram_alloc (
+          view->capacity * sizeof (struct marjoram_listed_host *));
     }
-  view->it.count = 0;
+  view->result.count = 0;
   TAILQ_FOREACH (host, &list->hosts, link)
   if (is_in_view (view, host, now))
-    view->it.hosts[view->it.count++] = host;
-  view->made_at = now;
+    view->result.hosts[view->result.count++] = host;
+  view->built_at = now;
   view->changes = list->changes;
 }
 
 static void
-renew_view (const marjoram_host_list *list, struct view *view, int64_t now)
+refresh_view (const marjoram_host_list *list, struct view *view, int64_t now)
 {
-  if (view->changes != list->changes || now < view->made_at
-      || now >= view->made_at + VIEW_MS)
-    make_view (list, view, now);
+  if (view->changes != list->changes || now < view->built_at
+      || now >= view->built_at + VIEW_MS)
+    build_view (list, view, now);
 }
 
 static struct view *
@@ -452,7 +451,7 @@
       view->changes = list->changes - 1;
       HASH_ADD_KEYPTR (hh, *views, view->name, strlen (view->name), view);
     }
-  renew_view (list, view, now);
+  refresh_view (list, view, now);
   return view;
 }
 
@@ -465,15 +464,15 @@
 const struct marjoram_host_view *
 marjoram_host_list_offering (marjoram_host_list *list, int64_t now)
 {
-  renew_view (list, &list->offering, now);
-  return &list->offering.it;
+  refresh_view (list, &list->offering, now);
+  return &list->offering.result;
 }
 
 const struct marjoram_host_view *
 marjoram_host_list_of_region (marjoram_host_list *list, int64_t now,
                               const char *region)
 {
-  return &region_view (list, now, region)->it;
+  return &region_view (list, now, region)->result;
 }
 
 uint64_t
@@ -487,16 +486,17 @@
 find_owner (const struct view *view, const char *key)
 {
   const struct marjoram_listed_host *best = NULL;
-  uint64_t most = 0;
+  uint64_t highest = 0;
 
-  for (size_t i = 0; i < view->it.count; i++)
+  for (size_t i = 0; i < view->result.count; i++)
     {
-      uint64_t claim = marjoram_listed_host_claim (view->it.hosts[i], key);
+      uint64_t weight
+          = marjoram_listed_host_claim (view->result.hosts[i], key);
 
-      if (best && claim <= most)
+      if (best && weight <= highest)
         continue;
-      best = view->it.hosts[i];
-      most = claim;
+      best = view->result.hosts[i];
+      highest = weight;
     }
   return best;
 }
@@ -521,7 +521,7 @@
 }
 
 static uint64_t
-claim_of (const char *host, const char *key)
+weight_of (const char *host, const char *key)
 {
   return XXH3_64bits_withSeed (key, strlen (key),
                                XXH3_64bits (host, strlen (host)));
@@ -534,14 +534,14 @@
 {
   const char *owner = marjoram_host_list_owner (list, now, region, key);
 
-  return owner && claim_of (owner, key) > claim_of (own, key) ? owner : own;
+  return owner && weight_of (owner, key) > weight_of (own, key) ? owner : own;
 }
 
 size_t
 marjoram_host_list_serving (marjoram_host_list *list, int64_t now,
                             const char *region)
 {
-  return region_view (list, now, region)->it.count;
+  return region_view (list, now, region)->result.count;
 }
 
 size_t
@@ -550,32 +550,33 @@
   return list->entries;
 }
 
-/* ---- Look-ups.  ---- */
+/* ---- Lookups.  ---- */
 
-/* Of more hosts than one answer holds, each is named in turn.  */
+/* Rotates through the hosts if there are more than fit in one response.  */
 static size_t
-name_hosts (struct view *view, int64_t now,
-            const char *addresses[MARJORAM_LOOKUP_MAX])
+collect_hosts (struct view *view, int64_t now,
+               const char *addresses[MARJORAM_LOOKUP_MAX])
 {
   size_t count = 0;
 
-  for (size_t i = 0; i < view->it.count && count < MARJORAM_LOOKUP_MAX; i++)
+  for (size_t i = 0; i < view->result.count && count < MARJORAM_LOOKUP_MAX;
+       i++)
     {
       const struct marjoram_listed_host *host
-          = view->it.hosts[(view->next + i) % view->it.count];
+          = view->result.hosts[(view->next + i) % view->result.count];
 
       if (marjoram_host_list_serves (host, now))
         addresses[count++] = host->beat.entry;
     }
-  if (view->it.count > 0)
-    view->next = (view->next + count) % view->it.count;
+  if (view->result.count > 0)
+    view->next = (view->next + count) % view->result.count;
   return count;
 }
 
 static size_t
-name_allowed (marjoram_host_list *list, int64_t now,
-              marjoram_region_allowed allowed, void *context,
-              const char *addresses[MARJORAM_LOOKUP_MAX])
+collect_allowed (marjoram_host_list *list, int64_t now,
+                 marjoram_region_allowed allowed, void *context,
+                 const char *addresses[MARJORAM_LOOKUP_MAX])
 {
   const struct marjoram_listed_host *host;
   size_t count = 0;
@@ -587,9 +588,9 @@
   return count;
 }
 
-/* While all hosts of a region are restarted in turn, its callers go where
-   their requests may run, before they go where those would only be passed on.
- */
+/* Falls back from zone to region to allowed regions, so that callers of a
+   region under restart reach hosts that may execute their requests rather than
+   merely forward them.  */
 size_t
 marjoram_host_list_lookup (marjoram_host_list *list, int64_t now,
                            const char *zone, const char *region,
@@ -601,17 +602,17 @@
 
   *reach = MARJORAM_REACH_ZONE;
   if (zone)
-    count = name_hosts (find_view (list, &list->zones, VIEW_ZONE, zone, now),
-                        now, addresses);
+    count = collect_hosts (
+        find_view (list, &list->zones, VIEW_ZONE, zone, now), now, addresses);
   if (count > 0)
     return count;
   *reach = MARJORAM_REACH_REGION;
   if (region)
-    count = name_hosts (region_view (list, now, region), now, addresses);
+    count = collect_hosts (region_view (list, now, region), now, addresses);
   if (count > 0)
     return count;
   *reach = MARJORAM_REACH_ALLOWED;
-  return name_allowed (list, now, allowed, context, addresses);
+  return collect_allowed (list, now, allowed, context, addresses);
 }
 
 const struct marjoram_host_offer *
@@ -636,7 +637,7 @@
       struct marjoram_listed_host *next = TAILQ_NEXT (host, link);
 
       if (now - host->heard_at > FORGET_MS)
-        forget (list, host);
+        remove_host (list, host);
       host = next;
     }
 }
--- a/src/registry.c
+++ b/src/registry.c
@@ -7,11 +7,11 @@
 
 enum
 {
-  /* Five heartbeats of 1.2 s: two may be lost and one a second late before a
-     live upstream would be passed over.  */
+  /* Five heartbeat intervals of 1.2 s: tolerates two lost heartbeats and one
+     that is a second late.  */
   SILENT_MS = 6000,
-  /* Heartbeats may be late by seconds; one of a former life must still find
-     what it is compared with.  */
+  /* Records outlive delayed heartbeats, so that outdated ones are
+     recognized.  */
   FORGET_MS = 60000
 };
 
@@ -28,7 +28,7 @@
   struct marjoram_registered_service *services;
   struct marjoram_registered_list list;
   struct marjoram_registered *by_id;
-  int64_t heard_at; /* the latest of all */
+  int64_t heard_at; /* latest heartbeat of any upstream */
 };
 
 marjoram_registry *
@@ -70,7 +70,7 @@
   service->count--;
   if (!TAILQ_EMPTY (&service->upstreams))
     return;
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, registry->services, service);
   free (service->name);
   free (service);
@@ -90,10 +90,11 @@
 }
 
 static void
-forget (marjoram_registry *registry, struct marjoram_registered *upstream)
+remove_upstream (marjoram_registry *registry,
+                 struct marjoram_registered *upstream)
 {
   leave_service (registry, upstream);
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, registry->by_id, upstream);
   TAILQ_REMOVE (&registry->list, upstream, link);
   free (upstream);
@@ -105,7 +106,7 @@
   if (!registry)
     return;
   while (!TAILQ_EMPTY (&registry->list))
-    forget (registry, TAILQ_FIRST (&registry->list));
+    remove_upstream (registry, TAILQ_FIRST (&registry->list));
   free (registry);
 }
 
@@ -144,8 +145,9 @@
 }
 
 static void
-take (marjoram_registry *registry, struct marjoram_registered *upstream,
-      int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
+store_news (marjoram_registry *registry, struct marjoram_registered *upstream,
+            int64_t now, const struct marjoram_upstream_news *news,
+            int64_t age_ms)
 {
   int64_t heard_at = now - age_ms;
 
@@ -157,11 +159,11 @@
   join_service (registry, upstream);
 }
 
-/* A heartbeat that was held up may name an address that a later start has
-   taken over since: the later start has it.  */
+/* A delayed heartbeat may carry an address that a later instance has taken
+   over; the most recently started instance keeps the address.  */
 static bool
-wins_address (marjoram_registry *registry,
-              const struct marjoram_upstream_news *news)
+claim_address (marjoram_registry *registry,
+               const struct marjoram_upstream_news *news)
 {
   struct marjoram_registered *other;
 
@@ -185,12 +187,13 @@
 {
   struct marjoram_registered *upstream;
 
-  /* A leave of an unknown one is kept too: its last heartbeats may follow.  */
-  if (news->state != MARJORAM_NEWS_GONE && !wins_address (registry, news))
+  /* A deregistration of an unknown upstream is recorded too, as delayed
+     heartbeats may follow it.  */
+  if (news->state != MARJORAM_NEWS_GONE && !claim_address (registry, news))
     return MARJORAM_HEARING_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
-  upstream->spoke_at = INT64_MIN;
-  take (registry, upstream, now, news, age_ms);
+  upstream->direct_heard_at = INT64_MIN;
+  store_news (registry, upstream, now, news, age_ms);
   TAILQ_INSERT_TAIL (&registry->list, upstream, link);
   HASH_ADD_STR (registry->by_id, news.id, upstream);
   return MARJORAM_HEARING_CHANGED;
@@ -207,8 +210,8 @@
   return MARJORAM_HEARING_CHANGED;
 }
 
-/* Within one life a state only goes forward, so that heartbeats which overtake
-   each other don't take a leave back.  */
+/* The state of an instance only moves forward, so that a reordered heartbeat
+   does not undo a deregistration.  */
 static enum marjoram_hearing
 renew (marjoram_registry *registry, struct marjoram_registered *upstream,
        int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
@@ -220,7 +223,7 @@
   if (before == MARJORAM_NEWS_GONE
       || news->sequence <= upstream->news.sequence)
     return MARJORAM_HEARING_STALE;
-  take (registry, upstream, now, news, age_ms);
+  store_news (registry, upstream, now, news, age_ms);
   if (upstream->news.state < before)
     upstream->news.state = before;
   return upstream->news.state != before || moved || news->cold_ms > 0
@@ -246,9 +249,9 @@
     return MARJORAM_HEARING_STALE;
   if (news->born > upstream->news.born)
     {
-      if (!wins_address (registry, news))
+      if (!claim_address (registry, news))
         return MARJORAM_HEARING_STALE;
-      take (registry, upstream, now, news, age_ms);
+      store_news (registry, upstream, now, news, age_ms);
       return MARJORAM_HEARING_CHANGED;
     }
   return renew (registry, upstream, now, news, age_ms);
@@ -260,8 +263,8 @@
   return HASH_COUNT (registry->by_id);
 }
 
-/* An upstream is passed over as silent only if others were heard meanwhile: a
-   host that is cut off from the keepers hears of none and serves on.  */
+/* Silence only counts relative to other upstreams: a host partitioned from the
+   keepers receives no heartbeats and continues to use all upstreams.  */
 bool
 marjoram_registry_usable (const marjoram_registry *registry,
                           const struct marjoram_registered *upstream,
@@ -284,13 +287,13 @@
 
       if (now - upstream->heard_at > FORGET_MS
           && registry->heard_at - upstream->heard_at > SILENT_MS)
-        forget (registry, upstream);
+        remove_upstream (registry, upstream);
       upstream = next;
     }
 }
 
 static int64_t
-left (int64_t until, int64_t now)
+remaining_ms (int64_t until, int64_t now)
 {
   return until > now ? until - now : 0;
 }
@@ -309,16 +312,17 @@
     .state = news->state,
     .born = news->born,
     .sequence = news->sequence,
-    .cold_ms = left (upstream->cold_until, now),
-    .ends_ms
-    = upstream->ends_at == INT64_MAX ? -1 : left (upstream->ends_at, now),
+    .cold_ms = remaining_ms (upstream->cold_until, now),
+    .ends_ms = upstream->ends_at == INT64_MAX
+                   ? -1
+                   : remaining_ms (upstream->ends_at, now),
     .age_ms = now - upstream->heard_at,
     .slots = news->slots,
   };
 }
 
 static bool
-copy (char target[MARJORAM_ID_MAX], const char *text)
+copy_id (char target[MARJORAM_ID_MAX], const char *text)
 {
   if (!text || strlen (text) >= MARJORAM_ID_MAX)
     return false;
@@ -331,14 +335,15 @@
                           struct marjoram_upstream_news *news)
 {
   memset (news, 0, sizeof *news);
-  if (!copy (news->id, item->id) || !copy (news->service, item->service)
-      || !copy (news->address, item->address) || !copy (news->zone, item->zone)
-      || item->state > MARJORAM_NEWS_GONE || item->age_ms < 0)
+  if (!copy_id (news->id, item->id) || !copy_id (news->service, item->service)
+      || !copy_id (news->address, item->address)
+      || !copy_id (news->zone, item->zone) || item->state > MARJORAM_NEWS_GONE
+      || item->age_ms < 0)
     return false;
   news->state = (enum marjoram_news_state)item->state;
   news->born = item->born;
   news->sequence = item->sequence;
-  /* Both were what is left at sending; records count from the hearing.  */
+  /* Both are relative to sending; the record counts from reception.  */
   news->cold_ms = item->cold_ms > 0 ? item->cold_ms + item->age_ms : 0;
   news->ends_ms = item->ends_ms >= 0 ? item->ends_ms + item->age_ms : -1;
   news->slots = item->slots;
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -21,26 +21,25 @@
   CLASSES = 4,
   CLASS_TOKENS = 2520,
   SESSION_TOKENS = 3780,
-  REVIEW_TOKENS = 2890, /* its own */
+  REVIEW_TOKENS = 2890, /* not shared */
   REVIEW_ANSWER = 49,
   REVIEW_OBJECTIVE_MS = 1000,
-  ASK_PARTS = 12,
-  ASK_SHARED = 198,
-  ASK_TOKENS = 628,
-  ASK_ANSWER = 294,
-  ASK_OBJECTIVE_MS = 800,
+  CHAT_PARTS = 12,
+  CHAT_SHARED = 198,
+  CHAT_TOKENS = 628,
+  CHAT_ANSWER = 294,
+  CHAT_OBJECTIVE_MS = 800,
   SESSION_IDS = 1000,
-  ASK_IDS = 100000,
+  CHAT_IDS = 100000,
   OWN_IDS = 1000000,
-  CHUNK = 4096,     /* tokens of prompts that one step reads at most */
-  EVENT_TOKENS = 7, /* of an answer */
-  PAUSE_MS = 600    /* longest between two events that is in time */
+  CHUNK = 4096,     /* maximum prompt tokens per step */
+  EVENT_TOKENS = 7, /* response tokens per event */
+  PAUSE_MS = 600    /* longest acceptable pause between two events */
 };
 
-/* An engine of 70 billion parameters on one accelerator works in steps, each
-   of which reads a chunk of prompts and adds a token to each answer: tokens of
-   prompts that it reads, and that it copies, in a ms; ms of a step without
-   prompts.  */
+/* A 70B-parameter model on one accelerator.  It works in steps, each of which
+   processes a chunk of prompts and adds a token to each response.  Speeds in
+   prompt tokens per ms, and the duration of a step without prompts in ms.  */
 #define READ_PER_MS 44.2
 #define COPIED_PER_MS 404.0
 #define STEP_MS 3.4
@@ -54,22 +53,22 @@
   struct marjoram_call_facts facts;
   int64_t asked_at;
   int64_t objective_ms;
-  double unread;  /* tokens, and copies as the tokens read in their time */
-  double in_step; /* the part of UNREAD that the step under way reads */
-  int answer;     /* tokens that are left */
-  int made;       /* tokens since the last event */
+  double unread;  /* prompt tokens left; copied ones weighted by their cost */
+  double in_step; /* prompt tokens in the current step */
+  int answer;     /* response tokens left */
+  int made;       /* response tokens since the last event */
   int64_t event_at;
   bool answering;
-  bool paused; /* for too long, between two events */
+  bool paused; /* a pause exceeded the limit */
 };
 
 struct sim_engine
 {
   char id[16];
-  marjoram_engine_memory *memory;
-  TAILQ_HEAD (, job) jobs; /* in the order of their prompts */
+  marjoram_engine_memory *cache;
+  TAILQ_HEAD (, job) jobs; /* in prefill order */
   int running;
-  double step_until; /* the end of the step under way, ms */
+  double step_until; /* end of the current step, ms */
 };
 
 struct seen_part
@@ -88,9 +87,9 @@
   marjoram_placement *placements[HOSTS_MAX];
   struct marjoram_service_rule service;
   struct sim_engine engines[ENGINES_MAX];
-  struct seen_part *seen; /* read by some engine */
+  struct seen_part *seen; /* parts read by some engine */
   uint64_t jobs;
-  uint64_t turn;
+  uint64_t next_engine;
 };
 
 const char *
@@ -102,7 +101,7 @@
   return names[way];
 }
 
-/* ---- What is known.  ---- */
+/* ---- Setup.  ---- */
 
 static const char *
 region_of (void *context, const char *zone)
@@ -121,7 +120,7 @@
 }
 
 static void
-hear_all (struct load *load, int64_t now)
+send_heartbeats (struct load *load, int64_t now)
 {
   for (int i = 0; i < load->terms->engines; i++)
     {
@@ -137,7 +136,7 @@
 }
 
 static void
-open_load (struct load *load)
+setup_load (struct load *load)
 {
   struct marjoram_placement_options options = { .region = "r",
                                                 .region_of = region_of,
@@ -158,7 +157,7 @@
       struct sim_engine *engine = &load->engines[i];
 
       snprintf (engine->id, sizeof engine->id, "e%d", i);
-      engine->memory = marjoram_engine_memory_create ();
+      engine->cache = marjoram_engine_memory_create ();
       TAILQ_INIT (&engine->jobs);
     }
   for (int i = 0; i < load->terms->hosts; i++)
@@ -172,7 +171,7 @@
 }
 
 static void
-close_load (struct load *load)
+teardown_load (struct load *load)
 {
   struct seen_part *part;
   struct seen_part *next;
@@ -185,16 +184,16 @@
       while ((job = TAILQ_FIRST (&engine->jobs)))
         {
           TAILQ_REMOVE (&engine->jobs, job, link);
-          /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
           free (job);
         }
-      marjoram_engine_memory_destroy (engine->memory);
+      marjoram_engine_memory_destroy (engine->cache);
     }
   for (int i = 0; i < load->terms->hosts; i++)
     marjoram_placement_destroy (load->placements[i]);
   HASH_ITER (hh, load->seen, part, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, load->seen, part);
     free (part);
   }
@@ -206,7 +205,7 @@
 /* ---- Engines.  ---- */
 
 static bool
-was_seen (struct load *load, uint64_t id)
+mark_seen (struct load *load, uint64_t id)
 {
   struct seen_part *part;
 
@@ -219,18 +218,19 @@
   return false;
 }
 
-/* Parts that the engine reads: those from KEPT tokens on.  */
+/* Counts the tokens that the engine reads: parts after the first CACHED
+   tokens.  */
 static void
-count_read (struct load *load, const struct job *job, int64_t kept)
+count_read (struct load *load, const struct job *job, int64_t cached)
 {
   const struct marjoram_call_facts *facts = &job->facts;
   int64_t before = 0;
 
   for (size_t i = 0; i < facts->part_count; i++)
     {
-      bool again = was_seen (load, facts->parts[i].id);
+      bool again = mark_seen (load, facts->parts[i].id);
 
-      if (before >= kept)
+      if (before >= cached)
         {
           load->result->read += facts->parts[i].tokens;
           load->result->read_again += again ? facts->parts[i].tokens : 0;
@@ -240,9 +240,9 @@
 }
 
 static int64_t
-kept_at (const struct sim_engine *engine, const struct job *job)
+cached_tokens (const struct sim_engine *engine, const struct job *job)
 {
-  return marjoram_engine_memory_kept (engine->memory, job->facts.parts,
+  return marjoram_engine_memory_kept (engine->cache, job->facts.parts,
                                       job->facts.part_count);
 }
 
@@ -250,17 +250,17 @@
 start_job (struct load *load, struct sim_engine *engine,
            const struct sim_engine *source, struct job *job)
 {
-  int64_t own = kept_at (engine, job);
-  int64_t kept = source ? kept_at (source, job) : 0;
-
-  if (kept < own)
-    kept = own;
-  load->result->copied += kept - own;
-  count_read (load, job, kept);
-  job->unread = (double)(job->facts.prompt_tokens - kept)
-                + (double)(kept - own) * READ_PER_MS / COPIED_PER_MS;
+  int64_t own = cached_tokens (engine, job);
+  int64_t cached = source ? cached_tokens (source, job) : 0;
+
+  if (cached < own)
+    cached = own;
+  load->result->copied += cached - own;
+  count_read (load, job, cached);
+  job->unread = (double)(job->facts.prompt_tokens - cached)
+                + (double)(cached - own) * READ_PER_MS / COPIED_PER_MS;
   for (size_t i = job->facts.part_count; i > 0; i--)
-    marjoram_engine_memory_use (engine->memory, job->facts.parts[i - 1].id,
+    marjoram_engine_memory_use (engine->cache, job->facts.parts[i - 1].id,
                                 job->facts.parts[i - 1].tokens, CAPACITY);
   TAILQ_INSERT_TAIL (&engine->jobs, job, link);
   engine->running++;
@@ -335,7 +335,7 @@
 
   TAILQ_FOREACH (job, &engine->jobs, link)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     if (job->answering)
       continue;
     job->in_step = job->unread < room ? job->unread : room;
@@ -371,9 +371,9 @@
   job->host = (int)marjoram_random_below (load->random,
                                           (uint64_t)load->terms->hosts);
   job->asked_at = now;
-  job->objective_ms = review ? REVIEW_OBJECTIVE_MS : ASK_OBJECTIVE_MS;
+  job->objective_ms = review ? REVIEW_OBJECTIVE_MS : CHAT_OBJECTIVE_MS;
   snprintf (facts->id, sizeof facts->id, "%" PRIu64, job->number);
-  facts->answer_tokens_hint = review ? REVIEW_ANSWER : ASK_ANSWER;
+  facts->answer_tokens_hint = review ? REVIEW_ANSWER : CHAT_ANSWER;
   job->answer = (int)facts->answer_tokens_hint;
   if (review)
     {
@@ -385,11 +385,11 @@
     }
   else
     facts->parts[facts->part_count++]
-        = (struct marjoram_prompt_part){ ASK_IDS + drawn % ASK_PARTS,
-                                         ASK_SHARED };
+        = (struct marjoram_prompt_part){ CHAT_IDS + drawn % CHAT_PARTS,
+                                         CHAT_SHARED };
   facts->parts[facts->part_count++]
       = (struct marjoram_prompt_part){ OWN_IDS + job->number,
-                                       review ? REVIEW_TOKENS : ASK_TOKENS };
+                                       review ? REVIEW_TOKENS : CHAT_TOKENS };
   for (size_t i = 0; i < facts->part_count; i++)
     facts->prompt_tokens += facts->parts[i].tokens;
   return job;
@@ -405,19 +405,20 @@
 }
 
 static struct sim_engine *
-choose_simply (struct load *load)
+choose_by_policy (struct load *load)
 {
   struct sim_engine *best = &load->engines[0];
 
   if (load->terms->way == LOAD_ROUND_ROBIN)
-    return &load->engines[load->turn++ % (uint64_t)load->terms->engines];
+    return &load->engines[load->next_engine++
+                          % (uint64_t)load->terms->engines];
   for (int i = 1; i < load->terms->engines; i++)
     if (load->engines[i].running < best->running)
       best = &load->engines[i];
   return best;
 }
 
-/* Takes JOB.  */
+/* Takes ownership of JOB.  */
 static void
 place_job (struct load *load, struct job *job, int64_t now)
 {
@@ -431,7 +432,7 @@
 
   if (load->terms->way < LOAD_PLACED)
     {
-      start_job (load, choose_simply (load), NULL, job);
+      start_job (load, choose_by_policy (load), NULL, job);
       return;
     }
   marjoram_placement_choose (placement, now, &query, &place);
@@ -450,7 +451,7 @@
 }
 
 static void
-ask (struct load *load, int64_t now, double per_s, bool review)
+generate_request (struct load *load, int64_t now, double per_s, bool review)
 {
   enum
   {
@@ -465,19 +466,19 @@
 }
 
 static void
-tell_hosts (struct load *load, int64_t now)
+exchange_reports (struct load *load, int64_t now)
 {
   for (int from = 0; from < load->terms->hosts; from++)
     {
-      struct marjoram_load_report told;
+      struct marjoram_load_report report;
       char name[16];
 
       snprintf (name, sizeof name, "h%d", from);
-      marjoram_placement_report (load->placements[from], &told);
+      marjoram_placement_report (load->placements[from], &report);
       for (int to = 0; to < load->terms->hosts; to++)
         if (to != from)
-          marjoram_placement_hear (load->placements[to], now, name, &told);
-      marjoram_wire_clear (&marjoram_load_report_layout, &told);
+          marjoram_placement_hear (load->placements[to], now, name, &report);
+      marjoram_wire_clear (&marjoram_load_report_layout, &report);
     }
 }
 
@@ -489,19 +490,19 @@
   memset (result, 0, sizeof *result);
   load->terms = terms;
   load->result = result;
-  open_load (load);
+  setup_load (load);
   for (int64_t now = 0; now < terms->span_ms; now++)
     {
       if (now % REPORT_MS == 0)
         {
-          hear_all (load, now);
-          tell_hosts (load, now);
+          send_heartbeats (load, now);
+          exchange_reports (load, now);
         }
-      ask (load, now, terms->reviews_per_s, true);
-      ask (load, now, terms->asks_per_s, false);
+      generate_request (load, now, terms->reviews_per_s, true);
+      generate_request (load, now, terms->asks_per_s, false);
       for (int i = 0; i < terms->engines; i++)
         run_engine (load, &load->engines[i], now);
     }
-  close_load (load);
+  teardown_load (load);
   free (load);
 }
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -1,4 +1,5 @@
-/* Which upstream gets a request, and which request none can serve in time.  */
+/* Tests the selection of upstreams and the rejection of requests that cannot
+   be served in time.  */
 #include "suite.h"
 
 #include "placement.h"
@@ -53,7 +54,7 @@
 }
 
 static void
-hear_host (int64_t now, const char *name)
+receive_host_beat (int64_t now, const char *name)
 {
   struct marjoram_host_beat beat = { .name = (char *)name,
                                      .zone = (char *)"za",
@@ -74,7 +75,7 @@
   registry = marjoram_registry_create ();
   hosts = marjoram_host_list_create ();
   placement = create ("h1");
-  hear_host (0, "h1");
+  receive_host_beat (0, "h1");
 }
 
 static void
@@ -86,8 +87,8 @@
 }
 
 static void
-hear_full (int64_t now, const char *service, const char *id, const char *zone,
-           int64_t cold_ms, int64_t sequence)
+receive_upstream (int64_t now, const char *service, const char *id,
+                  const char *zone, int64_t cold_ms, int64_t sequence)
 {
   struct marjoram_upstream_news news = { .born = 1,
                                          .sequence = sequence,
@@ -103,12 +104,12 @@
 }
 
 static void
-hear (int64_t now, const char *id)
+receive_heartbeat (int64_t now, const char *id)
 {
-  hear_full (now, "lm", id, "za", 0, now + 1);
+  receive_upstream (now, "lm", id, "za", 0, now + 1);
 }
 
-/* A prompt of a shared part and one of its own.  */
+/* A prompt that consists of a shared part and one of its own.  */
 static struct marjoram_call_facts
 prompt (uint64_t shared, int64_t shared_tokens, uint64_t own,
         int64_t own_tokens)
@@ -124,7 +125,7 @@
 }
 
 static struct marjoram_place_query
-ask_for (const struct marjoram_call_facts *facts, int priority)
+make_query (const struct marjoram_call_facts *facts, int priority)
 {
   struct marjoram_place_query query = {
     .service = &engine, .facts = facts, .priority = priority, .useful_ms = 1000
@@ -133,9 +134,9 @@
   return query;
 }
 
-/* Chooses and, if there is a place, starts the attempt there.  */
+/* Chooses an upstream and, if one is found, starts an attempt there.  */
 static struct marjoram_place
-place (int64_t now, const struct marjoram_place_query *query)
+choose_and_start (int64_t now, const struct marjoram_place_query *query)
 {
   struct marjoram_place chosen;
 
@@ -150,33 +151,34 @@
   return chosen;
 }
 
-/* A host that has just started hears from an engine that it keeps a part: the
-   part's prompts go there, and are not read again elsewhere.  */
+/* Guards against prefill on other engines of a part that an engine reported as
+   cached.  */
 START_TEST (prompt_goes_where_an_engine_says_it_is_kept)
 {
   const struct marjoram_prompt_part kept = { 7, 4000 };
   struct marjoram_call_facts facts = prompt (7, 4000, 100, 500);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
-  hear (0, "2");
-  hear (0, "3");
+  receive_heartbeat (0, "1");
+  receive_heartbeat (0, "2");
+  receive_heartbeat (0, "3");
   marjoram_placement_keeps (placement, "2", &kept, 1);
-  ck_assert_str_eq (place (10, &query).upstream->news.id, "2");
+  ck_assert_str_eq (choose_and_start (10, &query).upstream->news.id, "2");
   marjoram_placement_keeps (placement, "3", &kept, 1);
-  ck_assert_int_lt (place (20, &query).wait_ms, 40);
+  ck_assert_int_lt (choose_and_start (20, &query).wait_ms, 40);
 }
 END_TEST
 
 START_TEST (prompt_goes_where_its_part_is_kept)
 {
   struct marjoram_call_facts first = prompt (7, 4000, 100, 500);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   char where[MARJORAM_ID_MAX];
 
   for (int i = 1; i <= 4; i++)
-    hear (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
-  snprintf (where, sizeof where, "%s", place (0, &query).upstream->news.id);
+    receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+  snprintf (where, sizeof where, "%s",
+            choose_and_start (0, &query).upstream->news.id);
   marjoram_placement_answering (placement, 100, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
   for (uint64_t i = 0; i < 5; i++)
@@ -184,8 +186,8 @@
       struct marjoram_call_facts next = prompt (7, 4000, 200 + i, 500);
       struct marjoram_place chosen;
 
-      query = ask_for (&next, 1);
-      chosen = place (300 + (int64_t)i * 200, &query);
+      query = make_query (&next, 1);
+      chosen = choose_and_start (300 + (int64_t)i * 200, &query);
       ck_assert_str_eq (chosen.upstream->news.id, where);
       ck_assert_int_lt (chosen.wait_ms, 20);
       marjoram_placement_ended (placement, 400 + (int64_t)i * 200,
@@ -194,79 +196,78 @@
 }
 END_TEST
 
-/* An engine keeps a long prompt and is busy with others.  The request goes to
-   its neighbour, which copies the prompt instead of reading it for a tenth of
-   a second; an engine in another zone, to which the way is long, reads.  */
+/* Guards against prefill of a prompt that can be copied from a busy engine of
+   the same zone, and against copies between zones.  */
 START_TEST (kept_prompt_is_copied_from_a_busy_neighbour)
 {
   struct marjoram_service_rule copying = engine;
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
   struct marjoram_call_facts other = prompt (8, 3000, 200, 1000);
   struct marjoram_call_facts next = prompt (7, 6000, 300, 10);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  hear (0, "1");
-  ck_assert_ptr_null (place (0, &query).copy_from);
+  receive_heartbeat (0, "1");
+  ck_assert_ptr_null (choose_and_start (0, &query).copy_from);
   marjoram_placement_answering (placement, 150, 1);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
   query.facts = &other;
-  place (300, &query);
-  hear (300, "2");
-  hear_full (300, "lm", "3", "zb", 0, 301);
+  choose_and_start (300, &query);
+  receive_heartbeat (300, "2");
+  receive_upstream (300, "lm", "3", "zb", 0, 301);
   query.facts = &next;
-  chosen = place (310, &query);
+  chosen = choose_and_start (310, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
   ck_assert_str_eq (chosen.copy_from->news.id, "1");
   ck_assert_int_eq (chosen.copied_tokens, 6000);
   ck_assert_int_lt (chosen.wait_ms, 30);
-  /* Nobody in the third one's zone has it.  */
+  /* No engine in the zone of upstream 3 has it cached.  */
   query.tried[query.tried_count++] = "1";
   query.tried[query.tried_count++] = "2";
-  chosen = place (320, &query);
+  chosen = choose_and_start (320, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "3");
   ck_assert_ptr_null (chosen.copy_from);
 }
 END_TEST
 
-/* The engine that kept the prompt has lost its connections: it may have
-   started anew and hold nothing, so nobody is sent to copy from it.  */
+/* Guards against a copy from an engine that may have restarted with an empty
+   cache.  */
 START_TEST (nothing_is_copied_from_a_lost_engine)
 {
   struct marjoram_service_rule copying = engine;
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
-  struct marjoram_place_query query = ask_for (&first, 1);
+  struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
   copying.engine.copied_per_ms = 400;
   query.service = &copying;
-  hear (10, "1");
-  place (10, &query);
+  receive_heartbeat (10, "1");
+  choose_and_start (10, &query);
   marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
-  hear (300, "2");
+  receive_heartbeat (300, "2");
   marjoram_placement_lost (placement, 400, "10.0.0.1:80");
   query.tried[query.tried_count++] = "1";
-  chosen = place (410, &query);
+  chosen = choose_and_start (410, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
   ck_assert_ptr_null (chosen.copy_from);
 }
 END_TEST
 
-/* All prompts of a burst share one part.  Sent to the one engine that keeps it
-   they would wait behind each other while three engines idle.  */
+/* Guards against queueing all prompts that share a part on the engine that
+   caches it while others are idle.  */
 START_TEST (a_hot_part_does_not_pile_up)
 {
   int at[5] = { 0 };
 
   for (int i = 1; i <= 4; i++)
-    hear (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
+    receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   for (uint64_t i = 0; i < 12; i++)
     {
       struct marjoram_call_facts facts = prompt (7, 4000, 100 + i, 3000);
-      struct marjoram_place_query query = ask_for (&facts, 1);
-      struct marjoram_place chosen = place (0, &query);
+      struct marjoram_place_query query = make_query (&facts, 1);
+      struct marjoram_place chosen = choose_and_start (0, &query);
 
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
         at[atoi (chosen.upstream->news.id)]++;
@@ -276,21 +277,20 @@
 }
 END_TEST
 
-/* Long prompts come faster than the engines read them.  Queued, they would
-   make every answer slow; those that are too many are refused at once, with a
-   time to come back.  */
+/* Guards against an unbounded prefill queue: excess requests are rejected at
+   once with a retry delay.  */
 START_TEST (queue_of_prompts_is_bounded)
 {
   struct marjoram_place chosen = { 0 };
   int taken = 0;
 
-  hear (0, "1");
+  receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
-      chosen = place (0, &query);
+      chosen = choose_and_start (0, &query);
       taken += chosen.outcome == MARJORAM_PLACE_FOUND;
     }
   ck_assert_int_ge (taken, 1);
@@ -300,43 +300,43 @@
 }
 END_TEST
 
-/* The same queue of long prompts, and a short urgent one: engines admit it
-   before those that wait, so it is not refused for them.  */
+/* Guards against rejecting urgent requests because of queued lower-priority
+   prompts.  */
 START_TEST (urgent_requests_pass_the_queue)
 {
   struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
   struct marjoram_place_query query;
 
-  hear (0, "1");
+  receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
       struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
 
-      query = ask_for (&facts, 1);
-      place (0, &query);
+      query = make_query (&facts, 1);
+      choose_and_start (0, &query);
     }
-  query = ask_for (&urgent, 0);
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_FOUND);
+  query = make_query (&urgent, 0);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
 }
 END_TEST
 
-/* Upstreams come back cold: together all hosts may send each of them only so
-   many requests a second, or it crashes.  Two hosts see each other, a third is
-   out of touch with both.  */
+/* Guards against overloading a cold upstream when several hosts send to it,
+   one of them partitioned from the others.  */
 START_TEST (cold_upstream_is_fed_by_one_host)
 {
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
   int sent = 0;
 
-  hear_host (0, "h2");
-  hear_host (0, "h3");
-  hear_full (0, "lm", "1", "za", 3000, 1);
+  receive_host_beat (0, "h2");
+  receive_host_beat (0, "h3");
+  receive_upstream (0, "lm", "1", "za", 3000, 1);
   for (int64_t now = 1; now < 1000; now += 10)
     for (int i = 0; i < 3; i++)
       {
         struct marjoram_call_facts facts
             = prompt (7, 10, (uint64_t)now * 3 + (uint64_t)i, 10);
-        struct marjoram_place_query query = ask_for (&facts, 1);
+        struct marjoram_place_query query = make_query (&facts, 1);
         marjoram_placement *by = i == 0 ? placement : others[i - 1];
         struct marjoram_place chosen;
 
@@ -355,151 +355,159 @@
 }
 END_TEST
 
-/* An upstream crashes and starts again at once under its old id.  Its next
-   heartbeat, which says that it is cold, comes a second later; until then the
-   broken connections are all that tells.  */
+/* Guards against sending at full rate to an upstream that restarted cold,
+   before its next heartbeat.  */
 START_TEST (broken_connections_mean_cold_until_news)
 {
   int sent = 0;
 
-  hear (0, "1");
+  receive_heartbeat (0, "1");
   marjoram_placement_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
-      if (place (now, &query).outcome != MARJORAM_PLACE_FOUND)
+      if (choose_and_start (now, &query).outcome != MARJORAM_PLACE_FOUND)
         continue;
       sent++;
       marjoram_placement_ended (placement, now, next_attempt,
                                 MARJORAM_ATTEMPT_SERVED);
     }
   ck_assert_int_le (sent, 2);
-  hear_host (1200, "h1");
-  hear (1200, "1");
+  receive_host_beat (1200, "h1");
+  receive_heartbeat (1200, "1");
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = ask_for (&facts, 1);
+      struct marjoram_place_query query = make_query (&facts, 1);
 
-      sent += place (now, &query).outcome == MARJORAM_PLACE_FOUND;
+      sent += choose_and_start (now, &query).outcome == MARJORAM_PLACE_FOUND;
     }
   ck_assert_int_eq (sent, 10);
 }
 END_TEST
 
-/* A zone that was evacuated is taken back; what it has may have become cold
-   meanwhile, without a heartbeat that says so yet.  Its next one does: a whole
-   zone that is kept back for longer is missed by its callers.  */
+/* Guards against sending at full rate to a restored zone that may be cold, and
+   against throttling it after its next heartbeat.  */
 START_TEST (restored_zone_is_cold_until_it_is_heard)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
+  receive_heartbeat (0, "1");
   evacuated = "za";
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
   evacuated = NULL;
   marjoram_placement_restored (placement, 10, "za");
-  ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (40, &query).outcome, MARJORAM_PLACE_NONE);
-  hear (400, "1");
-  ck_assert_int_eq (place (410, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (420, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (20, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (40, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  receive_heartbeat (400, "1");
+  ck_assert_int_eq (choose_and_start (410, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (420, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
   marjoram_placement_restored (placement, 500, "za");
-  hear_full (900, "lm", "1", "za", 2000, 901);
-  ck_assert_int_eq (place (1000, &query).outcome, MARJORAM_PLACE_FOUND);
-  ck_assert_int_eq (place (1020, &query).outcome, MARJORAM_PLACE_NONE);
+  receive_upstream (900, "lm", "1", "za", 2000, 901);
+  ck_assert_int_eq (choose_and_start (1000, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (1020, &query).outcome,
+                    MARJORAM_PLACE_NONE);
 }
 END_TEST
 
-/* An engine turns slow; nothing that it says of itself shows it.  The one
-   request that waits there without an answer does, and so do the late first
-   events after that: callers must not be sent there while another is free.  */
+/* Guards against sending to an engine that has become slow, which only its
+   missing or late responses show.  */
 START_TEST (slow_engine_is_avoided)
 {
   struct marjoram_call_facts facts = prompt (7, 4000, 8, 100);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
   char slow[MARJORAM_ID_MAX];
   struct marjoram_place chosen;
 
-  hear (0, "1");
-  hear (0, "2");
-  chosen = place (0, &query);
+  receive_heartbeat (0, "1");
+  receive_heartbeat (0, "2");
+  chosen = choose_and_start (0, &query);
   snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
   marjoram_placement_answering (placement, 110, 1);
   marjoram_placement_ended (placement, 120, 1, MARJORAM_ATTEMPT_SERVED);
-  /* It keeps the part, so the next one goes there, and waits.  */
-  ck_assert_str_eq (place (200, &query).upstream->news.id, slow);
-  ck_assert_str_ne (place (1200, &query).upstream->news.id, slow);
+  /* It caches the part, so the next request is sent there and waits.  */
+  ck_assert_str_eq (choose_and_start (200, &query).upstream->news.id, slow);
+  ck_assert_str_ne (choose_and_start (1200, &query).upstream->news.id, slow);
   marjoram_placement_answering (placement, 1300, 3);
   marjoram_placement_ended (placement, 1400, 3, MARJORAM_ATTEMPT_SERVED);
   marjoram_placement_answering (placement, 2200, 2);
   marjoram_placement_ended (placement, 2300, 2, MARJORAM_ATTEMPT_SERVED);
-  ck_assert_str_ne (place (2400, &query).upstream->news.id, slow);
+  ck_assert_str_ne (choose_and_start (2400, &query).upstream->news.id, slow);
 }
 END_TEST
 
 START_TEST (only_the_own_region)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear_full (0, "lm", "1", "far", 0, 1);
-  ck_assert_int_eq (place (0, &query).outcome, MARJORAM_PLACE_NONE);
+  receive_upstream (0, "lm", "1", "far", 0, 1);
+  ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
 }
 END_TEST
 
 START_TEST (unreached_and_wrong_ones_are_left_alone)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
-  place (0, &query);
+  receive_heartbeat (0, "1");
+  choose_and_start (0, &query);
   marjoram_placement_ended (placement, 10, next_attempt,
                             MARJORAM_ATTEMPT_UNREACHED);
-  ck_assert_int_eq (place (20, &query).outcome, MARJORAM_PLACE_NONE);
-  ck_assert_int_eq (place (400, &query).outcome, MARJORAM_PLACE_FOUND);
-  /* Another upstream has its address: only its own news bring it back.  */
+  ck_assert_int_eq (choose_and_start (20, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  ck_assert_int_eq (choose_and_start (400, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
+  /* Another upstream owns its address: only its own heartbeat makes it usable
+     again.  */
   marjoram_placement_ended (placement, 410, next_attempt,
                             MARJORAM_ATTEMPT_WRONG);
-  ck_assert_int_eq (place (5000, &query).outcome, MARJORAM_PLACE_NONE);
-  hear (5100, "1");
-  ck_assert_int_eq (place (5200, &query).outcome, MARJORAM_PLACE_FOUND);
+  ck_assert_int_eq (choose_and_start (5000, &query).outcome,
+                    MARJORAM_PLACE_NONE);
+  receive_heartbeat (5100, "1");
+  ck_assert_int_eq (choose_and_start (5200, &query).outcome,
+                    MARJORAM_PLACE_FOUND);
 }
 END_TEST
 
-/* The only upstream of a region breaks off several answers.  Requests go on to
-   it, as there is no other; where there is one, they go there.  */
+/* Guards against rejecting requests when the only upstream is suspected, and
+   against preferring it to a healthy one.  */
 START_TEST (doubted_upstream_is_better_than_none)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
 
-  hear (0, "1");
+  receive_heartbeat (0, "1");
   for (int i = 0; i < 4; i++)
     {
-      ck_assert_int_eq (place (i, &query).outcome, MARJORAM_PLACE_FOUND);
+      ck_assert_int_eq (choose_and_start (i, &query).outcome,
+                        MARJORAM_PLACE_FOUND);
       marjoram_placement_ended (placement, i, next_attempt,
                                 MARJORAM_ATTEMPT_BROKEN);
     }
-  hear (10, "2");
+  receive_heartbeat (10, "2");
   for (int i = 0; i < 4; i++)
-    ck_assert_str_eq (place (20 + i, &query).upstream->news.id, "2");
+    ck_assert_str_eq (choose_and_start (20 + i, &query).upstream->news.id,
+                      "2");
 }
 END_TEST
 
-/* Connections were held back for seconds, so that every answer was far too
-   late.  They are well again, but by what was learned a request takes longer
-   than callers find useful: were all refused for that, nothing would ever be
-   learned anew, and callers be turned away for good.  */
+/* Guards against rejecting all requests for good after a period of slow
+   responses: estimates improve only through new requests.  */
 START_TEST (slow_answers_do_not_close_a_service_for_good)
 {
   const struct marjoram_call_facts small = prompt (7, 10, 8, 10);
-  struct marjoram_place_query queries[2] = { ask_for (&small, 1) };
+  struct marjoram_place_query queries[2] = { make_query (&small, 1) };
 
   queries[1] = queries[0];
   queries[1].service = &plain;
@@ -509,9 +517,9 @@
         struct marjoram_place_query patient = queries[kind];
 
         patient.useful_ms = 60000;
-        hear (i * 3000, "1");
-        hear_full (i * 3000, "app", "2", "za", 0, i + 1);
-        ck_assert_int_eq (place (i * 3000, &patient).outcome,
+        receive_heartbeat (i * 3000, "1");
+        receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
+        ck_assert_int_eq (choose_and_start (i * 3000, &patient).outcome,
                           MARJORAM_PLACE_FOUND);
         marjoram_placement_answering (placement, i * 3000 + 2900,
                                       next_attempt);
@@ -521,7 +529,7 @@
   for (int kind = 0; kind < 2; kind++)
     {
       queries[kind].useful_ms = 300;
-      ck_assert_int_eq (place (180000, &queries[kind]).outcome,
+      ck_assert_int_eq (choose_and_start (180000, &queries[kind]).outcome,
                         MARJORAM_PLACE_FOUND);
     }
 }
@@ -534,30 +542,30 @@
       = { .service = &plain, .facts = &facts, .useful_ms = 300 };
   int at[3] = { 0 };
 
-  hear_full (0, "app", "1", "za", 0, 1);
-  hear_full (0, "app", "2", "za", 0, 1);
+  receive_upstream (0, "app", "1", "za", 0, 1);
+  receive_upstream (0, "app", "2", "za", 0, 1);
   for (int i = 0; i < 8; i++)
     {
       snprintf (facts.id, sizeof facts.id, "%d", i);
-      at[atoi (place (0, &query).upstream->news.id)]++;
+      at[atoi (choose_and_start (0, &query).upstream->news.id)]++;
     }
   ck_assert_int_eq (at[1], 4);
   ck_assert_int_eq (at[2], 4);
 }
 END_TEST
 
-/* Two hosts of a region place at the same time.  What one has sent to an
-   engine must count at the other, and stop counting when it falls silent.  */
+/* Guards against ignoring the load that other hosts report, and against
+   counting it after they fall silent.  */
 START_TEST (other_hosts_loads_count)
 {
   marjoram_placement *other = create ("h2");
   struct marjoram_load_report report;
   struct marjoram_call_facts facts = prompt (7, 4000, 8, 4000);
-  struct marjoram_place_query query = ask_for (&facts, 1);
+  struct marjoram_place_query query = make_query (&facts, 1);
   struct marjoram_place chosen;
 
-  hear (0, "1");
-  place (0, &query);
+  receive_heartbeat (0, "1");
+  choose_and_start (0, &query);
   marjoram_placement_report (placement, &report);
   marjoram_placement_hear (other, 10, "h1", &report);
   marjoram_wire_clear (&marjoram_load_report_layout, &report);
@@ -565,7 +573,7 @@
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_BUSY);
   marjoram_placement_choose (other, 5000, &query, &chosen);
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_FOUND);
-  /* What the first one placed is known to be kept there.  */
+  /* The part that the first host placed is known to be cached there.  */
   ck_assert_int_lt (chosen.wait_ms, 20);
   marjoram_placement_destroy (other);
 }
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -1,4 +1,4 @@
-/* What is believed of upstreams from what they say of themselves.  */
+/* Tests the state of upstreams as derived from their heartbeats.  */
 #include "suite.h"
 
 #include "registry.h"
@@ -38,8 +38,8 @@
 }
 
 static enum marjoram_hearing
-hear (int64_t now, const char *id, int64_t born, int64_t sequence,
-      enum marjoram_news_state state)
+receive_heartbeat (int64_t now, const char *id, int64_t born, int64_t sequence,
+                   enum marjoram_news_state state)
 {
   struct marjoram_upstream_news made = news (id, born, sequence, state);
 
@@ -55,78 +55,77 @@
 
 START_TEST (heartbeats_renew)
 {
-  ck_assert_int_eq (hear (0, "a", 1, 1, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (hear (1200, "a", 1, 2, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (1200, "a", 1, 2, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_RENEWED);
   ck_assert (usable ("a", 1300));
 }
 END_TEST
 
-/* An upstream says that it leaves; a heartbeat that it sent before is held up
-   on its way and comes after.  Taken for news, it would get requests until it
-   is gone, and these would be lost.  */
+/* Guards against a delayed heartbeat that makes a draining upstream usable
+   again.  */
 START_TEST (late_heartbeat_does_not_undo_leaving)
 {
-  hear (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  hear (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
-  ck_assert_int_eq (hear (200, "a", 1, 2, MARJORAM_NEWS_READY),
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
+  ck_assert_int_eq (receive_heartbeat (200, "a", 1, 2, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_STALE);
   ck_assert (!usable ("a", 300));
-  hear (300, "a", 1, 4, MARJORAM_NEWS_READY);
+  receive_heartbeat (300, "a", 1, 4, MARJORAM_NEWS_READY);
   ck_assert (!usable ("a", 400));
 }
 END_TEST
 
-/* An upstream leaves and its last heartbeat is held up for seconds.  It must
-   not be believed to be there again.  */
+/* Guards against a delayed heartbeat that brings back a deregistered
+   upstream.  */
 START_TEST (gone_stays_gone)
 {
-  hear (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (hear (100, "a", 0, 0, MARJORAM_NEWS_GONE),
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (receive_heartbeat (100, "a", 0, 0, MARJORAM_NEWS_GONE),
                     MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (hear (4000, "a", 1, 9, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (4000, "a", 1, 9, MARJORAM_NEWS_READY),
                     MARJORAM_HEARING_STALE);
   ck_assert (!usable ("a", 4100));
 }
 END_TEST
 
-/* An upstream starts anew under its old id; its counts begin at 1 again.  The
-   new start counts, and a heartbeat of the former one does not.  */
+/* Guards against ignoring a restarted upstream, or accepting a heartbeat of
+   its earlier instance.  */
 START_TEST (same_id_starts_again)
 {
-  hear (0, "a", 1000, 50, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (hear (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_CHANGED);
-  ck_assert_int_eq (hear (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
-                    MARJORAM_HEARING_STALE);
+  receive_heartbeat (0, "a", 1000, 50, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (
+      receive_heartbeat (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
+      MARJORAM_HEARING_CHANGED);
+  ck_assert_int_eq (
+      receive_heartbeat (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
+      MARJORAM_HEARING_STALE);
   ck_assert (usable ("a", 5200));
 }
 END_TEST
 
-/* An upstream crashes, another starts at its address, and a heartbeat of the
-   first, delayed by a partition, comes last.  Believed, requests for one
-   service would go to another.  */
+/* Guards against requests sent to the wrong service after an address has been
+   reused.  */
 START_TEST (address_goes_to_the_later_start)
 {
-  hear (0, "old", 1000, 5, MARJORAM_NEWS_READY);
-  hear (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "old", 1000, 5, MARJORAM_NEWS_READY);
+  receive_heartbeat (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
   ck_assert (!usable ("old", 4100));
-  ck_assert_int_eq (hear (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_STALE);
+  ck_assert_int_eq (
+      receive_heartbeat (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
+      MARJORAM_HEARING_STALE);
   ck_assert (usable ("new", 5000));
 }
 END_TEST
 
-/* A host that is cut off from all keepers hears no heartbeats; it must go on
-   using the upstreams that it knows.  One that is silent while others are
-   heard is passed over.  */
+/* Guards against losing all upstreams when no keeper is reachable.  */
 START_TEST (silence_counts_only_beside_others)
 {
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  hear (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
   marjoram_registry_hear (registry, 0, &other, 0);
   ck_assert (usable ("a", 20000));
   other.sequence = 2;
@@ -147,8 +146,8 @@
 }
 END_TEST
 
-/* Spans are told as what is left, so that clocks may differ; packing and
-   unpacking at another host must not shift them.  */
+/* Guards against durations that shift when packed and unpacked on hosts with
+   different clocks.  */
 START_TEST (spans_survive_the_way)
 {
   struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_READY);
@@ -172,7 +171,7 @@
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  hear (0, "a", 1, 1, MARJORAM_NEWS_GONE);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_GONE);
   marjoram_registry_hear (registry, 90000, &other, 0);
   marjoram_registry_tick (registry, 90000);
   ck_assert_ptr_null (marjoram_registry_find (registry, "a"));
--- a/test/test_spill.c
+++ b/test/test_spill.c
@@ -1,4 +1,4 @@
-/* Which requests leave a busy region, and what callers get from it.  */
+/* Tests which requests leave a busy region, and the effect on responses.  */
 #include "suite.h"
 
 #include "random.h"
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-/* Guards against a request that crosses and is late there for sure.  */
+/* Guards against moving a request that would be late in the other region.  */
 START_TEST (what_would_be_late_there_stays)
 {
   struct marjoram_spill_query query = busy ("");
@@ -87,32 +87,33 @@
 }
 END_TEST
 
-/* ---- A load that has moved to one region.  ---- */
+/* ---- Simulation: the entire load arrives in one of two regions.  ---- */
 
 enum
 {
   REGIONS = 2,
-  ENGINES = 16,   /* of a region */
-  PROMPT_MS = 90, /* to read what is not kept */
-  ARRIVALS = 160, /* a second, all in the first region */
+  ENGINES = 16,   /* engines per region */
+  PROMPT_MS = 90, /* prefill time of an uncached prompt */
+  ARRIVALS = 160, /* requests per second, all in the first region */
   STEP_MS = 5,
-  OFFER_MS = 600, /* how old the word of the other region may be */
-  DAY_MS = 30000,
-  PACE_MS = 600 /* longest pause that callers bear */
+  OFFER_MS = 600, /* maximum age of the other region's reported load */
+  DURATION_MS = 30000,
+  PAUSE_MAX_MS = 600 /* longest acceptable pause in a response */
 };
 
-/* Share of the time that answers' tokens take: 13 of them every 5 ms.  */
-static const double answer_share = 65.0 / PACE_MS;
+/* Share of engine time spent on response tokens: 13 of them every 5 ms.  */
+static const double answer_share = 65.0 / PAUSE_MAX_MS;
 
 struct region
 {
   double ahead_ms[ENGINES];
-  double read_ms[ENGINES]; /* in the present window */
-  double mean_ms;          /* backlog, smoothed */
-  double told_ms;          /* to the other region */
+  double read_ms[ENGINES]; /* in the current window */
+  double mean_ms;          /* smoothed backlog */
+  double reported_ms;      /* backlog last reported to the other region */
 };
 
-/* The least loaded of two, as hosts know loads only roughly.  */
+/* Picks the less loaded of two random engines, since hosts know loads only
+   approximately.  */
 static void
 place (struct region *region, marjoram_random *random, double work_ms)
 {
@@ -128,14 +129,15 @@
         bool spills)
 {
   char id[16];
-  const struct marjoram_spill_query query = { .id = id,
-                                              .engines = ENGINES,
-                                              .here_ms = regions[0].mean_ms,
-                                              .there_ms = regions[1].told_ms,
-                                              .unread_ms = PROMPT_MS,
-                                              .prompt_ms = 2.0 * PROMPT_MS,
-                                              .there_first_ms = 130,
-                                              .useful_ms = 1000 };
+  const struct marjoram_spill_query query
+      = { .id = id,
+          .engines = ENGINES,
+          .here_ms = regions[0].mean_ms,
+          .there_ms = regions[1].reported_ms,
+          .unread_ms = PROMPT_MS,
+          .prompt_ms = 2.0 * PROMPT_MS,
+          .there_first_ms = 130,
+          .useful_ms = 1000 };
 
   snprintf (id, sizeof id, "%d", number);
   if (spills && marjoram_spill_wanted (&query))
@@ -161,7 +163,7 @@
   region->mean_ms += 0.05 * (sum / ENGINES - region->mean_ms);
 }
 
-/* Windows in which reading left an answer too little time for its tokens.  */
+/* Counts windows in which prefill left too little time for response tokens. */
 static int
 count_late (struct region *region)
 {
@@ -169,15 +171,15 @@
 
   for (int i = 0; i < ENGINES; i++)
     {
-      late += region->read_ms[i] > (1 - answer_share) * PACE_MS;
+      late += region->read_ms[i] > (1 - answer_share) * PAUSE_MAX_MS;
       region->read_ms[i] = 0;
     }
   return late;
 }
 
-/* Share of windows of both regions in which answers pause for too long.  */
+/* Share of windows of both regions with a pause that is too long.  */
 static double
-play (bool spills)
+simulate (bool spills)
 {
   struct region regions[REGIONS] = { 0 };
   marjoram_random *random = marjoram_random_create (7);
@@ -185,7 +187,7 @@
   int windows = 0;
   int number = 0;
 
-  for (int now = 0; now < DAY_MS; now += STEP_MS)
+  for (int now = 0; now < DURATION_MS; now += STEP_MS)
     {
       while (number * 1000 < now * ARRIVALS)
         arrive (regions, random, number++, spills);
@@ -193,8 +195,8 @@
         {
           work (&regions[i]);
           if (now % OFFER_MS == 0)
-            regions[i].told_ms = regions[i].mean_ms;
-          if (now % PACE_MS == 0)
+            regions[i].reported_ms = regions[i].mean_ms;
+          if (now % PAUSE_MAX_MS == 0)
             {
               late += count_late (&regions[i]);
               windows += ENGINES;
@@ -205,11 +207,12 @@
   return (double)late / windows;
 }
 
-/* Guards against answers that pause in a full region while another is idle. */
+/* Guards against pauses in responses of a busy region while another one is
+   idle.  */
 START_TEST (answers_keep_their_pace_while_another_region_is_idle)
 {
-  double stay = play (false);
-  double spill = play (true);
+  double stay = simulate (false);
+  double spill = simulate (true);
 
   printf ("windows with pauses: %.3f without spill, %.3f with\n", stay, spill);
   ck_assert_double_ge (stay, 0.2);
