--- a/src/config.c
+++ b/src/config.c
@@ -162,7 +162,7 @@
         = marjoram_residency_caller (config->residency, i);
   for (int i = 0; i < config->work_count; i++)
     config->works[i].allowed
-        = marjoram_residency_work (config->residency, i) & known;
+        = marjoram_residency_workload (config->residency, i) & known;
 }
 
 static marjoram_config *
--- a/src/control.c
+++ b/src/control.c
@@ -370,12 +370,12 @@
     {
     case MARJORAM_REPLAY_FRESH:
       return NULL;
-    case MARJORAM_REPLAY_OLD:
+    case MARJORAM_REPLAY_EXPIRED:
       return "the call is too old; send it anew, and look whether someone "
              "repeats recorded calls";
     case MARJORAM_REPLAY_EARLY:
       return "the call is from the future; ask for this host's time again";
-    case MARJORAM_REPLAY_AGAIN:
+    case MARJORAM_REPLAY_REUSED:
       return "the call was taken before; send it anew, and look whether "
              "someone repeats recorded calls";
     case MARJORAM_REPLAY_FULL:
--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -174,9 +174,9 @@
 }
 
 void
-marjoram_crash_list_died (marjoram_crash_list *list, int64_t now,
-                          const char *digest, const char *upstream,
-                          int64_t born)
+marjoram_crash_list_add_crash (marjoram_crash_list *list, int64_t now,
+                               const char *digest, const char *upstream,
+                               int64_t born)
 {
   char life[MARJORAM_LIFE_MAX];
 
@@ -191,7 +191,7 @@
 }
 
 void
-marjoram_crash_list_answered (marjoram_crash_list *list, const char *digest)
+marjoram_crash_list_add_answer (marjoram_crash_list *list, const char *digest)
 {
   struct entry *entry = find (list, digest);
   uint64_t number = digest_prefix (digest);
@@ -204,8 +204,8 @@
 }
 
 bool
-marjoram_crash_list_convicts (const marjoram_crash_list *list, int64_t now,
-                              const char *digest)
+marjoram_crash_list_is_blocked (const marjoram_crash_list *list, int64_t now,
+                                const char *digest)
 {
   const struct entry *entry = find (list, digest);
 
@@ -232,8 +232,8 @@
 }
 
 void
-marjoram_crash_list_hear (marjoram_crash_list *list, int64_t now,
-                          const struct marjoram_crash_report *received)
+marjoram_crash_list_apply (marjoram_crash_list *list, int64_t now,
+                           const struct marjoram_crash_report *received)
 {
   const struct marjoram_crash_item *items = received->items.items;
 
@@ -275,8 +275,8 @@
 }
 
 void
-marjoram_crash_list_all (const marjoram_crash_list *list,
-                         struct marjoram_crash_report *out)
+marjoram_crash_list_export (const marjoram_crash_list *list,
+                            struct marjoram_crash_report *out)
 {
   const struct entry *entry;
   size_t room = HASH_COUNT (list->table) * CRASH_LIMIT;
@@ -292,7 +292,7 @@
 }
 
 void
-marjoram_crash_list_tick (marjoram_crash_list *list, int64_t now)
+marjoram_crash_list_expire (marjoram_crash_list *list, int64_t now)
 {
   struct entry *entry;
   struct entry *next;
--- a/src/crash_list.h
+++ b/src/crash_list.h
@@ -22,27 +22,27 @@
 
 /* Records that the request DIGEST was running at UPSTREAM, started at BORN,
    when that crashed.  */
-void marjoram_crash_list_died (marjoram_crash_list *list, int64_t now,
-                               const char *digest, const char *upstream,
-                               int64_t born);
+void marjoram_crash_list_add_crash (marjoram_crash_list *list, int64_t now,
+                                    const char *digest, const char *upstream,
+                                    int64_t born);
 /* Records that the request was answered completely.  */
-void marjoram_crash_list_answered (marjoram_crash_list *list,
-                                   const char *digest);
-bool marjoram_crash_list_convicts (const marjoram_crash_list *list,
-                                   int64_t now, const char *digest);
+void marjoram_crash_list_add_answer (marjoram_crash_list *list,
+                                     const char *digest);
+bool marjoram_crash_list_is_blocked (const marjoram_crash_list *list,
+                                     int64_t now, const char *digest);
 
 /* Applies a report of another host.  */
-void marjoram_crash_list_hear (marjoram_crash_list *list, int64_t now,
-                               const struct marjoram_crash_report *received);
+void marjoram_crash_list_apply (marjoram_crash_list *list, int64_t now,
+                                const struct marjoram_crash_report *received);
 /* Takes the changes since the last call, for the other hosts; returns false if
    there are none.  OUT is freed with marjoram_wire_clear.  */
 bool marjoram_crash_list_take_report (marjoram_crash_list *list,
                                       struct marjoram_crash_report *out);
 /* Reports all entries, for a host that has just started.  */
-void marjoram_crash_list_all (const marjoram_crash_list *list,
-                              struct marjoram_crash_report *out);
+void marjoram_crash_list_export (const marjoram_crash_list *list,
+                                 struct marjoram_crash_report *out);
 /* Expires old entries; to be called several times a minute.  */
-void marjoram_crash_list_tick (marjoram_crash_list *list, int64_t now);
+void marjoram_crash_list_expire (marjoram_crash_list *list, int64_t now);
 size_t marjoram_crash_list_count (const marjoram_crash_list *list);
 
 #endif
--- a/src/entry_answer.c
+++ b/src/entry_answer.c
@@ -121,7 +121,7 @@
 
 void
 marjoram_entry_refuse_call (struct marjoram_entry *self, uint64_t call,
-                            const struct marjoram_no_answer *why)
+                            const struct marjoram_request_failure *why)
 {
   const char *reason = marjoram_reason_name (why->reason);
   struct marjoram_header_list headers = { 0 };
@@ -143,7 +143,7 @@
 
 static void
 op_reply_none (void *context, uint64_t call,
-               const struct marjoram_no_answer *why)
+               const struct marjoram_request_failure *why)
 {
   struct marjoram_entry *self = context;
 
@@ -211,8 +211,8 @@
   .reply_head = op_reply_head,
   .reply_data = op_reply_data,
   .reply_end = op_reply_end,
-  .reply_cut = op_reply_cut,
-  .reply_none = op_reply_none,
+  .reply_abort = op_reply_cut,
+  .reply_failure = op_reply_none,
   .send = op_send,
   .cancel = op_cancel,
   .reaches = op_reaches,
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -165,7 +165,8 @@
         || (request != 0 && inbound->request != request))
       continue;
     marjoram_entry_forget_inbound (self, inbound);
-    marjoram_gateway_gone (self->gateway, marjoram_entry_now (self), call);
+    marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
+                                  call);
   }
 }
 
@@ -182,7 +183,7 @@
 static void
 take_end (struct marjoram_entry *self, const struct marjoram_end *end)
 {
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { (enum marjoram_outcome)end->outcome,
           end->reason < MARJORAM_REASON_COUNT
               ? (enum marjoram_reason)end->reason
@@ -222,8 +223,9 @@
                                marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_REPEAT_SUMS:
-      marjoram_repeat_budget_hear (marjoram_gateway_budget (self->gateway),
-                                   marjoram_entry_now (self), message);
+      marjoram_repeat_budget_apply_sums (
+          marjoram_gateway_budget (self->gateway), marjoram_entry_now (self),
+          message);
       break;
     case MARJORAM_FRAME_LOAD_CHANGES:
       marjoram_load_collector_hear (self->collector, marjoram_entry_now (self),
@@ -233,8 +235,8 @@
       marjoram_entry_take_sums (self, host, message);
       break;
     case MARJORAM_FRAME_CRASHES:
-      marjoram_crash_list_hear (marjoram_gateway_crashes (self->gateway),
-                                marjoram_entry_now (self), message);
+      marjoram_crash_list_apply (marjoram_gateway_crash_list (self->gateway),
+                                 marjoram_entry_now (self), message);
       break;
     case MARJORAM_FRAME_FORWARD:
       take_forward (self, host, session, message);
--- a/src/entry_loads.c
+++ b/src/entry_loads.c
@@ -27,7 +27,7 @@
   struct marjoram_crash_report crashes;
 
   if (!marjoram_crash_list_take_report (
-          marjoram_gateway_crashes (self->gateway), &crashes))
+          marjoram_gateway_crash_list (self->gateway), &crashes))
     return;
   marjoram_host_links_tell_region (self->parts->links, MARJORAM_FRAME_CRASHES,
                                    &crashes);
--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -72,7 +72,7 @@
                                     struct marjoram_inbound *inbound);
 /* Answers a caller that its request did not run, or that this is not known. */
 void marjoram_entry_refuse_call (struct marjoram_entry *self, uint64_t call,
-                                 const struct marjoram_no_answer *why);
+                                 const struct marjoram_request_failure *why);
 
 /* entry_frame.c */
 extern const struct marjoram_state_fetch_options marjoram_entry_fetch_options;
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -42,7 +42,7 @@
                 struct marjoram_http_request *request)
 {
   struct marjoram_entry *self = context;
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_DRAINING,
           STATUS_UNAVAILABLE, DRAINING_RETRY_MS };
 
@@ -63,7 +63,8 @@
 {
   struct marjoram_entry *self = context;
 
-  marjoram_gateway_gone (self->gateway, marjoram_entry_now (self), call);
+  marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
+                                call);
 }
 
 static void
@@ -308,7 +309,7 @@
   beat->config_number = self->config_number;
   beat->offers = self->offers;
   beat->uses.items = self->uses;
-  beat->uses.count = marjoram_repeat_budget_uses (
+  beat->uses.count = marjoram_repeat_budget_report (
       marjoram_gateway_budget (self->gateway), marjoram_entry_now (self),
       self->uses, MARJORAM_REPEAT_USES_MAX);
 }
@@ -339,7 +340,7 @@
       marjoram_entry_is_ready (self), "config_version",
       (json_int_t)(self->table ? self->table->version : 0), "config_number",
       (json_int_t)self->config_number, "requests_open",
-      (json_int_t)marjoram_gateway_open (self->gateway), "evacuated",
+      (json_int_t)marjoram_gateway_request_count (self->gateway), "evacuated",
       marjoram_gateway_report_zones (&self->evacuated), "upstreams",
       marjoram_gateway_report_upstreams (self->registry, now));
 }
@@ -447,7 +448,7 @@
   struct marjoram_entry *self = self_of (role);
 
   (void)now;
-  return self->closed && marjoram_gateway_open (self->gateway) == 0
+  return self->closed && marjoram_gateway_request_count (self->gateway) == 0
          && marjoram_http_server_is_closed (self->server);
 }
 
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -67,7 +67,7 @@
 }
 
 marjoram_crash_list *
-marjoram_gateway_crashes (marjoram_gateway *gateway)
+marjoram_gateway_crash_list (marjoram_gateway *gateway)
 {
   return gateway->crashes;
 }
@@ -82,7 +82,7 @@
 }
 
 size_t
-marjoram_gateway_open (const marjoram_gateway *gateway)
+marjoram_gateway_request_count (const marjoram_gateway *gateway)
 {
   return HASH_CNT (by_call, gateway->by_call);
 }
@@ -190,7 +190,7 @@
 void
 marjoram_exchange_refuse (marjoram_gateway *gateway,
                           struct marjoram_exchange *exchange, int64_t now,
-                          const struct marjoram_no_answer *why)
+                          const struct marjoram_request_failure *why)
 {
   marjoram_metrics *metrics = gateway->options.metrics;
   uint64_t call = exchange->call;
@@ -205,10 +205,10 @@
   marjoram_metrics_refused (metrics, why->reason);
   log_end (exchange, now, marjoram_outcome_name (why->outcome), why->reason,
            why->status);
-  if (exchange->state == MARJORAM_EXCHANGE_STREAMS)
-    gateway->ops->reply_cut (gateway->context, call);
+  if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
+    gateway->ops->reply_abort (gateway->context, call);
   else
-    gateway->ops->reply_none (gateway->context, call, why);
+    gateway->ops->reply_failure (gateway->context, call, why);
   destroy (gateway, exchange);
 }
 
@@ -222,8 +222,8 @@
   marjoram_metrics_add (
       metrics, whole ? MARJORAM_METRIC_ANSWERED : MARJORAM_METRIC_UNKNOWN, 1);
   if (whole)
-    marjoram_crash_list_answered (gateway->crashes,
-                                  marjoram_exchange_digest (exchange));
+    marjoram_crash_list_add_answer (gateway->crashes,
+                                    marjoram_exchange_digest (exchange));
   marjoram_metrics_time (metrics, MARJORAM_TIMING_WHOLE,
                          now - exchange->received_at);
   log_end (exchange, now, whole ? "done" : "cut", MARJORAM_REASON_NONE,
@@ -242,7 +242,8 @@
 
 /* Closing the connection tells the upstream to stop work on the request.  */
 void
-marjoram_gateway_gone (marjoram_gateway *gateway, int64_t now, uint64_t call)
+marjoram_gateway_caller_gone (marjoram_gateway *gateway, int64_t now,
+                              uint64_t call)
 {
   struct marjoram_exchange *exchange = find_call (gateway, call);
 
@@ -264,7 +265,7 @@
                 int64_t now, enum marjoram_reason reason, int status,
                 int64_t retry_ms)
 {
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { MARJORAM_OUTCOME_NOT_RUN, reason, status, retry_ms };
 
   marjoram_exchange_refuse (gateway, exchange, now, &why);
@@ -294,11 +295,12 @@
 {
   int64_t patience = exchange->facts.patience_ms;
 
-  exchange->due_at = exchange->received_at + timeout_ms;
+  exchange->deadline_at = exchange->received_at + timeout_ms;
   exchange->is_caller_deadline
       = patience > 0 && patience - DEADLINE_MARGIN_MS < timeout_ms;
   if (exchange->is_caller_deadline)
-    exchange->due_at = exchange->received_at + patience - DEADLINE_MARGIN_MS;
+    exchange->deadline_at
+        = exchange->received_at + patience - DEADLINE_MARGIN_MS;
 }
 
 /* Whether the current configuration extends the request's deadline.  */
@@ -314,7 +316,7 @@
   if (route)
     set_deadline (exchange,
                   effective_timeout (gateway, host, exchange, route));
-  return now < exchange->due_at;
+  return now < exchange->deadline_at;
 }
 
 bool
@@ -374,7 +376,7 @@
                                             : MARJORAM_METRIC_REQUESTS,
                         1);
   if (service && !exchange->forwarded)
-    marjoram_repeat_budget_request (gateway->budget, now, service);
+    marjoram_repeat_budget_add_request (gateway->budget, now, service);
 }
 
 void
@@ -388,7 +390,7 @@
   exchange->request = request;
   exchange->forwarded = forwarded != NULL;
   exchange->received_at = now;
-  exchange->due_at = INT64_MAX;
+  exchange->deadline_at = INT64_MAX;
   exchange->idle_deadline = INT64_MAX;
   exchange->body = evbuffer_new ();
   gateway->options.dialect->ops->read_call (&request->headers,
@@ -415,7 +417,7 @@
           int64_t now)
 {
   bool ran = exchange->runs > 0;
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN,
           MARJORAM_REASON_DEADLINE,
           ran ? STATUS_GATEWAY_TIMEOUT : STATUS_UNAVAILABLE, 0 };
@@ -472,18 +474,19 @@
 
   HASH_ITER (by_call, gateway->by_call, exchange, next)
   {
-    if (exchange->state == MARJORAM_EXCHANGE_WAITS && !exchange->waiter.queued)
+    if (exchange->state == MARJORAM_EXCHANGE_WAITING
+        && !exchange->waiter.queued)
       admit (gateway, exchange, now);
-    else if (now >= exchange->due_at
+    else if (now >= exchange->deadline_at
              && !extend_deadline (gateway, exchange, now))
       time_out (gateway, exchange, now);
     else if (exchange->attempt
              && input_time (gateway, now) >= exchange->idle_deadline)
       check_idle (gateway, exchange, now);
   }
-  marjoram_gateway_try_waiting (gateway, now);
+  marjoram_gateway_retry_queued (gateway, now);
   marjoram_placement_tick (gateway->placement, now);
-  marjoram_crash_list_tick (gateway->crashes, now);
+  marjoram_crash_list_expire (gateway->crashes, now);
 }
 
 void
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -21,7 +21,7 @@
 typedef struct marjoram_gateway marjoram_gateway;
 
 /* Error returned instead of an upstream's answer.  */
-struct marjoram_no_answer
+struct marjoram_request_failure
 {
   enum marjoram_outcome outcome;
   enum marjoram_reason reason;
@@ -37,9 +37,9 @@
   void (*reply_data) (void *context, uint64_t call, const void *data,
                       size_t size);
   void (*reply_end) (void *context, uint64_t call);
-  void (*reply_cut) (void *context, uint64_t call);
-  void (*reply_none) (void *context, uint64_t call,
-                      const struct marjoram_no_answer *why);
+  void (*reply_abort) (void *context, uint64_t call);
+  void (*reply_failure) (void *context, uint64_t call,
+                         const struct marjoram_request_failure *why);
   void (*send) (void *context, const struct marjoram_http_send *send);
   void (*cancel) (void *context, uint64_t attempt);
   /* Whether HOST can be reached now.  */
@@ -68,7 +68,7 @@
 void marjoram_gateway_destroy (marjoram_gateway *gateway);
 marjoram_placement *marjoram_gateway_placement (marjoram_gateway *gateway);
 marjoram_repeat_budget *marjoram_gateway_budget (marjoram_gateway *gateway);
-marjoram_crash_list *marjoram_gateway_crashes (marjoram_gateway *gateway);
+marjoram_crash_list *marjoram_gateway_crash_list (marjoram_gateway *gateway);
 /* Activates TABLE.  The caller keeps ownership; TABLE must stay valid until
    two later tables have been set.  */
 void marjoram_gateway_set_table (marjoram_gateway *gateway, int64_t now,
@@ -87,8 +87,8 @@
                                uint64_t call,
                                struct marjoram_http_request *request,
                                const struct marjoram_forwarded *forwarded);
-void marjoram_gateway_gone (marjoram_gateway *gateway, int64_t now,
-                            uint64_t call);
+void marjoram_gateway_caller_gone (marjoram_gateway *gateway, int64_t now,
+                                   uint64_t call);
 
 /* Events of attempts, whether sent to an upstream or forwarded.
    marjoram_gateway_head returns false if the answer does not belong to the
@@ -101,15 +101,16 @@
 void marjoram_gateway_end (marjoram_gateway *gateway, int64_t now,
                            uint64_t attempt, enum marjoram_http_end how);
 /* The other host returned an error instead of an answer.  */
-void marjoram_gateway_forward_refused (marjoram_gateway *gateway, int64_t now,
-                                       uint64_t attempt,
-                                       const struct marjoram_no_answer *why);
+void
+marjoram_gateway_forward_refused (marjoram_gateway *gateway, int64_t now,
+                                  uint64_t attempt,
+                                  const struct marjoram_request_failure *why);
 /* The link to HOST was lost: requests forwarded there may have run.  */
 void marjoram_gateway_link_lost (marjoram_gateway *gateway, int64_t now,
                                  const char *host);
 
 /* Enforces deadlines and timeouts; to be called at least every 25 ms.  */
 void marjoram_gateway_tick (marjoram_gateway *gateway, int64_t now);
-size_t marjoram_gateway_open (const marjoram_gateway *gateway);
+size_t marjoram_gateway_request_count (const marjoram_gateway *gateway);
 
 #endif
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -52,7 +52,7 @@
   /* Only the forwarding host retries, so that attempts do not multiply.  */
   if (!not_run && exchange->forwarded)
     return "first-host-decides";
-  if (exchange->due_at - now < RETRY_TIME_MIN_MS)
+  if (exchange->deadline_at - now < RETRY_TIME_MIN_MS)
     return "no-time";
   if (exchange->runs >= exchange->max_upstreams
       || exchange->arrivals >= exchange->max_upstreams + EXTRA_ATTEMPTS)
@@ -100,7 +100,7 @@
 {
   log_attempt (gateway, exchange, reason, NULL);
   marjoram_metrics_add (gateway->options.metrics,
-                        exchange->state == MARJORAM_EXCHANGE_STREAMS
+                        exchange->state == MARJORAM_EXCHANGE_STREAMING
                             ? MARJORAM_METRIC_RESUMED
                             : MARJORAM_METRIC_REPEATS,
                         1);
@@ -113,7 +113,7 @@
       int64_t now, enum marjoram_reason reason)
 {
   bool ran = exchange->runs > 0;
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN, reason,
           ran ? STATUS_BAD_GATEWAY : STATUS_UNAVAILABLE,
           ran ? 0 : REFUSED_RETRY_MS };
@@ -205,7 +205,7 @@
   exchange->is_signed = facts.signed_by_upstream;
   exchange->refused = facts.not_run;
   exchange->wrong_upstream = facts.wrong_upstream;
-  if (exchange->state == MARJORAM_EXCHANGE_STREAMS)
+  if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
     return true;
   copy_headers (gateway, exchange, headers);
   if (exchange->stream && is_success (exchange))
@@ -224,9 +224,9 @@
 {
   size_t size = evbuffer_get_length (exchange->body);
 
-  if (exchange->state != MARJORAM_EXCHANGE_STREAMS)
+  if (exchange->state != MARJORAM_EXCHANGE_STREAMING)
     {
-      exchange->state = MARJORAM_EXCHANGE_STREAMS;
+      exchange->state = MARJORAM_EXCHANGE_STREAMING;
       gateway->ops->reply_head (gateway->context, exchange->call,
                                 exchange->status, &exchange->headers, -1);
     }
@@ -328,7 +328,7 @@
   refused = retry_denial (gateway, exchange, now, false);
   if (!refused)
     retry (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
-  else if (exchange->state == MARJORAM_EXCHANGE_STREAMS)
+  else if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
     fail (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
   else
     deliver (gateway, exchange, now);
@@ -352,7 +352,7 @@
   if (exchange->refused)
     end_refused (gateway, exchange, now);
   else if (exchange->status >= STATUS_SERVER_ERROR
-           || (exchange->state == MARJORAM_EXCHANGE_STREAMS
+           || (exchange->state == MARJORAM_EXCHANGE_STREAMING
                && !is_success (exchange)))
     end_failed (gateway, exchange, now);
   /* A success without the upstream's signature may be a stray answer.  */
@@ -390,9 +390,10 @@
       gateway->options.place.registry, exchange->upstream);
   const char *digest = marjoram_exchange_digest (exchange);
 
-  marjoram_crash_list_died (gateway->crashes, now, digest, exchange->upstream,
-                            upstream ? upstream->news.born : 0);
-  if (marjoram_crash_list_convicts (gateway->crashes, now, digest))
+  marjoram_crash_list_add_crash (gateway->crashes, now, digest,
+                                 exchange->upstream,
+                                 upstream ? upstream->news.born : 0);
+  if (marjoram_crash_list_is_blocked (gateway->crashes, now, digest))
     marjoram_event (MARJORAM_EVENT_ATTEMPT,
                     "id=%s convicted=yes digest=%s upstream=%s service=%s",
                     exchange->facts.id, digest, exchange->upstream,
@@ -426,10 +427,10 @@
 void
 marjoram_gateway_forward_refused (marjoram_gateway *gateway, int64_t now,
                                   uint64_t attempt,
-                                  const struct marjoram_no_answer *why)
+                                  const struct marjoram_request_failure *why)
 {
   struct marjoram_exchange *exchange = find_attempt (gateway, attempt);
-  struct marjoram_no_answer answer = *why;
+  struct marjoram_request_failure answer = *why;
 
   if (!exchange)
     return;
@@ -442,7 +443,7 @@
                                  MARJORAM_ATTEMPT_REFUSED);
   exchange->runs--;
   exchange->arrivals--;
-  if (exchange->runs == 0 && now < exchange->useful_by
+  if (exchange->runs == 0 && now < exchange->target_at
       && marjoram_exchange_may_run_here (gateway, exchange))
     {
       marjoram_exchange_send (gateway, exchange, now);
--- a/src/gateway_cross.c
+++ b/src/gateway_forward.c
@@ -41,9 +41,9 @@
   forward.headers.items = headers.items;
   forward.headers.count = headers.count;
   forward.body = request->body;
-  forward.budget_ms = marjoram_exchange_patience (exchange, now);
+  forward.budget_ms = marjoram_exchange_time_left (exchange, now);
   forward.useful_ms
-      = exchange->useful_by > now ? exchange->useful_by - now : 0;
+      = exchange->target_at > now ? exchange->target_at - now : 0;
   forward.config_number = exchange->config;
   forward.stream = request->has_body;
   if (gateway->ops->forward (gateway->context, host, &forward))
@@ -158,10 +158,10 @@
 }
 
 bool
-marjoram_exchange_may_cross (marjoram_gateway *gateway,
-                             const struct marjoram_exchange *exchange,
-                             const struct marjoram_route_rule *route,
-                             int64_t now, int64_t max_wait_ms)
+marjoram_exchange_may_forward (marjoram_gateway *gateway,
+                               const struct marjoram_exchange *exchange,
+                               const struct marjoram_route_rule *route,
+                               int64_t now, int64_t max_wait_ms)
 {
   struct marjoram_host_offer offer = { 0 };
 
@@ -171,10 +171,10 @@
 }
 
 bool
-marjoram_exchange_cross (marjoram_gateway *gateway,
-                         struct marjoram_exchange *exchange,
-                         const struct marjoram_route_rule *route, int64_t now,
-                         int64_t max_wait_ms)
+marjoram_exchange_forward (marjoram_gateway *gateway,
+                           struct marjoram_exchange *exchange,
+                           const struct marjoram_route_rule *route,
+                           int64_t now, int64_t max_wait_ms)
 {
   const struct marjoram_listed_host *host;
   struct marjoram_host_offer offer = { 0 };
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -1,5 +1,5 @@
 /* Internal interface of the gateway modules: gateway.c (admission, completion
-   and timeouts), gateway_send.c (placement and sending), gateway_cross.c
+   and timeouts), gateway_send.c (placement and sending), gateway_forward.c
    (forwarding to other regions), gateway_wait.c (queueing) and
    gateway_answer.c (answers and retries).  */
 #ifndef MARJORAM_GATEWAY_PRIVATE_H
@@ -22,10 +22,10 @@
 
 enum marjoram_exchange_state
 {
-  MARJORAM_EXCHANGE_WAITS,   /* waiting for a configuration or an upstream */
-  MARJORAM_EXCHANGE_OPEN,    /* nothing sent to the caller yet */
-  MARJORAM_EXCHANGE_HEAD,    /* stream head received, no event yet */
-  MARJORAM_EXCHANGE_STREAMS, /* head and events are relayed */
+  MARJORAM_EXCHANGE_WAITING,   /* waiting for a configuration or an upstream */
+  MARJORAM_EXCHANGE_OPEN,      /* nothing sent to the caller yet */
+  MARJORAM_EXCHANGE_HEAD,      /* stream head received, no event yet */
+  MARJORAM_EXCHANGE_STREAMING, /* head and events are relayed */
 };
 
 /* One request and the state of its answer.  */
@@ -37,8 +37,8 @@
   bool forwarded; /* received from another region */
   enum marjoram_exchange_state state;
   int64_t received_at;
-  int64_t due_at;              /* route timeout or caller's deadline */
-  int64_t useful_by;           /* latency target for the first event */
+  int64_t deadline_at;         /* route timeout or caller's deadline */
+  int64_t target_at;           /* latency target for the first event */
   int64_t forwarded_target_at; /* set by the forwarding host; 0 if none */
   struct marjoram_waiter waiter;
   int64_t queued_since;
@@ -109,7 +109,7 @@
 /* Ends the exchange with an error.  */
 void marjoram_exchange_refuse (marjoram_gateway *gateway,
                                struct marjoram_exchange *exchange, int64_t now,
-                               const struct marjoram_no_answer *why);
+                               const struct marjoram_request_failure *why);
 /* Ends the exchange after its answer was sent to the caller, completely if
    WHOLE.  */
 void marjoram_exchange_finish (marjoram_gateway *gateway,
@@ -120,7 +120,7 @@
 const char *marjoram_exchange_digest (struct marjoram_exchange *exchange);
 
 /* Whether a request that cannot be placed yet may wait in state
-   MARJORAM_EXCHANGE_WAITS; it is then retried on each tick.  */
+   MARJORAM_EXCHANGE_WAITING; it is then retried on each tick.  */
 bool marjoram_exchange_may_wait (const marjoram_gateway *gateway,
                                  const struct marjoram_exchange *exchange,
                                  int64_t now);
@@ -154,25 +154,25 @@
 void marjoram_exchange_start_attempt (marjoram_gateway *gateway,
                                       struct marjoram_exchange *exchange);
 /* Time until the exchange's deadline, in ms.  */
-int64_t marjoram_exchange_patience (const struct marjoram_exchange *exchange,
-                                    int64_t now);
+int64_t marjoram_exchange_time_left (const struct marjoram_exchange *exchange,
+                                     int64_t now);
 /* Last-Event-Id with which a stream is resumed; null: as sent by the
    caller.  */
 const char *
 marjoram_exchange_last_event (const struct marjoram_exchange *exchange);
 
-/* gateway_cross.c */
+/* gateway_forward.c */
 /* Whether a host of another region would answer within MAX_WAIT_MS.  */
-bool marjoram_exchange_may_cross (marjoram_gateway *gateway,
-                                  const struct marjoram_exchange *exchange,
-                                  const struct marjoram_route_rule *route,
-                                  int64_t now, int64_t max_wait_ms);
+bool marjoram_exchange_may_forward (marjoram_gateway *gateway,
+                                    const struct marjoram_exchange *exchange,
+                                    const struct marjoram_route_rule *route,
+                                    int64_t now, int64_t max_wait_ms);
 /* Forwards the exchange to another region that would answer within
    MAX_WAIT_MS.  Returns whether it was forwarded.  */
-bool marjoram_exchange_cross (marjoram_gateway *gateway,
-                              struct marjoram_exchange *exchange,
-                              const struct marjoram_route_rule *route,
-                              int64_t now, int64_t max_wait_ms);
+bool marjoram_exchange_forward (marjoram_gateway *gateway,
+                                struct marjoram_exchange *exchange,
+                                const struct marjoram_route_rule *route,
+                                int64_t now, int64_t max_wait_ms);
 /* Forwards the exchange, although CHOSEN is a place in this region, if another
    region is less loaded.  Returns whether it was forwarded.  */
 bool marjoram_exchange_spill (marjoram_gateway *gateway,
@@ -188,15 +188,15 @@
                              struct marjoram_exchange *exchange, int64_t now,
                              const struct marjoram_place *chosen);
 /* Whether no queued request for the same service precedes it.  */
-bool marjoram_exchange_is_its_turn (const marjoram_gateway *gateway,
-                                    const struct marjoram_exchange *exchange,
-                                    const struct marjoram_place *chosen);
+bool marjoram_exchange_is_next (const marjoram_gateway *gateway,
+                                const struct marjoram_exchange *exchange,
+                                const struct marjoram_place *chosen);
 /* Estimated wait for a place of SERVICE of a request with SORT_KEY.  */
 int64_t marjoram_gateway_wait_ms (const marjoram_gateway *gateway,
                                   const char *service, int64_t sort_key,
                                   const struct marjoram_place *place);
 /* Retries placement of queued requests in order.  */
-void marjoram_gateway_try_waiting (marjoram_gateway *gateway, int64_t now);
+void marjoram_gateway_retry_queued (marjoram_gateway *gateway, int64_t now);
 
 /* gateway_answer.c */
 /* Handles a failed attempt: retries where that is allowed, otherwise ends the
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -23,7 +23,7 @@
   /* Minimum time left to the latency target; below it the deadline is
      used.  */
   TARGET_MIN_MS = 5,
-  UNREACHED_MAX = 4, /* attempts without a connection */
+  FAILED_CONNECTIONS_MAX = 4, /* attempts without a connection */
   REFUSED_RETRY_MS = 250,
   URGENCY_MAX = 9
 };
@@ -35,7 +35,7 @@
                                  struct marjoram_exchange *exchange)
 {
   marjoram_wait_queue_remove (gateway->queue, &exchange->waiter);
-  if (exchange->state == MARJORAM_EXCHANGE_WAITS)
+  if (exchange->state == MARJORAM_EXCHANGE_WAITING)
     exchange->state = MARJORAM_EXCHANGE_OPEN;
   exchange->attempt = ++gateway->next_attempt;
   HASH_ADD (by_attempt, gateway->by_attempt, attempt, sizeof exchange->attempt,
@@ -75,10 +75,10 @@
 /* ---- Request message. ---- */
 
 int64_t
-marjoram_exchange_patience (const struct marjoram_exchange *exchange,
-                            int64_t now)
+marjoram_exchange_time_left (const struct marjoram_exchange *exchange,
+                             int64_t now)
 {
-  return exchange->due_at - now;
+  return exchange->deadline_at - now;
 }
 
 const char *
@@ -96,7 +96,7 @@
   const struct marjoram_dialect_ops *dialect = gateway->options.dialect->ops;
   const struct marjoram_http_request *request = exchange->request;
   const struct marjoram_run_facts facts = {
-    .patience_ms = marjoram_exchange_patience (exchange, now),
+    .patience_ms = marjoram_exchange_time_left (exchange, now),
     .upstream = exchange->upstream,
     .last_event = marjoram_exchange_last_event (exchange),
     .copy_from = copy_from,
@@ -165,9 +165,9 @@
   query->service = service;
   query->facts = &exchange->facts;
   query->priority = exchange->priority;
-  query->useful_ms = exchange->useful_by - now;
+  query->useful_ms = exchange->target_at - now;
   if (query->useful_ms < TARGET_MIN_MS)
-    query->useful_ms = marjoram_exchange_patience (exchange, now);
+    query->useful_ms = marjoram_exchange_time_left (exchange, now);
   query->again = true;
   for (size_t i = 0; i < exchange->tried_count; i++)
     query->tried[query->tried_count++] = exchange->tried[i];
@@ -211,7 +211,7 @@
         int64_t now, enum marjoram_reason reason, int64_t retry_ms)
 {
   const bool ran = exchange->runs > 0;
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN, reason,
           ran ? STATUS_BAD_GATEWAY : STATUS_UNAVAILABLE, retry_ms };
 
@@ -222,7 +222,7 @@
 may_wait (const marjoram_gateway *gateway,
           const struct marjoram_exchange *exchange, int64_t now)
 {
-  return exchange->state == MARJORAM_EXCHANGE_WAITS
+  return exchange->state == MARJORAM_EXCHANGE_WAITING
          && marjoram_exchange_may_wait (gateway, exchange, now);
 }
 
@@ -241,9 +241,10 @@
 }
 
 static void
-take_terms (struct marjoram_exchange *exchange,
-            const struct marjoram_route_table *table,
-            const struct marjoram_route_rule *route, const char *service)
+copy_route_settings (struct marjoram_exchange *exchange,
+                     const struct marjoram_route_table *table,
+                     const struct marjoram_route_rule *route,
+                     const char *service)
 {
   exchange->stream = route->stream;
   exchange->repeatable = marjoram_route_may_repeat (route);
@@ -251,7 +252,7 @@
   exchange->max_upstreams = route->max_upstreams;
   exchange->objective_ms = route->objective_ms;
   exchange->config = table->version;
-  exchange->useful_by
+  exchange->target_at
       = exchange->forwarded_target_at
             ? exchange->forwarded_target_at
             : exchange->received_at
@@ -272,12 +273,12 @@
   int64_t here_ms;
 
   if (chosen->outcome == MARJORAM_PLACE_NONE)
-    return marjoram_exchange_patience (exchange, now);
+    return marjoram_exchange_time_left (exchange, now);
   here_ms
-      = marjoram_gateway_wait_ms (
-            gateway, exchange->service,
-            marjoram_wait_queue_turn (exchange->priority, exchange->useful_by),
-            chosen)
+      = marjoram_gateway_wait_ms (gateway, exchange->service,
+                                  marjoram_wait_queue_sort_key (
+                                      exchange->priority, exchange->target_at),
+                                  chosen)
         + chosen->wait_ms;
   return here_ms < useful_ms ? here_ms : useful_ms;
 }
@@ -321,8 +322,9 @@
   make_query (exchange, service, now, &query);
   if (!marjoram_route_allows (route, gateway->region))
     {
-      if (!marjoram_exchange_cross (gateway, exchange, route, now,
-                                    marjoram_exchange_patience (exchange, now))
+      if (!marjoram_exchange_forward (
+              gateway, exchange, route, now,
+              marjoram_exchange_time_left (exchange, now))
           && !may_wait (gateway, exchange, now))
         refuse (gateway, exchange, now, MARJORAM_REASON_RESIDENCY,
                 REFUSED_RETRY_MS);
@@ -330,13 +332,13 @@
     }
   choose (gateway, exchange, now, &query, &chosen);
   found = chosen.outcome == MARJORAM_PLACE_FOUND
-          && marjoram_exchange_is_its_turn (gateway, exchange, &chosen);
+          && marjoram_exchange_is_next (gateway, exchange, &chosen);
   if (found
       && marjoram_exchange_spill (gateway, exchange, route, now, &chosen,
                                   query.useful_ms))
     return;
   if (!found
-      && marjoram_exchange_cross (
+      && marjoram_exchange_forward (
           gateway, exchange, route, now,
           max_remote_wait (gateway, exchange, now, &chosen, query.useful_ms)))
     return;
@@ -354,13 +356,13 @@
 refuse_crashing (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
                  int64_t now)
 {
-  struct marjoram_no_answer why
+  struct marjoram_request_failure why
       = { MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_CONVICTED,
           STATUS_BAD_REQUEST, 0 };
 
   if (marjoram_crash_list_count (gateway->crashes) == 0
-      || !marjoram_crash_list_convicts (gateway->crashes, now,
-                                        marjoram_exchange_digest (exchange)))
+      || !marjoram_crash_list_is_blocked (gateway->crashes, now,
+                                          marjoram_exchange_digest (exchange)))
     return false;
   if (exchange->runs > 0)
     {
@@ -412,9 +414,9 @@
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
         return true;
     }
-  return exchange->state != MARJORAM_EXCHANGE_STREAMS
-         && marjoram_exchange_may_cross (gateway, exchange, route, now,
-                                         query.useful_ms);
+  return exchange->state != MARJORAM_EXCHANGE_STREAMING
+         && marjoram_exchange_may_forward (gateway, exchange, route, now,
+                                           query.useful_ms);
 }
 
 /* Looks up the route on each attempt, so that a retry follows the current
@@ -433,7 +435,7 @@
   rule = service ? marjoram_route_table_service (table, service) : NULL;
   if (!rule)
     {
-      const struct marjoram_no_answer why
+      const struct marjoram_request_failure why
           = { exchange->runs > 0 ? MARJORAM_OUTCOME_UNKNOWN
                                  : MARJORAM_OUTCOME_NOT_RUN,
               MARJORAM_REASON_CONFIG_CHANGED,
@@ -442,10 +444,10 @@
       marjoram_exchange_refuse (gateway, exchange, now, &why);
       return;
     }
-  take_terms (exchange, table, route, service);
+  copy_route_settings (exchange, table, route, service);
   if (refuse_crashing (gateway, exchange, now))
     return;
-  if (exchange->failed_connections >= UNREACHED_MAX)
+  if (exchange->failed_connections >= FAILED_CONNECTIONS_MAX)
     {
       refuse (gateway, exchange, now, MARJORAM_REASON_NO_UPSTREAM,
               REFUSED_RETRY_MS);
--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -29,7 +29,7 @@
                           int64_t sort_key, const struct marjoram_place *place)
 {
   int64_t ahead
-      = marjoram_wait_queue_ahead (gateway->queue, service, sort_key);
+      = marjoram_wait_queue_tokens_before (gateway->queue, service, sort_key);
 
   if (place->tokens_per_ms <= 0)
     return place->over_ms;
@@ -37,9 +37,9 @@
 }
 
 static bool
-is_broken_off (const struct marjoram_exchange *exchange)
+is_interrupted (const struct marjoram_exchange *exchange)
 {
-  return exchange->state == MARJORAM_EXCHANGE_STREAMS;
+  return exchange->state == MARJORAM_EXCHANGE_STREAMING;
 }
 
 /* Latest time at which the request can be started.  An interrupted stream may
@@ -49,8 +49,8 @@
 latest_start (const struct marjoram_exchange *exchange,
               const struct marjoram_place *chosen)
 {
-  const int64_t answer_by
-      = is_broken_off (exchange) ? exchange->due_at : exchange->useful_by;
+  const int64_t answer_by = is_interrupted (exchange) ? exchange->deadline_at
+                                                      : exchange->target_at;
 
   return answer_by - RESPONSE_OVERHEAD_MS
          - prompt_ms (chosen, chosen->engine_tokens_per_ms);
@@ -60,24 +60,24 @@
 sort_key_of (const struct marjoram_exchange *exchange,
              const struct marjoram_place *chosen)
 {
-  return marjoram_wait_queue_turn (
-      exchange->priority, is_broken_off (exchange)
+  return marjoram_wait_queue_sort_key (
+      exchange->priority, is_interrupted (exchange)
                               ? exchange->last_event_at + RESUME_FIRST_MS
                               : latest_start (exchange, chosen));
 }
 
 bool
-marjoram_exchange_is_its_turn (const marjoram_gateway *gateway,
-                               const struct marjoram_exchange *exchange,
-                               const struct marjoram_place *chosen)
+marjoram_exchange_is_next (const marjoram_gateway *gateway,
+                           const struct marjoram_exchange *exchange,
+                           const struct marjoram_place *chosen)
 {
   int64_t sort_key;
 
   if (exchange->waiter.queued || chosen->tokens_per_ms <= 0)
     return true;
   sort_key = sort_key_of (exchange, chosen);
-  return marjoram_wait_queue_ahead (gateway->queue, exchange->service,
-                                    sort_key)
+  return marjoram_wait_queue_tokens_before (gateway->queue, exchange->service,
+                                            sort_key)
          == 0;
 }
 
@@ -88,9 +88,9 @@
 {
   struct marjoram_waiter *waiter = &exchange->waiter;
   const int64_t later
-      = marjoram_wait_queue_turn (exchange->priority, waiter->start_by);
+      = marjoram_wait_queue_sort_key (exchange->priority, waiter->start_by);
 
-  if (is_broken_off (exchange) && waiter->sort_key < later
+  if (is_interrupted (exchange) && waiter->sort_key < later
       && now >= exchange->queued_since + RESUME_FIRST_MS)
     {
       marjoram_wait_queue_remove (gateway->queue, waiter);
@@ -109,7 +109,7 @@
 may_get_place (const struct marjoram_exchange *exchange,
                const struct marjoram_place *chosen)
 {
-  if (is_broken_off (exchange) && chosen->outcome == MARJORAM_PLACE_NONE)
+  if (is_interrupted (exchange) && chosen->outcome == MARJORAM_PLACE_NONE)
     return chosen->candidates > 0;
   return chosen->outcome != MARJORAM_PLACE_NONE && chosen->tokens_per_ms > 0;
 }
@@ -144,7 +144,7 @@
 }
 
 void
-marjoram_gateway_try_waiting (marjoram_gateway *gateway, int64_t now)
+marjoram_gateway_retry_queued (marjoram_gateway *gateway, int64_t now)
 {
   struct marjoram_waiter *waiter = marjoram_wait_queue_first (gateway->queue);
 
--- a/src/host.h
+++ b/src/host.h
@@ -91,7 +91,7 @@
                       const struct marjoram_answer_info *info, int64_t length);
   void (*reply_data) (void *context, uint64_t call, marjoram_bytes *bytes);
   void (*reply_end) (void *context, uint64_t call);
-  void (*reply_cut) (void *context, uint64_t call);
+  void (*reply_abort) (void *context, uint64_t call);
   void (*reply_refusal) (void *context, uint64_t call,
                          const struct marjoram_refusal *refusal);
   /* Upstreams, by attempt number.  Resume asks on a new connection for the
--- a/src/host_caller.c
+++ b/src/host_caller.c
@@ -46,7 +46,7 @@
   /* Once bytes were passed on, the only honest end is to cut the answer
      short: it must not look whole.  */
   if (request->head_passed)
-    host->ops->reply_cut (host->context, request->call->number);
+    host->ops->reply_abort (host->context, request->call->number);
   else
     host->ops->reply_refusal (host->context, request->call->number, &refusal);
 }
--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -32,7 +32,7 @@
   if (!message->digest)
     return;
   before = marjoram_suspects_get (host->suspects, now, message->digest);
-  marjoram_suspects_learn (host->suspects, now, message);
+  marjoram_suspects_apply (host->suspects, now, message);
   if (marjoram_host_ordinal (host, slot) < 0
       && marjoram_suspects_get (host->suspects, now, message->digest)
              != before)
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -332,7 +332,7 @@
   marjoram_keeper_tick (self->keeper, now);
   marjoram_registrar_tick (self->registrar, now);
   marjoram_registry_tick (self->registry, now);
-  marjoram_crash_list_tick (self->crashes, now);
+  marjoram_crash_list_expire (self->crashes, now);
   tick_repair (self, now);
 }
 
--- a/src/keeper_tell.c
+++ b/src/keeper_tell.c
@@ -165,7 +165,7 @@
 
   if (marjoram_crash_list_count (self->crashes) == 0)
     return;
-  marjoram_crash_list_all (self->crashes, &all);
+  marjoram_crash_list_export (self->crashes, &all);
   marjoram_host_links_reply (self->parts->links, host, session,
                              MARJORAM_FRAME_CRASHES, &all);
   marjoram_wire_clear (&marjoram_crash_report_layout, &all);
@@ -183,8 +183,8 @@
   const struct marjoram_listed_host *sender
       = marjoram_host_list_find (self->parts->hosts, host);
 
-  marjoram_crash_list_hear (self->crashes, marjoram_keeper_role_now (self),
-                            report);
+  marjoram_crash_list_apply (self->crashes, marjoram_keeper_role_now (self),
+                             report);
   if (sender && strcmp (sender->beat.region, region) != 0)
     marjoram_host_links_tell_in (self->parts->links, false, region,
                                  MARJORAM_FRAME_CRASHES, report);
@@ -209,9 +209,9 @@
 
   if (beat->uses.count == 0)
     return;
-  marjoram_repeat_sums_list_hear (
+  marjoram_repeat_sums_list_update (
       self->repeats, marjoram_keeper_role_now (self), host, &beat->uses);
-  marjoram_repeat_sums_list_answer (self->repeats, &beat->uses, &sums);
+  marjoram_repeat_sums_list_query (self->repeats, &beat->uses, &sums);
   if (sums.items.count > 0)
     marjoram_host_links_reply (self->parts->links, host, session,
                                MARJORAM_FRAME_REPEAT_SUMS, &sums);
--- a/src/relay.c
+++ b/src/relay.c
@@ -189,7 +189,7 @@
       news.digest = request->digest;
       news.suspicion = forward->suspicion;
       news.deaths = 1;
-      marjoram_suspects_learn (host->suspects, now, &news);
+      marjoram_suspects_apply (host->suspects, now, &news);
     }
   marjoram_request_start (host, now, request);
 }
--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -106,8 +106,8 @@
 }
 
 void
-marjoram_repeat_budget_request (marjoram_repeat_budget *budget, int64_t now,
-                                const char *service)
+marjoram_repeat_budget_add_request (marjoram_repeat_budget *budget,
+                                    int64_t now, const char *service)
 {
   struct account *account = get_account (budget, service, now);
 
@@ -169,8 +169,8 @@
 }
 
 size_t
-marjoram_repeat_budget_uses (marjoram_repeat_budget *budget, int64_t now,
-                             struct marjoram_repeat_use *items, size_t max)
+marjoram_repeat_budget_report (marjoram_repeat_budget *budget, int64_t now,
+                               struct marjoram_repeat_use *items, size_t max)
 {
   struct account *account;
   struct account *next;
@@ -197,8 +197,8 @@
 
 /* If several keepers answer, the sums over the most hosts are kept.  */
 void
-marjoram_repeat_budget_hear (marjoram_repeat_budget *budget, int64_t now,
-                             const struct marjoram_repeat_sums *sums)
+marjoram_repeat_budget_apply_sums (marjoram_repeat_budget *budget, int64_t now,
+                                   const struct marjoram_repeat_sums *sums)
 {
   const struct marjoram_repeat_use *items = sums->items.items;
 
--- a/src/repeat_budget.h
+++ b/src/repeat_budget.h
@@ -31,20 +31,21 @@
 void marjoram_repeat_budget_set (marjoram_repeat_budget *budget,
                                  const struct marjoram_repeat_terms *terms);
 /* Records a caller's request for SERVICE.  */
-void marjoram_repeat_budget_request (marjoram_repeat_budget *budget,
-                                     int64_t now, const char *service);
+void marjoram_repeat_budget_add_request (marjoram_repeat_budget *budget,
+                                         int64_t now, const char *service);
 /* Records a repeat and returns true if the budget of this host, one of HOSTS,
    permits one for SERVICE.  */
 bool marjoram_repeat_budget_take (marjoram_repeat_budget *budget, int64_t now,
                                   const char *service, size_t hosts);
 /* Writes this host's usage, reported to keepers, of at most MAX services into
    ITEMS, which borrow their texts.  Returns their number.  */
-size_t marjoram_repeat_budget_uses (marjoram_repeat_budget *budget,
-                                    int64_t now,
-                                    struct marjoram_repeat_use *items,
-                                    size_t max);
+size_t marjoram_repeat_budget_report (marjoram_repeat_budget *budget,
+                                      int64_t now,
+                                      struct marjoram_repeat_use *items,
+                                      size_t max);
 /* Applies the sums that a keeper answered.  */
-void marjoram_repeat_budget_hear (marjoram_repeat_budget *budget, int64_t now,
-                                  const struct marjoram_repeat_sums *sums);
+void
+marjoram_repeat_budget_apply_sums (marjoram_repeat_budget *budget, int64_t now,
+                                   const struct marjoram_repeat_sums *sums);
 
 #endif
--- a/src/repeat_sums.c
+++ b/src/repeat_sums.c
@@ -166,9 +166,9 @@
 }
 
 void
-marjoram_repeat_sums_list_hear (marjoram_repeat_sums_list *list, int64_t now,
-                                const char *host,
-                                const struct marjoram_array *uses)
+marjoram_repeat_sums_list_update (marjoram_repeat_sums_list *list, int64_t now,
+                                  const char *host,
+                                  const struct marjoram_array *uses)
 {
   const struct marjoram_repeat_use *items = uses->items;
   struct reporter *reporter = find_reporter (list, host);
@@ -183,9 +183,9 @@
 }
 
 void
-marjoram_repeat_sums_list_answer (const marjoram_repeat_sums_list *list,
-                                  const struct marjoram_array *uses,
-                                  struct marjoram_repeat_sums *sums)
+marjoram_repeat_sums_list_query (const marjoram_repeat_sums_list *list,
+                                 const struct marjoram_array *uses,
+                                 struct marjoram_repeat_sums *sums)
 {
   const struct marjoram_repeat_use *asked = uses->items;
   struct marjoram_repeat_use *items = sums->items.items;
--- a/src/repeat_sums.h
+++ b/src/repeat_sums.h
@@ -13,13 +13,13 @@
 /* Replaces HOST's report by USES, an array of struct marjoram_repeat_use.  The
    last report of a host that stopped reporting counts for one window of the
    budget.  */
-void marjoram_repeat_sums_list_hear (marjoram_repeat_sums_list *list,
-                                     int64_t now, const char *host,
-                                     const struct marjoram_array *uses);
+void marjoram_repeat_sums_list_update (marjoram_repeat_sums_list *list,
+                                       int64_t now, const char *host,
+                                       const struct marjoram_array *uses);
 /* Writes the sums of the services that USES asks for into SUMS, whose items
    have room for MARJORAM_REPEAT_USES_MAX.  Texts are borrowed from USES.  */
-void marjoram_repeat_sums_list_answer (const marjoram_repeat_sums_list *list,
-                                       const struct marjoram_array *uses,
-                                       struct marjoram_repeat_sums *sums);
+void marjoram_repeat_sums_list_query (const marjoram_repeat_sums_list *list,
+                                      const struct marjoram_array *uses,
+                                      struct marjoram_repeat_sums *sums);
 
 #endif
--- a/src/replay.c
+++ b/src/replay.c
@@ -79,14 +79,14 @@
   /* Nonces are lost on a restart, so calls signed before the start are refused
      as possible replays.  */
   if (sent < replays->started || sent < now - MARJORAM_REPLAY_WINDOW_MS)
-    return MARJORAM_REPLAY_OLD;
+    return MARJORAM_REPLAY_EXPIRED;
   if (sent > now + MARJORAM_REPLAY_WINDOW_MS)
     return MARJORAM_REPLAY_EARLY;
   expire_nonces (replays);
   /* NOLINTNEXTLINE(clang-analyzer-unix.*) */
   HASH_FIND (hh, replays->nonces, nonce, MARJORAM_NONCE_TEXT, entry);
   if (entry)
-    return MARJORAM_REPLAY_AGAIN;
+    return MARJORAM_REPLAY_REUSED;
   if (HASH_COUNT (replays->nonces) >= MARJORAM_REPLAYS_MAX)
     return MARJORAM_REPLAY_FULL;
   entry = marjoram_alloc (sizeof *entry);
--- a/src/residency.c
+++ b/src/residency.c
@@ -133,7 +133,7 @@
 }
 
 uint64_t
-marjoram_residency_work (const marjoram_residency *residency, int workload)
+marjoram_residency_workload (const marjoram_residency *residency, int workload)
 {
   return residency->workloads[workload];
 }
--- a/src/residency.h
+++ b/src/residency.h
@@ -28,8 +28,8 @@
                                   uint64_t regions);
 uint64_t marjoram_residency_caller (const marjoram_residency *residency,
                                     int caller);
-uint64_t marjoram_residency_work (const marjoram_residency *residency,
-                                  int workload);
+uint64_t marjoram_residency_workload (const marjoram_residency *residency,
+                                      int workload);
 /* Regions in which CALLER's requests for WORKLOAD may run.  */
 uint64_t marjoram_residency_allowed (const marjoram_residency *residency,
                                      int caller, int workload);
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -359,7 +359,7 @@
 }
 
 static bool
-runs_now (const struct run *run, int64_t now)
+is_running (const struct run *run, int64_t now)
 {
   return run->local_runs > 0 || (run->remote_runs > 0 && run->expires > now);
 }
@@ -367,8 +367,8 @@
 /* Guards against a third crash: a suspect running at two upstreams at once
    could crash both.  */
 static bool
-runs_somewhere_else (const marjoram_suspects *suspects, int64_t now,
-                     const char *upstream, const char *digest)
+is_running_elsewhere (const marjoram_suspects *suspects, int64_t now,
+                      const char *upstream, const char *digest)
 {
   const struct upstream_entry *upstream_entry;
 
@@ -377,7 +377,7 @@
     {
       const struct run *run = find_run (upstream_entry, digest);
 
-      if (run && runs_now (run, now)
+      if (run && is_running (run, now)
           && strcmp (upstream_entry->upstream, upstream) != 0)
         return true;
     }
@@ -401,12 +401,12 @@
     case MARJORAM_SUSPICION_SUSPECT:
       break;
     }
-  if (runs_somewhere_else (suspects, now, upstream, digest))
+  if (is_running_elsewhere (suspects, now, upstream, digest))
     return false;
   if (!upstream_entry)
     return true;
   TAILQ_FOREACH (run, &upstream_entry->runs, link)
-  if (strcmp (run->digest, digest) != 0 && runs_now (run, now)
+  if (strcmp (run->digest, digest) != 0 && is_running (run, now)
       && marjoram_suspects_get (suspects, now, run->digest)
              != MARJORAM_SUSPICION_NONE)
     return false;
@@ -423,7 +423,7 @@
 {
   const struct entry *entry = find_entry (suspects, run->digest);
 
-  if (!entry || entry->expires <= now || !runs_now (run, now))
+  if (!entry || entry->expires <= now || !is_running (run, now))
     return false;
   return run->since > entry->since
          || strcmp (entry->died, upstream_entry->upstream) != 0;
@@ -543,7 +543,7 @@
 }
 
 void
-marjoram_suspects_learn (marjoram_suspects *suspects, int64_t now,
+marjoram_suspects_apply (marjoram_suspects *suspects, int64_t now,
                          const struct marjoram_suspect_message *message)
 {
   if (!message->digest || message->suspicion > MARJORAM_SUSPICION_CONVICTED)
@@ -566,7 +566,7 @@
     {
       struct run *next = TAILQ_NEXT (run, link);
 
-      if (!runs_now (run, now))
+      if (!is_running (run, now))
         drop_run (suspects, upstream_entry, run);
       run = next;
     }
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -65,7 +65,7 @@
                              marjoram_suspects_report *report, void *context);
 /* Applies a message from another host: the higher suspicion wins, except that
    a message without suspicion and upstream clears the request.  */
-void marjoram_suspects_learn (marjoram_suspects *suspects, int64_t now,
+void marjoram_suspects_apply (marjoram_suspects *suspects, int64_t now,
                               const struct marjoram_suspect_message *message);
 void marjoram_suspects_tick (marjoram_suspects *suspects, int64_t now);
 /* Number of suspicions and runs stored.  */
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -33,7 +33,7 @@
 }
 
 int64_t
-marjoram_wait_queue_turn (int priority, int64_t start_by)
+marjoram_wait_queue_sort_key (int priority, int64_t start_by)
 {
   return start_by + (int64_t)priority * PRIORITY_STEP_MS;
 }
@@ -85,8 +85,8 @@
 }
 
 int64_t
-marjoram_wait_queue_ahead (const marjoram_wait_queue *queue,
-                           const char *service, int64_t sort_key)
+marjoram_wait_queue_tokens_before (const marjoram_wait_queue *queue,
+                                   const char *service, int64_t sort_key)
 {
   const struct marjoram_waiter *waiter;
   int64_t tokens = 0;
--- a/src/wait_queue.h
+++ b/src/wait_queue.h
@@ -30,7 +30,7 @@
 marjoram_wait_queue *marjoram_wait_queue_create (void);
 void marjoram_wait_queue_destroy (marjoram_wait_queue *queue);
 /* Sort key of a request of PRIORITY, 0 being the most urgent.  */
-int64_t marjoram_wait_queue_turn (int priority, int64_t start_by);
+int64_t marjoram_wait_queue_sort_key (int priority, int64_t start_by);
 /* All members of WAITER but LINK and QUEUED must be set.  */
 void marjoram_wait_queue_add (marjoram_wait_queue *queue,
                               struct marjoram_waiter *waiter);
@@ -44,7 +44,8 @@
 marjoram_wait_queue_next (const struct marjoram_waiter *waiter);
 int64_t marjoram_wait_queue_count (const marjoram_wait_queue *queue);
 /* Sum of the tokens queued for SERVICE before SORT_KEY.  */
-int64_t marjoram_wait_queue_ahead (const marjoram_wait_queue *queue,
-                                   const char *service, int64_t sort_key);
+int64_t marjoram_wait_queue_tokens_before (const marjoram_wait_queue *queue,
+                                           const char *service,
+                                           int64_t sort_key);
 
 #endif
--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -80,7 +80,8 @@
 }
 
 static void
-op_failure (void *context, uint64_t call, const struct marjoram_no_answer *why)
+op_failure (void *context, uint64_t call,
+            const struct marjoram_request_failure *why)
 {
   struct gateway_seen *seen = &((struct gateway_fixture *)context)->seen;
 
@@ -156,8 +157,8 @@
   .reply_head = op_head,
   .reply_data = op_data,
   .reply_end = op_end,
-  .reply_cut = op_abort,
-  .reply_none = op_failure,
+  .reply_abort = op_abort,
+  .reply_failure = op_failure,
   .send = op_send,
   .cancel = op_cancel,
   .reaches = op_reaches,
--- a/test/lib_gateway.h
+++ b/test/lib_gateway.h
@@ -25,7 +25,7 @@
   int ends;
   int cuts;
   int refusals;
-  struct marjoram_no_answer why;
+  struct marjoram_request_failure why;
 };
 
 struct gateway_fixture
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -561,15 +561,15 @@
     const char *nonce;
     enum marjoram_replay_verdict verdict;
   } calls[] = {
-    { 0, -1, NONCE "0", MARJORAM_REPLAY_OLD },
+    { 0, -1, NONCE "0", MARJORAM_REPLAY_EXPIRED },
     { 0, window + 1, NONCE "0", MARJORAM_REPLAY_EARLY },
     { 0, window, NONCE "0", MARJORAM_REPLAY_FRESH },
-    { 0, window, NONCE "0", MARJORAM_REPLAY_AGAIN },
-    { 2 * window, window, NONCE "0", MARJORAM_REPLAY_AGAIN },
-    { 2 * window + 1, window, NONCE "0", MARJORAM_REPLAY_OLD },
+    { 0, window, NONCE "0", MARJORAM_REPLAY_REUSED },
+    { 2 * window, window, NONCE "0", MARJORAM_REPLAY_REUSED },
+    { 2 * window + 1, window, NONCE "0", MARJORAM_REPLAY_EXPIRED },
     { 2 * window + 1, window + 1, NONCE "1", MARJORAM_REPLAY_FRESH },
     /* The clock is set back: what was forgotten must not be fresh again.  */
-    { 0, window, NONCE "0", MARJORAM_REPLAY_OLD },
+    { 0, window, NONCE "0", MARJORAM_REPLAY_EXPIRED },
   };
 
   for (size_t i = 0; i < sizeof calls / sizeof *calls; i++)
--- a/test/test_fuzz_message.c
+++ b/test/test_fuzz_message.c
@@ -173,7 +173,7 @@
       marjoram_keeper_receive (host->keeper, now, slots[from], message);
       break;
     case MARJORAM_FRAME_SUSPECT:
-      marjoram_suspects_learn (host->suspects, now, message);
+      marjoram_suspects_apply (host->suspects, now, message);
       break;
     default:
       marjoram_router_learn (host->router, now, message, 1);
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -57,11 +57,11 @@
   ck_assert_int_eq (f.seen.length, 6);
   ck_assert_str_eq (f.seen.body, "answer");
   ck_assert_int_eq (f.seen.ends, 1);
-  ck_assert_uint_eq (marjoram_gateway_open (f.gateway), 0);
+  ck_assert_uint_eq (marjoram_gateway_request_count (f.gateway), 0);
 }
 END_TEST
 
-START_TEST (nothing_is_known_yet)
+START_TEST (request_without_configuration_is_refused)
 {
   gateway_fixture_close (&f);
   gateway_fixture_open (&f);
@@ -75,7 +75,7 @@
 
 /* Guards against refusing requests in the first moments after a restart,
    before the configuration has arrived from the keepers.  */
-START_TEST (young_host_waits_for_its_configuration)
+START_TEST (starting_host_waits_for_configuration)
 {
   gateway_fixture_close (&f);
   gateway_fixture_open_at (&f, 0);
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-START_TEST (young_host_does_not_wait_for_long)
+START_TEST (starting_host_wait_is_bounded)
 {
   gateway_fixture_close (&f);
   gateway_fixture_open_at (&f, 0);
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST (no_route)
+START_TEST (unknown_route_is_refused)
 {
   gateway_fixture_call (&f, 0, "/none/x");
   ck_assert_int_eq (f.seen.why.status, 404);
@@ -109,7 +109,7 @@
 END_TEST
 
 /* Guards against repeating a non-idempotent request that may have run.  */
-START_TEST (what_may_not_repeat_is_not_sent_again)
+START_TEST (request_that_may_have_run_is_not_retried)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
   ck_assert (f.seen.careful);
@@ -122,7 +122,7 @@
 
 /* Guards against giving up a non-idempotent request that did not run, and
    against reporting it as possibly run.  */
-START_TEST (what_did_not_run_is_sent_again)
+START_TEST (request_that_did_not_run_is_retried)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
   ck_assert (gateway_fixture_head (&f, 10, 503, NULL, false, true));
@@ -144,7 +144,7 @@
 }
 END_TEST
 
-START_TEST (idempotent_request_is_sent_again_once)
+START_TEST (idempotent_request_is_retried_once)
 {
   gateway_fixture_call (&f, 0, "/get/x");
   gateway_fixture_end (&f, 10, MARJORAM_HTTP_BROKEN);
@@ -157,7 +157,7 @@
 
 /* A failure reported by the upstream is retried where that is allowed, and
    otherwise relayed unchanged.  */
-START_TEST (upstreams_failure)
+START_TEST (upstream_failure_is_retried_or_relayed)
 {
   gateway_fixture_call (&f, 0, "/get/x");
   gateway_fixture_head (&f, 10, 500, NULL, true, false);
@@ -177,7 +177,7 @@
 
 /* Guards against relaying a late answer of an earlier request on the same
    connection.  */
-START_TEST (another_requests_answer_is_skipped)
+START_TEST (answer_of_another_request_is_skipped)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
   ck_assert (!gateway_fixture_head (&f, 10, 200, "id-other", true, false));
@@ -187,7 +187,7 @@
 }
 END_TEST
 
-START_TEST (unsigned_success_is_not_passed_on)
+START_TEST (unsigned_success_is_not_relayed)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
   gateway_fixture_head (&f, 10, 200, NULL, false, false);
@@ -200,7 +200,7 @@
 
 /* Guards against lost or duplicated events when a stream is resumed at another
    upstream after its first one died within an event.  */
-START_TEST (stream_goes_on_elsewhere)
+START_TEST (stream_is_resumed_at_another_upstream)
 {
   char first[MARJORAM_ID_MAX];
 
@@ -222,7 +222,7 @@
 }
 END_TEST
 
-START_TEST (stream_that_cannot_go_on_is_cut)
+START_TEST (non_resumable_stream_is_cut)
 {
   gateway_fixture_call (&f, 0, "/digest/x");
   gateway_fixture_head (&f, 10, 200, NULL, true, false);
@@ -236,7 +236,7 @@
 
 /* Guards against waiting for an upstream that stalls without closing the
    connection.  */
-START_TEST (silent_upstream_is_left)
+START_TEST (stalled_upstream_is_abandoned)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
   gateway_fixture_head (&f, 10, 200, NULL, true, false);
@@ -251,7 +251,7 @@
 
 /* Guards against abandoning live upstreams, and cutting their streams, while
    this host is late in processing their answers.  */
-START_TEST (late_host_leaves_no_live_upstream)
+START_TEST (late_host_keeps_live_upstreams)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
   gateway_fixture_head (&f, 10, 200, NULL, true, false);
@@ -297,7 +297,7 @@
 
 /* Guards against treating a busy upstream, which delays one stream but answers
    others, as stalled.  */
-START_TEST (busy_upstream_is_not_silent)
+START_TEST (busy_upstream_is_not_stalled)
 {
   uint64_t attempts[3];
   char addresses[3][MARJORAM_ID_MAX];
@@ -326,7 +326,7 @@
 END_TEST
 
 /* Guards against cutting a stalled stream that no other upstream accepts.  */
-START_TEST (silent_upstream_is_kept_if_there_is_no_other)
+START_TEST (stalled_upstream_is_kept_without_alternative)
 {
   gateway_fixture_leave (&f, 0, "u2");
   gateway_fixture_call (&f, 0, "/ask/x");
@@ -345,7 +345,7 @@
 
 /* Guards against losing a forwarded stream: only the forwarding host may retry
    it.  */
-START_TEST (forwarded_stream_is_not_left_for_silence)
+START_TEST (forwarded_stream_is_not_abandoned)
 {
   gateway_fixture_forwarded (&f, 0, "/ask/x");
   gateway_fixture_head (&f, 10, 200, NULL, true, false);
@@ -359,7 +359,7 @@
 /* Guards against cutting a resumed stream at once because its idle time
    already exceeds the queueing limit, although a place becomes free before its
    deadline.  */
-START_TEST (stream_left_for_silence_waits_for_a_place)
+START_TEST (abandoned_stream_waits_for_a_place)
 {
   uint64_t stream;
 
@@ -417,7 +417,7 @@
 
 /* Guards against starvation of other requests by interrupted streams, which go
    first for a limited time only.  */
-START_TEST (broken_stream_goes_first_for_a_while_only)
+START_TEST (broken_stream_goes_first_for_a_limited_time)
 {
   break_stream_without_place ();
   for (int64_t now = 125; now < 1000; now += 25)
@@ -496,7 +496,7 @@
 
 /* Guards against a new request taking the place of a queued one of the same
    priority.  */
-START_TEST (newcomer_does_not_overtake)
+START_TEST (new_request_does_not_overtake)
 {
   uint64_t attempt;
 
@@ -517,7 +517,7 @@
 END_TEST
 
 /* Guards against queueing a request that cannot be served in time.  */
-START_TEST (request_that_would_wait_in_vain_is_refused_at_once)
+START_TEST (request_that_cannot_be_served_in_time_is_refused)
 {
   f.link_up = false;
   for (int i = 0; i < 2; i++)
@@ -531,7 +531,7 @@
 END_TEST
 
 /* Guards against keeping a request queued after its latest useful start.  */
-START_TEST (waiting_ends_when_a_place_is_of_no_use)
+START_TEST (queued_request_is_refused_when_too_late)
 {
   f.link_up = false;
   for (int i = 0; i < 2; i++)
@@ -547,7 +547,7 @@
 END_TEST
 
 /* Guards against abandoning a non-repeatable request before its timeout.  */
-START_TEST (silence_ends_nothing_that_may_not_repeat)
+START_TEST (non_repeatable_request_is_not_abandoned)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
   marjoram_gateway_tick (f.gateway, 1400);
@@ -584,7 +584,7 @@
 
 /* Guards against a shortened timeout cutting answers in progress while the
    change is being distributed.  */
-START_TEST (shorter_timeout_counts_after_a_while)
+START_TEST (shorter_timeout_applies_after_grace_period)
 {
   struct marjoram_route_rule routes[ROUTES_MAX];
   const struct marjoram_route_table shorter = with_timeout (routes, 400);
@@ -602,7 +602,7 @@
 END_TEST
 
 /* Guards against cutting an answer by a timeout that was since extended.  */
-START_TEST (longer_timeout_holds_at_once)
+START_TEST (longer_timeout_applies_at_once)
 {
   struct marjoram_route_rule routes[ROUTES_MAX];
   const struct marjoram_route_table shorter = with_timeout (routes, 400);
@@ -617,19 +617,19 @@
 }
 END_TEST
 
-START_TEST (caller_that_leaves_ends_the_work)
+START_TEST (caller_disconnect_cancels_attempt)
 {
   uint64_t call = gateway_fixture_call (&f, 0, "/ask/x");
 
-  marjoram_gateway_gone (f.gateway, 10, call);
+  marjoram_gateway_caller_gone (f.gateway, 10, call);
   ck_assert_int_eq (f.seen.cancels, 1);
   ck_assert_int_eq (f.seen.refusals, 0);
-  ck_assert_uint_eq (marjoram_gateway_open (f.gateway), 0);
+  ck_assert_uint_eq (marjoram_gateway_request_count (f.gateway), 0);
 }
 END_TEST
 
 /* Guards against running a request outside of its permitted regions.  */
-START_TEST (residency_sends_it_across)
+START_TEST (residency_forwards_to_permitted_region)
 {
   gateway_fixture_call (&f, 0, "/home/x");
   ck_assert_int_eq (f.seen.sends, 0);
@@ -648,7 +648,7 @@
 END_TEST
 
 /* Guards against restarting a forwarded stream from its beginning.  */
-START_TEST (far_stream_goes_on)
+START_TEST (forwarded_stream_is_resumed)
 {
   gateway_fixture_call (&f, 0, "/home/x");
   gateway_fixture_head (&f, 120, 200, NULL, true, false);
@@ -661,7 +661,7 @@
 
 /* Guards against refusing requests that no other region can serve as soon as
    the last zone of a region is evacuated.  */
-START_TEST (leaving_zone_serves_what_nothing_else_may)
+START_TEST (evacuated_zone_serves_as_last_resort)
 {
   f.link_up = false;
   f.evacuated = true;
@@ -682,7 +682,7 @@
 
 /* Guards against all forwarded requests queueing at one of a region's
    hosts.  */
-START_TEST (crossing_requests_spread_over_the_hosts)
+START_TEST (forwarded_requests_spread_over_hosts)
 {
   int to_first = 0;
 
@@ -700,7 +700,7 @@
 
 /* Guards against forwarding to hosts without a link to this one, as in large
    systems, where a host has links to a few hosts of each region only.  */
-START_TEST (only_reached_hosts_are_crossed_to)
+START_TEST (only_reachable_hosts_get_forwards)
 {
   for (int i = 0; i < 20; i++)
     {
@@ -712,9 +712,9 @@
 }
 END_TEST
 
-START_TEST (refusal_of_the_other_region_is_passed_on)
+START_TEST (refusal_of_other_region_is_relayed)
 {
-  const struct marjoram_no_answer why
+  const struct marjoram_request_failure why
       = { MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_OVERLOAD, 503, 400 };
 
   gateway_fixture_call (&f, 0, "/home/x");
@@ -726,7 +726,7 @@
 END_TEST
 
 /* Guards against forwarding loops between regions.  */
-START_TEST (forwarded_request_does_not_cross_again)
+START_TEST (forwarded_request_is_not_forwarded_again)
 {
   const struct marjoram_forwarded told = { 500, 0 };
   struct marjoram_http_request *request
@@ -743,7 +743,7 @@
 }
 END_TEST
 
-START_TEST (lost_link_is_no_refusal)
+START_TEST (lost_link_leaves_outcome_unknown)
 {
   gateway_fixture_call (&f, 0, "/home/x");
   f.link_up = false;
@@ -759,7 +759,7 @@
     {
       gateway_fixture_call (&f, i, "/get/x");
       gateway_fixture_end (&f, i, MARJORAM_HTTP_BROKEN);
-      if (marjoram_gateway_open (f.gateway) > 0)
+      if (marjoram_gateway_request_count (f.gateway) > 0)
         gateway_fixture_end (&f, i, MARJORAM_HTTP_BROKEN);
     }
   /* 20 % of the requests and this host's half of the allowance of 10.  */
@@ -813,47 +813,47 @@
 
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, request_is_served);
-  tcase_add_test (c, nothing_is_known_yet);
-  tcase_add_test (c, young_host_waits_for_its_configuration);
-  tcase_add_test (c, young_host_does_not_wait_for_long);
-  tcase_add_test (c, no_route);
-  tcase_add_test (c, what_may_not_repeat_is_not_sent_again);
-  tcase_add_test (c, what_did_not_run_is_sent_again);
-  tcase_add_test (c, idempotent_request_is_sent_again_once);
-  tcase_add_test (c, upstreams_failure);
-  tcase_add_test (c, another_requests_answer_is_skipped);
-  tcase_add_test (c, unsigned_success_is_not_passed_on);
-  tcase_add_test (c, stream_goes_on_elsewhere);
-  tcase_add_test (c, stream_that_cannot_go_on_is_cut);
-  tcase_add_test (c, silent_upstream_is_left);
-  tcase_add_test (c, late_host_leaves_no_live_upstream);
+  tcase_add_test (c, request_without_configuration_is_refused);
+  tcase_add_test (c, starting_host_waits_for_configuration);
+  tcase_add_test (c, starting_host_wait_is_bounded);
+  tcase_add_test (c, unknown_route_is_refused);
+  tcase_add_test (c, request_that_may_have_run_is_not_retried);
+  tcase_add_test (c, request_that_did_not_run_is_retried);
+  tcase_add_test (c, idempotent_request_is_retried_once);
+  tcase_add_test (c, upstream_failure_is_retried_or_relayed);
+  tcase_add_test (c, answer_of_another_request_is_skipped);
+  tcase_add_test (c, unsigned_success_is_not_relayed);
+  tcase_add_test (c, stream_is_resumed_at_another_upstream);
+  tcase_add_test (c, non_resumable_stream_is_cut);
+  tcase_add_test (c, stalled_upstream_is_abandoned);
+  tcase_add_test (c, late_host_keeps_live_upstreams);
   tcase_add_test (c, late_host_waits_for_a_first_event);
   tcase_add_test (c, late_host_finds_dead_upstreams);
-  tcase_add_test (c, busy_upstream_is_not_silent);
-  tcase_add_test (c, stream_left_for_silence_waits_for_a_place);
+  tcase_add_test (c, busy_upstream_is_not_stalled);
+  tcase_add_test (c, abandoned_stream_waits_for_a_place);
   tcase_add_test (c, broken_stream_waits_no_longer_than_its_caller);
-  tcase_add_test (c, broken_stream_goes_first_for_a_while_only);
+  tcase_add_test (c, broken_stream_goes_first_for_a_limited_time);
   tcase_add_test (c, broken_stream_waits_for_paused_upstreams);
   tcase_add_test (c, broken_stream_without_upstreams_is_cut_at_once);
-  tcase_add_test (c, silent_upstream_is_kept_if_there_is_no_other);
-  tcase_add_test (c, forwarded_stream_is_not_left_for_silence);
+  tcase_add_test (c, stalled_upstream_is_kept_without_alternative);
+  tcase_add_test (c, forwarded_stream_is_not_abandoned);
   tcase_add_test (c, request_waits_for_a_place);
-  tcase_add_test (c, newcomer_does_not_overtake);
-  tcase_add_test (c, request_that_would_wait_in_vain_is_refused_at_once);
-  tcase_add_test (c, waiting_ends_when_a_place_is_of_no_use);
-  tcase_add_test (c, silence_ends_nothing_that_may_not_repeat);
+  tcase_add_test (c, new_request_does_not_overtake);
+  tcase_add_test (c, request_that_cannot_be_served_in_time_is_refused);
+  tcase_add_test (c, queued_request_is_refused_when_too_late);
+  tcase_add_test (c, non_repeatable_request_is_not_abandoned);
   tcase_add_test (c, timeout_is_answered_on_time);
-  tcase_add_test (c, shorter_timeout_counts_after_a_while);
-  tcase_add_test (c, longer_timeout_holds_at_once);
-  tcase_add_test (c, caller_that_leaves_ends_the_work);
-  tcase_add_test (c, residency_sends_it_across);
-  tcase_add_test (c, far_stream_goes_on);
-  tcase_add_test (c, leaving_zone_serves_what_nothing_else_may);
-  tcase_add_test (c, crossing_requests_spread_over_the_hosts);
-  tcase_add_test (c, only_reached_hosts_are_crossed_to);
-  tcase_add_test (c, refusal_of_the_other_region_is_passed_on);
-  tcase_add_test (c, forwarded_request_does_not_cross_again);
-  tcase_add_test (c, lost_link_is_no_refusal);
+  tcase_add_test (c, shorter_timeout_applies_after_grace_period);
+  tcase_add_test (c, longer_timeout_applies_at_once);
+  tcase_add_test (c, caller_disconnect_cancels_attempt);
+  tcase_add_test (c, residency_forwards_to_permitted_region);
+  tcase_add_test (c, forwarded_stream_is_resumed);
+  tcase_add_test (c, evacuated_zone_serves_as_last_resort);
+  tcase_add_test (c, forwarded_requests_spread_over_hosts);
+  tcase_add_test (c, only_reachable_hosts_get_forwards);
+  tcase_add_test (c, refusal_of_other_region_is_relayed);
+  tcase_add_test (c, forwarded_request_is_not_forwarded_again);
+  tcase_add_test (c, lost_link_leaves_outcome_unknown);
   tcase_add_test (c, repeats_stay_within_the_budget);
   tcase_add_test (c, crashing_request_is_refused);
   tcase_add_test (c, innocent_request_is_not_refused);
--- a/test/test_gateway_settings.c
+++ b/test/test_gateway_settings.c
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-START_TEST (faults_are_told)
+START_TEST (faults_are_reported)
 {
   static const struct
   {
@@ -106,7 +106,7 @@
   TCase *c = tcase_create ("gateway_settings");
 
   tcase_add_test (c, entry_is_read);
-  tcase_add_test (c, faults_are_told);
+  tcase_add_test (c, faults_are_reported);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -153,8 +153,8 @@
   char name[16];
 
   snprintf (name, sizeof name, "h-%d", number);
-  marjoram_repeat_sums_list_hear (fleet->sums, fleet->now, name, &uses);
-  marjoram_repeat_sums_list_answer (fleet->sums, &uses, &sums);
+  marjoram_repeat_sums_list_update (fleet->sums, fleet->now, name, &uses);
+  marjoram_repeat_sums_list_query (fleet->sums, &uses, &sums);
 }
 
 static void
--- a/test/test_repeat_budget.c
+++ b/test/test_repeat_budget.c
@@ -33,7 +33,7 @@
         /* Eleven requests per second and host.  */
         if ((now / 10 + i) % 9 != 0)
           continue;
-        marjoram_repeat_budget_request (budgets[i], now, "lm");
+        marjoram_repeat_budget_add_request (budgets[i], now, "lm");
         requests++;
         if (marjoram_repeat_budget_take (budgets[i], now, "lm", HOSTS))
           at[taken++] = now;
@@ -83,7 +83,7 @@
   bool fails = now >= FAILS_AT_MS && number / MOVING_HOSTS % 2 == 0;
   marjoram_repeat_budget *budget = shift->budgets[host];
 
-  marjoram_repeat_budget_request (budget, now, "lm");
+  marjoram_repeat_budget_add_request (budget, now, "lm");
   shift->requests[now / STEP_MS]++;
   if (fails && marjoram_repeat_budget_take (budget, now, "lm", MOVING_HOSTS))
     shift->repeats[now / STEP_MS]++;
@@ -98,12 +98,12 @@
   struct marjoram_repeat_sums sums = { 0, { answered, 0 } };
   char name[16];
 
-  reported.count = marjoram_repeat_budget_uses (
+  reported.count = marjoram_repeat_budget_report (
       shift->budgets[host], now, uses, MARJORAM_REPEAT_USES_MAX);
   snprintf (name, sizeof name, "h-%d", host);
-  marjoram_repeat_sums_list_hear (shift->keeper, now, name, &reported);
-  marjoram_repeat_sums_list_answer (shift->keeper, &reported, &sums);
-  marjoram_repeat_budget_hear (shift->budgets[host], now, &sums);
+  marjoram_repeat_sums_list_update (shift->keeper, now, name, &reported);
+  marjoram_repeat_sums_list_query (shift->keeper, &reported, &sums);
+  marjoram_repeat_budget_apply_sums (shift->budgets[host], now, &sums);
 }
 
 static void
@@ -159,21 +159,21 @@
 END_TEST
 
 /* Guards against a host being limited by sums that have expired.  */
-START_TEST (sums_that_are_old_do_not_bind)
+START_TEST (expired_sums_do_not_bind)
 {
   marjoram_repeat_budget *budget = marjoram_repeat_budget_create (&terms);
   struct marjoram_repeat_use full = { (char *)"lm", 0, 1000, false };
   const struct marjoram_repeat_sums sums = { 1, { &full, 1 } };
 
   ck_assert (marjoram_repeat_budget_take (budget, 0, "lm", 1));
-  marjoram_repeat_budget_hear (budget, 100, &sums);
+  marjoram_repeat_budget_apply_sums (budget, 100, &sums);
   ck_assert (!marjoram_repeat_budget_take (budget, 200, "lm", 1));
   ck_assert (marjoram_repeat_budget_take (budget, 1200, "lm", 1));
   marjoram_repeat_budget_destroy (budget);
 }
 END_TEST
 
-START_TEST (sums_follow_what_hosts_tell_and_forget_the_silent)
+START_TEST (sums_follow_reports_and_expire)
 {
   marjoram_repeat_sums_list *list = marjoram_repeat_sums_list_create ();
   struct marjoram_repeat_use first = { (char *)"lm", 10, 4, true };
@@ -183,26 +183,26 @@
   struct marjoram_array a = { &first, 1 };
   struct marjoram_array b = { &second, 1 };
 
-  marjoram_repeat_sums_list_hear (list, 0, "a", &a);
-  marjoram_repeat_sums_list_hear (list, 0, "b", &b);
-  marjoram_repeat_sums_list_answer (list, &b, &sums);
+  marjoram_repeat_sums_list_update (list, 0, "a", &a);
+  marjoram_repeat_sums_list_update (list, 0, "b", &b);
+  marjoram_repeat_sums_list_query (list, &b, &sums);
   ck_assert_uint_eq (sums.items.count, 0);
   first.repeats = 6;
-  marjoram_repeat_sums_list_hear (list, 9000, "a", &a);
-  marjoram_repeat_sums_list_answer (list, &a, &sums);
+  marjoram_repeat_sums_list_update (list, 9000, "a", &a);
+  marjoram_repeat_sums_list_query (list, &a, &sums);
   ck_assert_uint_eq (sums.items.count, 1);
   ck_assert_uint_eq (sums.hosts, 2);
   ck_assert_uint_eq (answered[0].requests, 30);
   ck_assert_uint_eq (answered[0].repeats, 11);
-  marjoram_repeat_sums_list_hear (list, 10001, "a", &a);
-  marjoram_repeat_sums_list_answer (list, &a, &sums);
+  marjoram_repeat_sums_list_update (list, 10001, "a", &a);
+  marjoram_repeat_sums_list_query (list, &a, &sums);
   ck_assert_uint_eq (sums.hosts, 1);
   ck_assert_uint_eq (answered[0].requests, 10);
   marjoram_repeat_sums_list_destroy (list);
 }
 END_TEST
 
-START_TEST (services_have_their_own)
+START_TEST (services_have_separate_budgets)
 {
   marjoram_repeat_budget *budget = marjoram_repeat_budget_create (&terms);
   int taken = 0;
@@ -225,9 +225,9 @@
 
   tcase_add_test (c, sum_of_all_hosts_stays_within_the_bound);
   tcase_add_test (c, load_that_moves_between_hosts_stays_within_the_bound);
-  tcase_add_test (c, sums_that_are_old_do_not_bind);
-  tcase_add_test (c, sums_follow_what_hosts_tell_and_forget_the_silent);
-  tcase_add_test (c, services_have_their_own);
+  tcase_add_test (c, expired_sums_do_not_bind);
+  tcase_add_test (c, sums_follow_reports_and_expire);
+  tcase_add_test (c, services_have_separate_budgets);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -46,7 +46,7 @@
   report_context->cluster->reports++;
   for (int i = 0; i < HOSTS; i++)
     if (i != report_context->host)
-      marjoram_suspects_learn (report_context->cluster->hosts[i],
+      marjoram_suspects_apply (report_context->cluster->hosts[i],
                                report_context->cluster->now, message);
 }
 
@@ -175,7 +175,7 @@
 }
 END_TEST
 
-START_TEST (learns_the_worse_and_forgets_in_time)
+START_TEST (higher_suspicion_wins_and_expires)
 {
   struct cluster c;
   struct report_context links[HOSTS];
@@ -183,13 +183,13 @@
       = { .digest = (char *)"K", .suspicion = MARJORAM_SUSPICION_CONVICTED };
 
   open_cluster (&c, links);
-  marjoram_suspects_learn (c.hosts[0], c.now, &message);
+  marjoram_suspects_apply (c.hosts[0], c.now, &message);
   message.suspicion = MARJORAM_SUSPICION_SUSPECT;
-  marjoram_suspects_learn (c.hosts[0], c.now, &message);
+  marjoram_suspects_apply (c.hosts[0], c.now, &message);
   ck_assert (convicted (&c, 0, "K"));
   message.suspicion = MARJORAM_SUSPICION_NONE;
   message.digest = (char *)"N";
-  marjoram_suspects_learn (c.hosts[0], c.now, &message);
+  marjoram_suspects_apply (c.hosts[0], c.now, &message);
   start (&c, 0, "u1", "A");
   end (&c, 0, "u1", "A");
   end (&c, 0, "u1", "A");
@@ -203,17 +203,17 @@
 END_TEST
 
 /* Guards against a dead host's suspect blocking an upstream forever.  */
-START_TEST (mark_of_a_dead_host_expires)
+START_TEST (run_of_a_dead_host_expires)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (DAY_MS);
   struct marjoram_suspect_message message
       = { .digest = (char *)"K", .suspicion = MARJORAM_SUSPICION_SUSPECT };
 
-  marjoram_suspects_learn (suspects, 1, &message);
+  marjoram_suspects_apply (suspects, 1, &message);
   message.digest = (char *)"A";
   message.upstream = (char *)"u";
   message.running = true;
-  marjoram_suspects_learn (suspects, 1, &message);
+  marjoram_suspects_apply (suspects, 1, &message);
   ck_assert (!marjoram_suspects_may_start (suspects, 2, "u", "K"));
   ck_assert (marjoram_suspects_may_start (suspects, HOUR_MS, "u", "K"));
   marjoram_suspects_destroy (suspects);
@@ -288,7 +288,7 @@
 
 /* Property test: whatever the order of events, a request that crashes each
    upstream is convicted after two crashes, and no other request is.  */
-START_TEST (killer_is_found_in_two_deaths)
+START_TEST (crashing_request_is_found_in_two_crashes)
 {
   for (int seed = 1; seed <= SEEDS; seed++)
     {
@@ -344,10 +344,10 @@
 
   tcase_add_test (c, second_death_convicts_exactly_one);
   tcase_add_test (c, two_suspects_at_one_death_are_not_convicted);
-  tcase_add_test (c, learns_the_worse_and_forgets_in_time);
-  tcase_add_test (c, mark_of_a_dead_host_expires);
+  tcase_add_test (c, higher_suspicion_wins_and_expires);
+  tcase_add_test (c, run_of_a_dead_host_expires);
   tcase_add_test (c, memory_is_bounded);
-  tcase_add_test (c, killer_is_found_in_two_deaths);
+  tcase_add_test (c, crashing_request_is_found_in_two_crashes);
   tcase_set_timeout (c, TEST_SECONDS);
   suite_add_tcase (s, c);
   return s;
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -26,7 +26,7 @@
 
   made.service = service;
   made.start_by = start_by;
-  made.sort_key = marjoram_wait_queue_turn (priority, start_by);
+  made.sort_key = marjoram_wait_queue_sort_key (priority, start_by);
   made.tokens = tokens;
   return made;
 }
@@ -49,7 +49,7 @@
 
 /* Guards against starvation of low-priority requests by a steady flow of
    urgent ones.  */
-START_TEST (low_rank_does_not_starve)
+START_TEST (low_priority_does_not_starve)
 {
   struct marjoram_waiter low = waiter ("lm", 1, 1000, 1);
   struct marjoram_waiter newcomer = waiter ("lm", 0, 2100, 1);
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-START_TEST (tokens_ahead_are_those_of_the_service_that_go_before)
+START_TEST (tokens_before_counts_one_service)
 {
   struct marjoram_waiter first = waiter ("lm", 0, 1000, 300);
   struct marjoram_waiter other = waiter ("app", 0, 1000, 50);
@@ -69,11 +69,13 @@
   marjoram_wait_queue_add (queue, &first);
   marjoram_wait_queue_add (queue, &other);
   marjoram_wait_queue_add (queue, &last);
-  ck_assert_int_eq (marjoram_wait_queue_ahead (queue, "lm", 1500), 300);
-  ck_assert_int_eq (marjoram_wait_queue_ahead (queue, "lm", 2500), 800);
+  ck_assert_int_eq (marjoram_wait_queue_tokens_before (queue, "lm", 1500),
+                    300);
+  ck_assert_int_eq (marjoram_wait_queue_tokens_before (queue, "lm", 2500),
+                    800);
   marjoram_wait_queue_remove (queue, &first);
   marjoram_wait_queue_remove (queue, &first);
-  ck_assert_int_eq (marjoram_wait_queue_ahead (queue, "lm", 1500), 0);
+  ck_assert_int_eq (marjoram_wait_queue_tokens_before (queue, "lm", 1500), 0);
 }
 END_TEST
 
@@ -85,8 +87,8 @@
 
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, urgent_goes_first_then_less_time_left);
-  tcase_add_test (c, low_rank_does_not_starve);
-  tcase_add_test (c, tokens_ahead_are_those_of_the_service_that_go_before);
+  tcase_add_test (c, low_priority_does_not_starve);
+  tcase_add_test (c, tokens_before_counts_one_service);
   suite_add_tcase (s, c);
   return s;
 }
