--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -144,10 +144,11 @@
       marjoram_router_choose (node->router, *now, &query, &choice);
       if (choice.verdict != MARJORAM_VERDICT_LOCAL)
         continue;
-      marjoram_members_started (node->members, choice.upstream);
-      marjoram_members_ended (node->members, *now, choice.upstream, false);
-      marjoram_router_measured (node->router, *now, choice.upstream, &query,
-                                100, 2500, 60);
+      marjoram_members_request_started (node->members, choice.upstream);
+      marjoram_members_request_ended (node->members, *now, choice.upstream,
+                                      false);
+      marjoram_router_record_latency (node->router, *now, choice.upstream,
+                                      &query, 100, 2500, 60);
     }
   return (now_ns () - start) / DECISIONS;
 }
@@ -340,7 +341,7 @@
           }
         for (int k = 0; k < 500 * callers[i]; k++)
           marjoram_router_admit (node.router, 1, k % callers[i], &retry_ms);
-        marjoram_router_offer (node.router, 1, 1, &offers);
+        marjoram_router_build_offers (node.router, 1, 1, &offers);
         snprintf (name, sizeof name, "bytes_offers_works_%d_callers",
                   works[j]);
         print_size (name, callers[i], MARJORAM_FRAME_OFFERS, &offers);
@@ -419,7 +420,7 @@
         {
           struct marjoram_offers offers;
 
-          marjoram_router_offer (node.router, j, 1 + j % 17, &offers);
+          marjoram_router_build_offers (node.router, j, 1 + j % 17, &offers);
           marjoram_wire_clear (&marjoram_offers_layout, &offers);
         }
       print ("offer_time_works", works[i], (now_ns () - start) / 1000, "ns");
--- a/src/answer.c
+++ b/src/answer.c
@@ -198,10 +198,10 @@
     return;
   marjoram_attempt_query (host, request, &query);
   if (query.caller >= 0 && query.work >= 0)
-    marjoram_router_measured (host->router, now, request->upstream, &query,
-                              request->first_byte - request->attempt_started,
-                              now - request->attempt_started,
-                              request->call->answer_tokens);
+    marjoram_router_record_latency (
+        host->router, now, request->upstream, &query,
+        request->first_byte - request->attempt_started,
+        now - request->attempt_started, request->call->answer_tokens);
 }
 
 void
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -16,11 +16,12 @@
   HASH_DELETE (by_attempt, host->requests->by_attempt, request);
   request->attempt = 0;
   if (request->state == MARJORAM_REQUEST_REMOTE)
-    marjoram_router_returned (host->router, now, request->remote_zone,
-                              request->work, failed);
+    marjoram_router_forward_ended (host->router, now, request->remote_zone,
+                                   request->work, failed);
   else
     {
-      marjoram_members_ended (host->members, now, request->upstream, failed);
+      marjoram_members_request_ended (host->members, now, request->upstream,
+                                      failed);
       marjoram_suspects_ended (host->suspects, now, request->upstream,
                                request->digest);
     }
@@ -90,7 +91,7 @@
   snprintf (request->address, sizeof request->address, "%s",
             upstream->announcement->address);
   request->can_resume = upstream->announcement->engine;
-  marjoram_members_started (host->members, request->upstream);
+  marjoram_members_request_started (host->members, request->upstream);
   marjoram_suspects_started (host->suspects, now, request->upstream,
                              request->digest);
   if (marjoram_suspects_get (host->suspects, now, request->digest)
@@ -135,7 +136,7 @@
   q->prefix_hash = call->prefix_hash;
   q->digest = request->digest;
   q->forwarded = request->peer != NULL;
-  q->homeless = request->homeless;
+  q->no_local_upstream = request->no_local_upstream;
   q->tried_count = request->tried_count;
   for (int i = 0; i < request->tried_count; i++)
     q->tried[i] = request->tried[i];
@@ -208,7 +209,7 @@
       run_locally (host, now, request, &choice);
       return;
     case MARJORAM_VERDICT_FORWARD:
-      request->homeless = choice.homeless;
+      request->no_local_upstream = choice.no_local_upstream;
       marjoram_forward_send (host, now, request, choice.zone, false);
       return;
     case MARJORAM_VERDICT_REFUSE:
--- a/src/choose.c
+++ b/src/choose.c
@@ -146,8 +146,8 @@
 }
 
 double
-marjoram_chooser_alone_ms (const marjoram_chooser *chooser,
-                           const struct marjoram_query *query)
+marjoram_chooser_unloaded_ms (const marjoram_chooser *chooser,
+                              const struct marjoram_query *query)
 {
   return unloaded_ms (
       chooser, marjoram_pools_get (chooser->pools, query->work), query, false);
@@ -321,9 +321,10 @@
       && chooser->peer_weight > 0)
     return;
   chooser->peer_weight_updated = now;
-  chooser->peer_weight = marjoram_members_hosts (chooser->members, now) > 1
-                             ? PEER_LOAD_WEIGHT
-                             : 1;
+  chooser->peer_weight
+      = marjoram_members_count_hosts (chooser->members, now) > 1
+            ? PEER_LOAD_WEIGHT
+            : 1;
 }
 
 static bool
@@ -372,7 +373,7 @@
 }
 
 const struct marjoram_room *
-marjoram_chooser_room (marjoram_chooser *chooser, int64_t now, int work)
+marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work)
 {
   struct marjoram_pool *pool = marjoram_pools_get (chooser->pools, work);
   struct marjoram_room *room = &pool->room;
@@ -430,10 +431,11 @@
 }
 
 void
-marjoram_chooser_measured (marjoram_chooser *chooser, int64_t now,
-                           const char *upstream,
-                           const struct marjoram_query *query,
-                           int64_t first_ms, int64_t whole_ms, uint64_t tokens)
+marjoram_chooser_record_latency (marjoram_chooser *chooser, int64_t now,
+                                 const char *upstream,
+                                 const struct marjoram_query *query,
+                                 int64_t first_ms, int64_t whole_ms,
+                                 uint64_t tokens)
 {
   struct marjoram_pool *pool
       = marjoram_pools_get (chooser->pools, query->work);
--- a/src/choose.h
+++ b/src/choose.h
@@ -35,16 +35,16 @@
                             const struct marjoram_query *query,
                             struct marjoram_pick *pick);
 /* The result is cached for a short time.  */
-const struct marjoram_room *marjoram_chooser_room (marjoram_chooser *chooser,
-                                                   int64_t now, int work);
+const struct marjoram_room *
+marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work);
 /* Estimated time of QUERY at an idle upstream with a cold cache.  */
-double marjoram_chooser_alone_ms (const marjoram_chooser *chooser,
-                                  const struct marjoram_query *query);
-void marjoram_chooser_measured (marjoram_chooser *chooser, int64_t now,
-                                const char *upstream,
-                                const struct marjoram_query *query,
-                                int64_t first_ms, int64_t whole_ms,
-                                uint64_t tokens);
+double marjoram_chooser_unloaded_ms (const marjoram_chooser *chooser,
+                                     const struct marjoram_query *query);
+void marjoram_chooser_record_latency (marjoram_chooser *chooser, int64_t now,
+                                      const char *upstream,
+                                      const struct marjoram_query *query,
+                                      int64_t first_ms, int64_t whole_ms,
+                                      uint64_t tokens);
 /* Calls VISIT with the estimate of each upstream that runs QUERY's work.  */
 void marjoram_chooser_visit (marjoram_chooser *chooser, int64_t now,
                              const struct marjoram_query *query,
--- a/src/fair.c
+++ b/src/fair.c
@@ -19,7 +19,7 @@
   int64_t updated;
 };
 
-struct marjoram_fair
+struct marjoram_fair_share
 {
   marjoram_config *config;
   struct usage *usages;
@@ -29,14 +29,14 @@
   int64_t totals_updated;
 };
 
-marjoram_fair *
-marjoram_fair_create (void)
+marjoram_fair_share *
+marjoram_fair_share_create (void)
 {
-  return marjoram_alloc (sizeof (struct marjoram_fair));
+  return marjoram_alloc (sizeof (struct marjoram_fair_share));
 }
 
 void
-marjoram_fair_destroy (marjoram_fair *fair)
+marjoram_fair_share_destroy (marjoram_fair_share *fair)
 {
   if (!fair)
     return;
@@ -46,7 +46,8 @@
 }
 
 void
-marjoram_fair_configure (marjoram_fair *fair, marjoram_config *config)
+marjoram_fair_share_configure (marjoram_fair_share *fair,
+                               marjoram_config *config)
 {
   int count = marjoram_config_caller_count (config);
   struct usage *usages = marjoram_alloc (((size_t)count + 1) * sizeof *usages);
@@ -79,7 +80,7 @@
 
 /* Cached, since it iterates over all callers.  */
 static void
-update_totals (marjoram_fair *fair, int64_t now)
+update_totals (marjoram_fair_share *fair, int64_t now)
 {
   if (now < fair->totals_updated + TOTALS_CACHE_MS && fair->total_weight > 0)
     return;
@@ -100,8 +101,8 @@
 /* Updates the totals too: if they were stale, a lone caller would exceed its
    share after a few requests.  */
 void
-marjoram_fair_used (marjoram_fair *fair, int64_t now, int caller,
-                    double work_ms)
+marjoram_fair_share_record (marjoram_fair_share *fair, int64_t now, int caller,
+                            double work_ms)
 {
   struct usage *usage = &fair->usages[caller];
   double before = decayed_ms (usage, now);
@@ -115,7 +116,7 @@
 }
 
 double
-marjoram_fair_excess (marjoram_fair *fair, int64_t now, int caller)
+marjoram_fair_share_excess (marjoram_fair_share *fair, int64_t now, int caller)
 {
   double weight = marjoram_config_caller (fair->config, caller)->weight;
   double own = decayed_ms (&fair->usages[caller], now);
--- a/src/forward.c
+++ b/src/forward.c
@@ -34,7 +34,7 @@
   f->suspicion = marjoram_suspects_get (host->suspects, now, request->digest);
   f->stream = call->stream;
   f->claim_here = claim_there;
-  f->homeless = request->homeless;
+  f->no_local_upstream = request->no_local_upstream;
 }
 
 /* Whether the request may run in ZONE by the configuration in force.  */
@@ -85,7 +85,7 @@
   request->remote_incarnation = link->incarnation;
   request->remote_session = link->session;
   fill_forward (host, now, request, claim_there, &forward);
-  marjoram_router_sent (host->router, now, zone, request->work);
+  marjoram_router_forward_started (host->router, now, zone, request->work);
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_FORWARDED_OUT, 1);
   marjoram_log (MARJORAM_LOG_DEBUG, "%s: to host %s", request->id, link->slot);
   host->ops->send (host->context, link->slot, MARJORAM_FRAME_FORWARD,
--- a/src/frame.c
+++ b/src/frame.c
@@ -98,7 +98,7 @@
   { MARJORAM_WIRE_UINT (struct marjoram_forward, suspicion) },
   { MARJORAM_WIRE_BOOL (struct marjoram_forward, stream) },
   { MARJORAM_WIRE_BOOL (struct marjoram_forward, claim_here) },
-  { MARJORAM_WIRE_BOOL (struct marjoram_forward, homeless) },
+  { MARJORAM_WIRE_BOOL (struct marjoram_forward, no_local_upstream) },
   { MARJORAM_WIRE_INT (struct marjoram_forward, useful_ms) },
 };
 LAYOUT (forward_layout, marjoram_forward, forward_fields);
--- a/src/frame.h
+++ b/src/frame.h
@@ -130,8 +130,8 @@
   uint64_t config_number;
   uint64_t suspicion; /* enum marjoram_suspicion */
   bool stream;
-  bool claim_here; /* the receiver's zone guards the key */
-  bool homeless;   /* the sender's zone has no upstream for it */
+  bool claim_here;        /* the receiver's zone guards the key */
+  bool no_local_upstream; /* the sender's zone has no upstream for it */
   /* Left until a first event is late; 0 if this is not known.  */
   int64_t useful_ms;
 };
--- a/src/host.c
+++ b/src/host.c
@@ -102,9 +102,9 @@
 
   if (index < 0)
     return;
-  marjoram_router_offer (host->router, now,
-                         marjoram_config_slot (host->config, index)->zone,
-                         &offers);
+  marjoram_router_build_offers (
+      host->router, now, marjoram_config_slot (host->config, index)->zone,
+      &offers);
   marjoram_link_send_any (host, slot, MARJORAM_FRAME_OFFERS, &offers);
   marjoram_wire_clear (&marjoram_offers_layout, &offers);
 }
--- a/src/host_peer.c
+++ b/src/host_peer.c
@@ -84,8 +84,9 @@
 
   marjoram_link_heartbeat (host, now, slot, session, heartbeat);
   if (ordinal >= 0)
-    marjoram_members_heard (host->members, now, ordinal,
-                            heartbeat->incarnation, heartbeat->draining);
+    marjoram_members_record_heartbeat (host->members, now, ordinal,
+                                       heartbeat->incarnation,
+                                       heartbeat->draining);
   marjoram_spread_heard (host->spread, now, slot, heartbeat->config_number);
   if (host->keeper && heartbeat->config_number > 0)
     marjoram_keeper_heard (host->keeper, heartbeat->config_number);
@@ -127,8 +128,8 @@
   const struct marjoram_link *link = marjoram_link_find (host, slot);
   int64_t round_trip = link ? link->round_trip_ms : -1;
 
-  marjoram_router_learn (host->router, now, offers,
-                         round_trip < 0 ? 0 : round_trip / 2);
+  marjoram_router_process_offers (host->router, now, offers,
+                                  round_trip < 0 ? 0 : round_trip / 2);
 }
 
 void
--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -44,7 +44,7 @@
                              const char *upstream)
 {
   marjoram_log (MARJORAM_LOG_WARNING, "upstream %s died", upstream);
-  marjoram_members_died (host->members, now, upstream);
+  marjoram_members_mark_dead (host->members, now, upstream);
   marjoram_suspects_died (host->suspects, now, upstream,
                           marjoram_host_report_suspect, host);
 }
@@ -143,7 +143,7 @@
   switch (failure)
     {
     case MARJORAM_RUN_UNSENT:
-      marjoram_members_died (host->members, now, request->upstream);
+      marjoram_members_mark_dead (host->members, now, request->upstream);
       marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                                MARJORAM_REASON_UPSTREAM_FAILED, 0, false);
       break;
--- a/src/limit.c
+++ b/src/limit.c
@@ -356,8 +356,9 @@
 }
 
 void
-marjoram_limits_learn (marjoram_limits *limits, int64_t now, int zone,
-                       int ordinal, const struct marjoram_array *usages)
+marjoram_limits_process_report (marjoram_limits *limits, int64_t now, int zone,
+                                int ordinal,
+                                const struct marjoram_array *usages)
 {
   bool own_zone = zone == limits->zone;
   struct source *source;
--- a/src/limit.h
+++ b/src/limit.h
@@ -41,7 +41,8 @@
 void marjoram_limits_report (marjoram_limits *limits, int64_t now,
                              bool own_zone, struct marjoram_array *usages);
 /* ORDINAL is only used for the own zone.  */
-void marjoram_limits_learn (marjoram_limits *limits, int64_t now, int zone,
-                            int ordinal, const struct marjoram_array *usages);
+void marjoram_limits_process_report (marjoram_limits *limits, int64_t now,
+                                     int zone, int ordinal,
+                                     const struct marjoram_array *usages);
 
 #endif
--- a/src/member.c
+++ b/src/member.c
@@ -231,7 +231,8 @@
 }
 
 static int64_t
-lease_duration (const struct marjoram_announcement *announcement, bool learnt)
+lease_duration (const struct marjoram_announcement *announcement,
+                bool from_peer)
 {
   uint64_t lease = announcement->lease_ms;
 
@@ -239,7 +240,7 @@
     return MARJORAM_LEASE_MAX_MS;
   /* A relayed lease is the remainder of the original and must not be
      extended.  */
-  if (!learnt && lease < MARJORAM_LEASE_MIN_MS)
+  if (!from_peer && lease < MARJORAM_LEASE_MIN_MS)
     return MARJORAM_LEASE_MIN_MS;
   return (int64_t)lease;
 }
@@ -278,7 +279,7 @@
 enum marjoram_announce_result
 marjoram_members_announce (marjoram_members *members, int64_t now,
                            const struct marjoram_announcement *announcement,
-                           bool learnt)
+                           bool from_peer)
 {
   struct member *member;
   bool is_new;
@@ -296,7 +297,7 @@
     update_member (members, now, member, announcement);
   else
     member = add_member (members, now, announcement);
-  member->view.expires = now + lease_duration (announcement, learnt);
+  member->view.expires = now + lease_duration (announcement, from_peer);
   member->view.reported = now;
   member->view.started = 0;
   member->view.finished = 0;
@@ -358,7 +359,7 @@
 }
 
 void
-marjoram_members_started (marjoram_members *members, const char *name)
+marjoram_members_request_started (marjoram_members *members, const char *name)
 {
   struct member *member = find_member (members, name);
 
@@ -369,8 +370,8 @@
 }
 
 void
-marjoram_members_ended (marjoram_members *members, int64_t now,
-                        const char *name, bool failed)
+marjoram_members_request_ended (marjoram_members *members, int64_t now,
+                                const char *name, bool failed)
 {
   struct member *member = find_member (members, name);
 
@@ -439,8 +440,8 @@
 }
 
 void
-marjoram_members_died (marjoram_members *members, int64_t now,
-                       const char *name)
+marjoram_members_mark_dead (marjoram_members *members, int64_t now,
+                            const char *name)
 {
   struct member *member = find_member (members, name);
 
@@ -473,8 +474,9 @@
 }
 
 void
-marjoram_members_heard (marjoram_members *members, int64_t now, int ordinal,
-                        uint64_t incarnation, bool draining)
+marjoram_members_record_heartbeat (marjoram_members *members, int64_t now,
+                                   int ordinal, uint64_t incarnation,
+                                   bool draining)
 {
   struct host *host;
 
@@ -510,7 +512,7 @@
 }
 
 int
-marjoram_members_hosts (const marjoram_members *members, int64_t now)
+marjoram_members_count_hosts (const marjoram_members *members, int64_t now)
 {
   int count = 0;
 
--- a/src/member.h
+++ b/src/member.h
@@ -87,7 +87,7 @@
 enum marjoram_announce_result
 marjoram_members_announce (marjoram_members *members, int64_t now,
                            const struct marjoram_announcement *announcement,
-                           bool learnt);
+                           bool from_peer);
 /* Processes an announcement received from the upstream itself or relayed by
    another host of the zone.  The lease starts at NOW by this host's clock.  */
 const struct marjoram_upstream *
@@ -110,9 +110,10 @@
 const struct marjoram_upstream *
 marjoram_members_at (const marjoram_members *members, size_t index);
 /* Records the start or end of a request at an upstream.  */
-void marjoram_members_started (marjoram_members *members, const char *name);
-void marjoram_members_ended (marjoram_members *members, int64_t now,
-                             const char *name, bool failed);
+void marjoram_members_request_started (marjoram_members *members,
+                                       const char *name);
+void marjoram_members_request_ended (marjoram_members *members, int64_t now,
+                                     const char *name, bool failed);
 /* Ejects the upstream for a time that doubles with each ejection.  Returns
    false, with no effect, if too many upstreams that share a work are already
    ejected or dead: a fault that all replicas show is unlikely to be their
@@ -121,8 +122,8 @@
                              const char *name);
 /* Marks the upstream as dead until a newer incarnation or a later sequence is
    announced.  */
-void marjoram_members_died (marjoram_members *members, int64_t now,
-                            const char *name);
+void marjoram_members_mark_dead (marjoram_members *members, int64_t now,
+                                 const char *name);
 /* Removes long-expired upstreams, and calls EXPIRED for each upstream whose
    lease has just ended.  */
 void marjoram_members_tick (marjoram_members *members, int64_t now,
@@ -130,10 +131,12 @@
                             void *context);
 
 /* Number of live entry hosts that are not draining, including this one.  */
-int marjoram_members_hosts (const marjoram_members *members, int64_t now);
+int marjoram_members_count_hosts (const marjoram_members *members,
+                                  int64_t now);
 /* Records a heartbeat of an entry host.  */
-void marjoram_members_heard (marjoram_members *members, int64_t now,
-                             int ordinal, uint64_t incarnation, bool draining);
+void marjoram_members_record_heartbeat (marjoram_members *members, int64_t now,
+                                        int ordinal, uint64_t incarnation,
+                                        bool draining);
 bool marjoram_members_host_alive (const marjoram_members *members, int64_t now,
                                   int ordinal);
 bool marjoram_members_host_draining (const marjoram_members *members,
--- a/src/offer.c
+++ b/src/offer.c
@@ -42,7 +42,7 @@
   uint32_t failures;
 };
 
-struct marjoram_loans
+struct marjoram_offer_table
 {
   marjoram_random *random;
   marjoram_config *config;
@@ -52,17 +52,17 @@
   int work_count;
 };
 
-marjoram_loans *
-marjoram_loans_create (marjoram_random *random)
+marjoram_offer_table *
+marjoram_offer_table_create (marjoram_random *random)
 {
-  marjoram_loans *loans = marjoram_alloc (sizeof *loans);
+  marjoram_offer_table *loans = marjoram_alloc (sizeof *loans);
 
   loans->random = random;
   return loans;
 }
 
 void
-marjoram_loans_destroy (marjoram_loans *loans)
+marjoram_offer_table_destroy (marjoram_offer_table *loans)
 {
   if (!loans)
     return;
@@ -72,13 +72,13 @@
 }
 
 static struct entry *
-get_entry (const marjoram_loans *loans, int zone, int work)
+get_entry (const marjoram_offer_table *loans, int zone, int work)
 {
   return &loans->entries[zone * loans->work_count + work];
 }
 
 static void
-carry_over (const marjoram_loans *loans, marjoram_config *config,
+carry_over (const marjoram_offer_table *loans, marjoram_config *config,
             struct entry *entries, int zone, int work)
 {
   int old_zone = marjoram_config_find_zone (
@@ -92,8 +92,8 @@
 }
 
 void
-marjoram_loans_configure (marjoram_loans *loans, marjoram_config *config,
-                          int zone)
+marjoram_offer_table_configure (marjoram_offer_table *loans,
+                                marjoram_config *config, int zone)
 {
   int zones = marjoram_config_zone_count (config);
   int works = marjoram_config_work_count (config);
@@ -135,8 +135,9 @@
 }
 
 void
-marjoram_loans_learn (marjoram_loans *loans, int64_t now, int zone,
-                      const struct marjoram_array *offers, int64_t link_ms)
+marjoram_offer_table_update (marjoram_offer_table *loans, int64_t now,
+                             int zone, const struct marjoram_array *offers,
+                             int64_t link_ms)
 {
   const struct marjoram_offer *items = offers->items;
 
@@ -152,7 +153,7 @@
 }
 
 static bool
-in_regions (const marjoram_loans *loans, int zone, uint64_t regions)
+in_regions (const marjoram_offer_table *loans, int zone, uint64_t regions)
 {
   return regions >> marjoram_config_zone (loans->config, zone)->region & 1;
 }
@@ -160,10 +161,12 @@
 /* Whether one more request may be sent there.  Work without a local upstream
    may exceed the offered capacity, but not max_in_flight.  */
 static bool
-accepts_request (const struct entry *entry, int64_t now, bool homeless)
+accepts_request (const struct entry *entry, int64_t now,
+                 bool no_local_upstream)
 {
-  bool room = homeless ? entry->upstreams > 0
-                       : entry->sent_since_offer < (int64_t)entry->room;
+  bool room = no_local_upstream
+                  ? entry->upstreams > 0
+                  : entry->sent_since_offer < (int64_t)entry->room;
 
   return now < entry->expires && now >= entry->backoff_until
          && entry->in_flight < entry->max_in_flight && room;
@@ -190,15 +193,16 @@
 }
 
 void
-marjoram_loans_best (marjoram_loans *loans, int64_t now,
-                     const struct marjoram_query *query, uint64_t regions,
-                     double unloaded_ms, bool homeless,
-                     struct marjoram_loan *best)
+marjoram_offer_table_find_best (marjoram_offer_table *loans, int64_t now,
+                                const struct marjoram_query *query,
+                                uint64_t regions, double unloaded_ms,
+                                bool no_local_upstream,
+                                struct marjoram_zone_estimate *best)
 {
   int start = (int)marjoram_random_below (
       loans->random, (uint32_t)(loans->zone_count ? loans->zone_count : 1));
 
-  *best = (struct marjoram_loan){ -1, HUGE_VAL };
+  *best = (struct marjoram_zone_estimate){ -1, HUGE_VAL };
   for (int i = 0; i < loans->zone_count; i++)
     {
       int zone = (start + i) % loans->zone_count;
@@ -207,18 +211,18 @@
 
       if (zone == loans->zone || !in_regions (loans, zone, regions)
           || zone_tried (query, zone)
-          || !accepts_request (entry, now, homeless))
+          || !accepts_request (entry, now, no_local_upstream))
         continue;
       total = 2 * (double)entry->link_ms + (double)entry->wait_ms + unloaded_ms
               + excess_queue_ms (entry, unloaded_ms);
       if (total < best->total_ms)
-        *best = (struct marjoram_loan){ zone, total };
+        *best = (struct marjoram_zone_estimate){ zone, total };
     }
 }
 
 bool
-marjoram_loans_known (const marjoram_loans *loans, int64_t now, int work,
-                      uint64_t regions)
+marjoram_offer_table_has_upstreams (const marjoram_offer_table *loans,
+                                    int64_t now, int work, uint64_t regions)
 {
   for (int i = 0; i < loans->zone_count; i++)
     {
@@ -232,8 +236,8 @@
 }
 
 bool
-marjoram_loans_room (const marjoram_loans *loans, int64_t now, int work,
-                     uint64_t regions)
+marjoram_offer_table_has_capacity (const marjoram_offer_table *loans,
+                                   int64_t now, int work, uint64_t regions)
 {
   for (int i = 0; i < loans->zone_count; i++)
     if (i != loans->zone && in_regions (loans, i, regions)
@@ -243,7 +247,8 @@
 }
 
 void
-marjoram_loans_sent (marjoram_loans *loans, int64_t now, int zone, int work)
+marjoram_offer_table_request_sent (marjoram_offer_table *loans, int64_t now,
+                                   int zone, int work)
 {
   struct entry *entry = get_entry (loans, zone, work);
 
@@ -255,8 +260,8 @@
 /* Exponential backoff from a zone whose offers are wrong or whose requests
    fail.  */
 void
-marjoram_loans_returned (marjoram_loans *loans, int64_t now, int zone,
-                         int work, bool failed)
+marjoram_offer_table_request_ended (marjoram_offer_table *loans, int64_t now,
+                                    int zone, int work, bool failed)
 {
   struct entry *entry = get_entry (loans, zone, work);
   uint32_t doublings = entry->failures < MAX_BACKOFF_DOUBLINGS
@@ -282,7 +287,8 @@
 }
 
 static bool
-is_overloaded (const marjoram_loans *loans, int64_t now, int zone, int work)
+is_overloaded (const marjoram_offer_table *loans, int64_t now, int zone,
+               int work)
 {
   const struct entry *entry = get_entry (loans, zone, work);
 
@@ -290,8 +296,8 @@
 }
 
 uint64_t
-marjoram_loans_split (marjoram_loans *loans, int64_t now, int zone, int work,
-                      double free)
+marjoram_offer_table_allocate (marjoram_offer_table *loans, int64_t now,
+                               int zone, int work, double free)
 {
   int slots = marjoram_config_zone (loans->config, zone)->slot_count;
   int other_zones = loans->zone_count - 1;
--- a/src/offer.h
+++ b/src/offer.h
@@ -10,7 +10,7 @@
 #include "query.h"
 #include "random.h"
 
-typedef struct marjoram_loans marjoram_loans;
+typedef struct marjoram_offer_table marjoram_offer_table;
 
 enum
 {
@@ -32,39 +32,45 @@
 extern const struct marjoram_layout marjoram_offer_layout;
 
 /* The best zone to forward to.  */
-struct marjoram_loan
+struct marjoram_zone_estimate
 {
   int zone; /* -1 if there is none */
   double total_ms;
 };
 
-marjoram_loans *marjoram_loans_create (marjoram_random *random);
-void marjoram_loans_destroy (marjoram_loans *loans);
+marjoram_offer_table *marjoram_offer_table_create (marjoram_random *random);
+void marjoram_offer_table_destroy (marjoram_offer_table *loans);
 /* ZONE is that of this host.  Retains CONFIG.  */
-void marjoram_loans_configure (marjoram_loans *loans, marjoram_config *config,
-                               int zone);
-void marjoram_loans_learn (marjoram_loans *loans, int64_t now, int zone,
-                           const struct marjoram_array *offers,
-                           int64_t link_ms);
+void marjoram_offer_table_configure (marjoram_offer_table *loans,
+                                     marjoram_config *config, int zone);
+void marjoram_offer_table_update (marjoram_offer_table *loans, int64_t now,
+                                  int zone,
+                                  const struct marjoram_array *offers,
+                                  int64_t link_ms);
 /* Finds the best zone in the bit mask REGIONS for a request that takes
    UNLOADED_MS at an idle upstream.  A request that no upstream in this zone
    can run may queue there beyond the offered capacity.  */
-void marjoram_loans_best (marjoram_loans *loans, int64_t now,
-                          const struct marjoram_query *query, uint64_t regions,
-                          double unloaded_ms, bool homeless,
-                          struct marjoram_loan *best);
+void marjoram_offer_table_find_best (marjoram_offer_table *loans, int64_t now,
+                                     const struct marjoram_query *query,
+                                     uint64_t regions, double unloaded_ms,
+                                     bool no_local_upstream,
+                                     struct marjoram_zone_estimate *best);
 /* Whether any zone in REGIONS has upstreams for WORK (known), or offers
    capacity (room).  */
-bool marjoram_loans_known (const marjoram_loans *loans, int64_t now, int work,
-                           uint64_t regions);
-bool marjoram_loans_room (const marjoram_loans *loans, int64_t now, int work,
-                          uint64_t regions);
-void marjoram_loans_sent (marjoram_loans *loans, int64_t now, int zone,
-                          int work);
-void marjoram_loans_returned (marjoram_loans *loans, int64_t now, int zone,
-                              int work, bool failed);
+bool marjoram_offer_table_has_upstreams (const marjoram_offer_table *loans,
+                                         int64_t now, int work,
+                                         uint64_t regions);
+bool marjoram_offer_table_has_capacity (const marjoram_offer_table *loans,
+                                        int64_t now, int work,
+                                        uint64_t regions);
+void marjoram_offer_table_request_sent (marjoram_offer_table *loans,
+                                        int64_t now, int zone, int work);
+void marjoram_offer_table_request_ended (marjoram_offer_table *loans,
+                                         int64_t now, int zone, int work,
+                                         bool failed);
 /* The part of the FREE capacity to offer to one host of ZONE.  */
-uint64_t marjoram_loans_split (marjoram_loans *loans, int64_t now, int zone,
-                               int work, double free);
+uint64_t marjoram_offer_table_allocate (marjoram_offer_table *loans,
+                                        int64_t now, int zone, int work,
+                                        double free);
 
 #endif
--- a/src/order.c
+++ b/src/order.c
@@ -347,13 +347,13 @@
    lease sends no order.  */
 uint64_t
 marjoram_orders_fence (const marjoram_orders *orders, int64_t now,
-                       bool honoured)
+                       bool engine_checks_fence)
 {
   const struct candidacy *candidacy = &orders->candidacy;
 
   if (!candidacy->held || now >= candidacy->until)
     return 0;
-  if (!honoured && now < candidacy->unfenced_from)
+  if (!engine_checks_fence && now < candidacy->unfenced_from)
     return 0;
   return candidacy->fence;
 }
--- a/src/order.h
+++ b/src/order.h
@@ -44,7 +44,7 @@
    one.  An order to an engine that does not check fences must wait longer
    after a change of holder.  */
 uint64_t marjoram_orders_fence (const marjoram_orders *orders, int64_t now,
-                                bool honoured);
+                                bool engine_checks_fence);
 /* Whether this host may relay an order with FENCE.  */
 bool marjoram_orders_may_relay (marjoram_orders *orders, int64_t now,
                                 uint64_t fence);
--- a/src/query.h
+++ b/src/query.h
@@ -29,7 +29,7 @@
   const char *digest;     /* for suspects */
   bool forwarded;         /* came from another zone: may not go on */
   bool bound;             /* must run in this zone */
-  bool homeless;          /* its first zone has no upstream for it at all */
+  bool no_local_upstream; /* its first zone has no upstream for it at all */
   int tried_count;        /* upstreams not to be tried again */
   const char *tried[MARJORAM_TRIED_MAX];
   int zones_tried_count; /* zones that refused it */
--- a/src/relay.c
+++ b/src/relay.c
@@ -180,7 +180,8 @@
   request->peer_session = session;
   request->peer_number = forward->request;
   request->claim_here = forward->claim_here;
-  request->homeless = forward->homeless || forward->claim_here;
+  request->no_local_upstream
+      = forward->no_local_upstream || forward->claim_here;
   request->deadline = now + forward->budget_ms;
   if (forward->suspicion != MARJORAM_SUSPICION_NONE)
     {
--- a/src/request.c
+++ b/src/request.c
@@ -222,7 +222,7 @@
                 struct marjoram_request *request)
 {
   host->ops->cancel (host->context, request->attempt);
-  marjoram_members_died (host->members, now, request->upstream);
+  marjoram_members_mark_dead (host->members, now, request->upstream);
   marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                            MARJORAM_REASON_UPSTREAM_SILENT,
                            MARJORAM_RETRY_AFTER_MS, false);
--- a/src/request.h
+++ b/src/request.h
@@ -98,14 +98,14 @@
   struct marjoram_pieces pieces;
   size_t pieces_size;
 
-  bool gone;       /* nobody waits for the answer any more */
-  bool answered;   /* nothing more is due */
-  bool claim_here; /* its key is guarded by this zone */
-  bool homeless;   /* its first zone has no upstream for it */
-  bool granted;    /* its claim says run */
-  bool maybe_ran;  /* an attempt may have run it */
-  bool resuming;   /* the upstream was asked for the answer by its id */
-  bool revoking;   /* the other host is to be asked over a new link */
+  bool gone;              /* nobody waits for the answer any more */
+  bool answered;          /* nothing more is due */
+  bool claim_here;        /* its key is guarded by this zone */
+  bool no_local_upstream; /* its first zone has no upstream for it */
+  bool granted;           /* its claim says run */
+  bool maybe_ran;         /* an attempt may have run it */
+  bool resuming;          /* the upstream was asked for the answer by its id */
+  bool revoking;          /* the other host is to be asked over a new link */
   bool has_head;
   bool head_passed;
 
--- a/src/route.c
+++ b/src/route.c
@@ -53,8 +53,8 @@
   marjoram_config *config;
   marjoram_limits *limits;
   marjoram_chooser *chooser;
-  marjoram_loans *loans;
-  marjoram_fair *fair;
+  marjoram_offer_table *loans;
+  marjoram_fair_share *fair;
   struct marjoram_retry_budget budget;
 };
 
@@ -71,8 +71,8 @@
   router->random = random;
   router->limits = marjoram_limits_create (marjoram_members_self (members));
   router->chooser = marjoram_chooser_create (members, suspects, random);
-  router->loans = marjoram_loans_create (random);
-  router->fair = marjoram_fair_create ();
+  router->loans = marjoram_offer_table_create (random);
+  router->fair = marjoram_fair_share_create ();
   marjoram_retry_budget_init (&router->budget);
   return router;
 }
@@ -84,8 +84,8 @@
     return;
   marjoram_limits_destroy (router->limits);
   marjoram_chooser_destroy (router->chooser);
-  marjoram_loans_destroy (router->loans);
-  marjoram_fair_destroy (router->fair);
+  marjoram_offer_table_destroy (router->loans);
+  marjoram_fair_share_destroy (router->fair);
   marjoram_config_release (router->config);
   free (router->zone_name);
   free (router);
@@ -105,8 +105,8 @@
                             marjoram_members_self (router->members));
   marjoram_limits_configure (router->limits, now, config, router->zone);
   marjoram_chooser_configure (router->chooser, config);
-  marjoram_loans_configure (router->loans, config, router->zone);
-  marjoram_fair_configure (router->fair, config);
+  marjoram_offer_table_configure (router->loans, config, router->zone);
+  marjoram_fair_share_configure (router->fair, config);
 }
 
 static bool
@@ -125,9 +125,9 @@
   if (caller < 0 || caller >= marjoram_config_caller_count (router->config))
     return MARJORAM_REASON_UNKNOWN_CALLER;
   marjoram_retry_budget_earn (&router->budget);
-  return marjoram_limits_admit (router->limits, now, caller,
-                                marjoram_members_hosts (router->members, now),
-                                retry_ms);
+  return marjoram_limits_admit (
+      router->limits, now, caller,
+      marjoram_members_count_hosts (router->members, now), retry_ms);
 }
 
 bool
@@ -153,15 +153,15 @@
 /* Inputs of a routing decision.  */
 struct route_inputs
 {
-  uint64_t allowed;  /* bit mask of regions */
-  bool zone_allowed; /* residency allows this zone */
-  bool homeless;     /* no upstream in this zone runs the work */
-  double slack_ms;   /* time to the deadline */
-  double excess;     /* caller usage over its fair share, at least 1 */
+  uint64_t allowed;       /* bit mask of regions */
+  bool zone_allowed;      /* residency allows this zone */
+  bool no_local_upstream; /* no upstream in this zone runs the work */
+  double slack_ms;        /* time to the deadline */
+  double excess;          /* caller usage over its fair share, at least 1 */
   double unloaded_ms;
   struct marjoram_pick pick;
-  struct marjoram_loan same_region;   /* another zone of this region */
-  struct marjoram_loan remote_region; /* another region */
+  struct marjoram_zone_estimate same_region; /* another zone of this region */
+  struct marjoram_zone_estimate remote_region; /* another region */
 };
 
 static bool
@@ -177,7 +177,7 @@
   /* A zone offers free slots, not queue positions, except to work that cannot
      run elsewhere.  Overnight work uses only slots that interactive work
      leaves free.  */
-  if ((query->forwarded && !query->homeless)
+  if ((query->forwarded && !query->no_local_upstream)
       || query->class == MARJORAM_CLASS_OVERNIGHT)
     return false;
   /* Keeps one busy caller from filling the queue at the expense of others: the
@@ -191,7 +191,7 @@
 gather_inputs (marjoram_router *router, int64_t now,
                const struct marjoram_query *query, struct route_inputs *inputs)
 {
-  const struct marjoram_loan none = { -1, HUGE_VAL };
+  const struct marjoram_zone_estimate none = { -1, HUGE_VAL };
 
   *inputs = (struct route_inputs){ 0 };
   inputs->allowed
@@ -200,36 +200,39 @@
       = region_allowed (router, inputs->allowed, router->zone);
   inputs->slack_ms = (double)(query->deadline - now);
   inputs->unloaded_ms
-      = marjoram_chooser_alone_ms (router->chooser, query)
-        * marjoram_chooser_room (router->chooser, now, query->work)->factor;
-  inputs->excess = marjoram_fair_excess (router->fair, now, query->caller);
+      = marjoram_chooser_unloaded_ms (router->chooser, query)
+        * marjoram_chooser_capacity (router->chooser, now, query->work)
+              ->factor;
+  inputs->excess
+      = marjoram_fair_share_excess (router->fair, now, query->caller);
   inputs->same_region = none;
   inputs->remote_region = none;
   if (inputs->zone_allowed)
     marjoram_chooser_pick (router->chooser, now, query, &inputs->pick);
-  inputs->homeless
+  inputs->no_local_upstream
       = !inputs->zone_allowed
-        || marjoram_chooser_room (router->chooser, now, query->work)->upstreams
+        || marjoram_chooser_capacity (router->chooser, now, query->work)
+                   ->upstreams
                == 0;
   /* Prevents forwarding loops: a request that was forwarded once either runs
      here or is refused back to the first host, which decides how to
      proceed.  */
   if (query->forwarded || query->bound)
     return;
-  marjoram_loans_best (
+  marjoram_offer_table_find_best (
       router->loans, now, query, inputs->allowed & own_region (router),
-      inputs->unloaded_ms, inputs->homeless, &inputs->same_region);
-  marjoram_loans_best (
+      inputs->unloaded_ms, inputs->no_local_upstream, &inputs->same_region);
+  marjoram_offer_table_find_best (
       router->loans, now, query, inputs->allowed & ~own_region (router),
-      inputs->unloaded_ms, inputs->homeless, &inputs->remote_region);
+      inputs->unloaded_ms, inputs->no_local_upstream, &inputs->remote_region);
 }
 
 static void
-choose_forward (const struct marjoram_loan *loan, bool homeless,
-                struct marjoram_choice *choice)
+choose_forward (const struct marjoram_zone_estimate *loan,
+                bool no_local_upstream, struct marjoram_choice *choice)
 {
   choice->verdict = MARJORAM_VERDICT_FORWARD;
-  choice->homeless = homeless;
+  choice->no_local_upstream = no_local_upstream;
   choice->zone = loan->zone;
   choice->expected_ms = (int64_t)loan->total_ms;
 }
@@ -252,14 +255,14 @@
 {
   uint64_t reach = query->forwarded || query->bound ? 0 : UINT64_MAX;
   bool known = inputs->pick.upstream
-               || marjoram_loans_known (router->loans, now, query->work,
-                                        inputs->allowed & reach);
+               || marjoram_offer_table_has_upstreams (
+                   router->loans, now, query->work, inputs->allowed & reach);
   bool forbidden
       = (!inputs->zone_allowed
-         && marjoram_chooser_room (router->chooser, now, query->work)->free
+         && marjoram_chooser_capacity (router->chooser, now, query->work)->free
                 >= 1)
-        || marjoram_loans_room (router->loans, now, query->work,
-                                ~inputs->allowed & reach);
+        || marjoram_offer_table_has_capacity (router->loans, now, query->work,
+                                              ~inputs->allowed & reach);
 
   if (forbidden)
     return MARJORAM_REASON_RESIDENCY;
@@ -318,12 +321,13 @@
           || inputs->same_region.total_ms
                  < inputs->pick.total_ms * (1 - SAME_REGION_MIN_GAIN)))
     {
-      choose_forward (&inputs->same_region, inputs->homeless, choice);
+      choose_forward (&inputs->same_region, inputs->no_local_upstream, choice);
       return;
     }
   if (should_leave_region (inputs, query, local_fits))
     {
-      choose_forward (&inputs->remote_region, inputs->homeless, choice);
+      choose_forward (&inputs->remote_region, inputs->no_local_upstream,
+                      choice);
       return;
     }
   if (local_fits)
@@ -377,7 +381,8 @@
   gather_inputs (router, now, query, inputs);
   decide (router, now, query, inputs, choice);
   if (choice->verdict != MARJORAM_VERDICT_REFUSE)
-    marjoram_fair_used (router->fair, now, query->caller, inputs->unloaded_ms);
+    marjoram_fair_share_record (router->fair, now, query->caller,
+                                inputs->unloaded_ms);
   return true;
 }
 
@@ -400,34 +405,38 @@
 }
 
 void
-marjoram_router_sent (marjoram_router *router, int64_t now, int zone, int work)
+marjoram_router_forward_started (marjoram_router *router, int64_t now,
+                                 int zone, int work)
 {
   if (in_range (router, zone, work))
-    marjoram_loans_sent (router->loans, now, zone, work);
+    marjoram_offer_table_request_sent (router->loans, now, zone, work);
 }
 
 void
-marjoram_router_returned (marjoram_router *router, int64_t now, int zone,
-                          int work, bool failed)
+marjoram_router_forward_ended (marjoram_router *router, int64_t now, int zone,
+                               int work, bool failed)
 {
   if (in_range (router, zone, work))
-    marjoram_loans_returned (router->loans, now, zone, work, failed);
+    marjoram_offer_table_request_ended (router->loans, now, zone, work,
+                                        failed);
 }
 
 void
-marjoram_router_measured (marjoram_router *router, int64_t now,
-                          const char *upstream,
-                          const struct marjoram_query *query, int64_t first_ms,
-                          int64_t whole_ms, uint64_t tokens)
+marjoram_router_record_latency (marjoram_router *router, int64_t now,
+                                const char *upstream,
+                                const struct marjoram_query *query,
+                                int64_t first_ms, int64_t whole_ms,
+                                uint64_t tokens)
 {
   if (is_configured (router) && is_valid_query (router, query))
-    marjoram_chooser_measured (router->chooser, now, upstream, query, first_ms,
-                               whole_ms, tokens);
+    marjoram_chooser_record_latency (router->chooser, now, upstream, query,
+                                     first_ms, whole_ms, tokens);
 }
 
 void
-marjoram_router_learn (marjoram_router *router, int64_t now,
-                       const struct marjoram_offers *offers, int64_t link_ms)
+marjoram_router_process_offers (marjoram_router *router, int64_t now,
+                                const struct marjoram_offers *offers,
+                                int64_t link_ms)
 {
   int zone = is_configured (router) && offers->zone
                  ? marjoram_config_find_zone (router->config, offers->zone)
@@ -435,15 +444,16 @@
 
   if (zone < 0)
     return;
-  marjoram_limits_learn (router->limits, now, zone, (int)offers->ordinal,
-                         &offers->usages);
+  marjoram_limits_process_report (router->limits, now, zone,
+                                  (int)offers->ordinal, &offers->usages);
   if (zone != router->zone)
-    marjoram_loans_learn (router->loans, now, zone, &offers->offers, link_ms);
+    marjoram_offer_table_update (router->loans, now, zone, &offers->offers,
+                                 link_ms);
 }
 
 void
-marjoram_router_offer (marjoram_router *router, int64_t now, int zone,
-                       struct marjoram_offers *offers)
+marjoram_router_build_offers (marjoram_router *router, int64_t now, int zone,
+                              struct marjoram_offers *offers)
 {
   struct marjoram_offer *items;
   int works;
@@ -465,14 +475,14 @@
   for (int i = 0; i < works && i < MARJORAM_OFFERS_MAX; i++)
     {
       const struct marjoram_room *room
-          = marjoram_chooser_room (router->chooser, now, i);
+          = marjoram_chooser_capacity (router->chooser, now, i);
       struct marjoram_offer *item = &items[offers->offers.count];
 
       if (room->upstreams == 0)
         continue;
       item->work
           = marjoram_strdup (marjoram_config_work (router->config, i)->name);
-      item->room = marjoram_loans_split (
+      item->room = marjoram_offer_table_allocate (
           router->loans, now, zone, i,
           room->free - room->slots * RESERVED_FRACTION);
       item->wait_ms = room->free >= 1 ? 0 : (int64_t)fmax (1, room->wait_ms);
@@ -519,7 +529,7 @@
 
 static void
 append_offer (struct text_buffer *text, const marjoram_router *router,
-              const struct marjoram_loan *loan, const char *label)
+              const struct marjoram_zone_estimate *loan, const char *label)
 {
   if (loan->zone < 0)
     append (text, "%s: no allowed zone offers capacity\n", label);
--- a/src/route.h
+++ b/src/route.h
@@ -27,7 +27,7 @@
   enum marjoram_verdict verdict;
   char upstream[MARJORAM_NAME_MAX + 1];
   int zone;
-  bool homeless; /* passed on to ZONE, see struct marjoram_query */
+  bool no_local_upstream; /* passed on to ZONE, see struct marjoram_query */
   enum marjoram_reason reason;
   int64_t retry_ms;
   int64_t expected_ms; /* estimated completion time */
@@ -66,28 +66,28 @@
 /* Takes one retry from the budget.  Returns false if it is exhausted.  */
 bool marjoram_router_retry (marjoram_router *router, int64_t now);
 /* A request forwarded to ZONE was sent, or has ended.  */
-void marjoram_router_sent (marjoram_router *router, int64_t now, int zone,
-                           int work);
-void marjoram_router_returned (marjoram_router *router, int64_t now, int zone,
-                               int work, bool failed);
+void marjoram_router_forward_started (marjoram_router *router, int64_t now,
+                                      int zone, int work);
+void marjoram_router_forward_ended (marjoram_router *router, int64_t now,
+                                    int zone, int work, bool failed);
 /* Records the time to first byte and the total time of a completed local
    request for the estimates.  */
-void marjoram_router_measured (marjoram_router *router, int64_t now,
-                               const char *upstream,
-                               const struct marjoram_query *query,
-                               int64_t first_ms, int64_t whole_ms,
-                               uint64_t tokens);
+void marjoram_router_record_latency (marjoram_router *router, int64_t now,
+                                     const char *upstream,
+                                     const struct marjoram_query *query,
+                                     int64_t first_ms, int64_t whole_ms,
+                                     uint64_t tokens);
 /* Processes the offers of another zone, which expire after a few seconds.
    LINK_MS is the measured one-way latency to it.  */
-void marjoram_router_learn (marjoram_router *router, int64_t now,
-                            const struct marjoram_offers *offers,
-                            int64_t link_ms);
+void marjoram_router_process_offers (marjoram_router *router, int64_t now,
+                                     const struct marjoram_offers *offers,
+                                     int64_t link_ms);
 /* Fills OFFERS with what to send to a host of ZONE; to be called every
    second.  For hosts of the own zone it holds only caller usage, from which
    the zone's share of each rate limit is divided.  The caller clears OFFERS by
    its layout.  */
-void marjoram_router_offer (marjoram_router *router, int64_t now, int zone,
-                            struct marjoram_offers *offers);
+void marjoram_router_build_offers (marjoram_router *router, int64_t now,
+                                   int zone, struct marjoram_offers *offers);
 /* Returns a description of how CHOICE was made, one line for each candidate.
    The caller frees it.  */
 char *marjoram_router_explain (marjoram_router *router, int64_t now,
--- a/test/lib_world.c
+++ b/test/lib_world.c
@@ -178,9 +178,9 @@
   struct told *told = object;
 
   (void)number;
-  marjoram_router_learn (told->to->router, world_now_ms (world), &told->offers,
-                         world_link_us (world, told->from, told->to->zone)
-                             / WORLD_US);
+  marjoram_router_process_offers (
+      told->to->router, world_now_ms (world), &told->offers,
+      world_link_us (world, told->from, told->to->zone) / WORLD_US);
   marjoram_wire_clear (&marjoram_offers_layout, &told->offers);
   free (told);
 }
@@ -194,8 +194,8 @@
       || (world->options.no_spill && from->zone != to->zone))
     return;
   told = marjoram_alloc (sizeof *told);
-  marjoram_router_offer (from->router, world_now_ms (world), to->zone,
-                         &told->offers);
+  marjoram_router_build_offers (from->router, world_now_ms (world), to->zone,
+                                &told->offers);
   told->to = to;
   told->from = from->zone;
   world_schedule (world,
@@ -212,7 +212,7 @@
   marjoram_members_tick (host->members, now, NULL, NULL);
   for (int i = 0; i < world->slots; i++)
     if (i != number)
-      marjoram_members_heard (host->members, now, i, 1, false);
+      marjoram_members_record_heartbeat (host->members, now, i, 1, false);
   for (int i = 0; world->options.policy == WORLD_ROUTER && i < world->zones;
        i++)
     for (int j = 0; j < world->slots; j++)
--- a/test/lib_world_request.c
+++ b/test/lib_world_request.c
@@ -64,17 +64,18 @@
   int64_t back;
 
   (void)number;
-  marjoram_members_ended (last->members, now, attempt->engine->name, false);
+  marjoram_members_request_ended (last->members, now, attempt->engine->name,
+                                  false);
   if (world->options.policy == WORLD_ROUTER)
     {
-      marjoram_router_measured (
+      marjoram_router_record_latency (
           last->router, now, attempt->engine->name, &attempt->query,
           (attempt->job.first_us - attempt->began_us) / WORLD_US,
           now - attempt->began_us / WORLD_US,
           (uint64_t)attempt->request->answer);
       if (attempt->first->zone != last->zone)
-        marjoram_router_returned (attempt->first->router, now, last->zone,
-                                  attempt->request->work, false);
+        marjoram_router_forward_ended (attempt->first->router, now, last->zone,
+                                       attempt->request->work, false);
     }
   back = world_link_us (world, attempt->first->zone, last->zone)
          + WORLD_CALLER_US;
@@ -125,8 +126,9 @@
   int64_t now = world_now_ms (world);
   bool may;
 
-  marjoram_members_ended (host->members, now, attempt->engine->name, true);
-  marjoram_members_died (host->members, now, attempt->engine->name);
+  marjoram_members_request_ended (host->members, now, attempt->engine->name,
+                                  true);
+  marjoram_members_mark_dead (host->members, now, attempt->engine->name);
   if (attempt->request->attempts != attempt->number)
     return;
   may = world->options.policy != WORLD_ROUTER
@@ -151,8 +153,8 @@
   (void)number;
   if (attempt->request->attempts != attempt->number)
     {
-      marjoram_members_ended (attempt->last->members, world_now_ms (world),
-                              engine->name, false);
+      marjoram_members_request_ended (
+          attempt->last->members, world_now_ms (world), engine->name, false);
       return;
     }
   if (!engine->up)
@@ -177,7 +179,7 @@
   attempt->engine = &world->engines[zone][index];
   attempt->last = host;
   attempt->began_us = world->now_us;
-  marjoram_members_started (host->members, name);
+  marjoram_members_request_started (host->members, name);
   world_schedule (
       world,
       world->now_us + WORLD_ENGINE_US
@@ -193,8 +195,8 @@
   int64_t now = world_now_ms (world);
 
   query->forwarded = false;
-  marjoram_router_returned (attempt->first->router, now, number, query->work,
-                            true);
+  marjoram_router_forward_ended (attempt->first->router, now, number,
+                                 query->work, true);
   if (query->zones_tried_count == MARJORAM_TRIED_MAX
       || !marjoram_router_retry (attempt->first->router, now))
     {
@@ -233,8 +235,8 @@
       return;
     case MARJORAM_VERDICT_FORWARD:
       attempt->request->crossed++;
-      marjoram_router_sent (host->router, now, choice.zone,
-                            attempt->query.work);
+      marjoram_router_forward_started (host->router, now, choice.zone,
+                                       attempt->query.work);
       link = world_link_us (world, host->zone, choice.zone);
       if (world_linked (world, host->zone, choice.zone))
         world_schedule (world, world->now_us + link, forwarded, attempt,
@@ -356,8 +358,9 @@
   if (request->done_us || request->attempts != attempt->number)
     return;
   if (attempt->engine && batch_cancel (attempt->engine->batch, &attempt->job))
-    marjoram_members_ended (attempt->last->members, world_now_ms (world),
-                            attempt->engine->name, false);
+    marjoram_members_request_ended (attempt->last->members,
+                                    world_now_ms (world),
+                                    attempt->engine->name, false);
   resend (world, request, 0);
   if (request->attempts > world->options.resends)
     request->attempts++;
--- a/test/test_fuzz_message.c
+++ b/test/test_fuzz_message.c
@@ -176,7 +176,7 @@
       marjoram_suspects_apply (host->suspects, now, message);
       break;
     default:
-      marjoram_router_learn (host->router, now, message, 1);
+      marjoram_router_process_offers (host->router, now, message, 1);
       break;
     }
 }
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -75,8 +75,8 @@
                               i == from_zone, &usages);
       for (int j = 0; j < HOSTS; j++)
         if (marjoram_random_unit (cluster->random) >= cluster->loss)
-          marjoram_limits_learn (cluster->hosts[i][j], now, from_zone, from,
-                                 &usages);
+          marjoram_limits_process_report (cluster->hosts[i][j], now, from_zone,
+                                          from, &usages);
       for (size_t j = 0; j < usages.count; j++)
         free (((struct marjoram_usage *)usages.items)[j].caller);
       free (usages.items);
@@ -130,7 +130,7 @@
 
 /* Guards against each host admitting the whole limit for a caller that spreads
    its requests over all hosts.  */
-START_TEST (twenty_times_the_limit)
+START_TEST (limit_holds_at_twenty_times_demand)
 {
   static const double request_rates[REGIONS][HOSTS]
       = { { 67, 67, 67 }, { 67, 67, 67 }, { 67, 67, 67 } };
@@ -168,7 +168,7 @@
 
 /* Guards against each side of a partition using the whole limit.  The home
    region keeps most of it.  */
-START_TEST (parts_hold_when_cut_off)
+START_TEST (shares_hold_during_partition)
 {
   static const double request_rates[REGIONS][HOSTS]
       = { { 67, 67, 67 }, { 67, 67, 67 }, { 67, 67, 67 } };
@@ -192,7 +192,7 @@
 END_TEST
 
 /* Guards against the share of dead hosts staying reserved.  */
-START_TEST (parts_of_dead_hosts_are_taken_over)
+START_TEST (shares_of_dead_hosts_are_reassigned)
 {
   static const double before[REGIONS][HOSTS] = { { 9, 9, 9 } };
   static const double after[REGIONS][HOSTS] = { { 0, 0, RATE * 0.8 } };
@@ -210,7 +210,7 @@
 END_TEST
 
 /* Guards against a configuration update refilling a caller's burst.  */
-START_TEST (configuration_keeps_what_was_used)
+START_TEST (reconfiguration_keeps_usage)
 {
   struct cluster cluster;
   marjoram_limits *limits;
@@ -239,11 +239,11 @@
   Suite *s = suite_create ("limit");
   TCase *c = tcase_create ("limit");
 
-  tcase_add_loop_test (c, twenty_times_the_limit, 1, SEEDS + 1);
+  tcase_add_loop_test (c, limit_holds_at_twenty_times_demand, 1, SEEDS + 1);
   tcase_add_loop_test (c, one_host_may_use_nearly_all, 1, 6);
-  tcase_add_loop_test (c, parts_hold_when_cut_off, 1, 6);
-  tcase_add_loop_test (c, parts_of_dead_hosts_are_taken_over, 1, 6);
-  tcase_add_test (c, configuration_keeps_what_was_used);
+  tcase_add_loop_test (c, shares_hold_during_partition, 1, 6);
+  tcase_add_loop_test (c, shares_of_dead_hosts_are_reassigned, 1, 6);
+  tcase_add_test (c, reconfiguration_keeps_usage);
   tcase_set_timeout (c, 60);
   suite_add_tcase (s, c);
   return s;
--- a/test/test_member.c
+++ b/test/test_member.c
@@ -99,7 +99,7 @@
 
 /* Guards against repeated or stale announcements extending the lease of a dead
    upstream.  */
-START_TEST (lease_is_not_prolonged_by_repetition)
+START_TEST (repeated_announcement_does_not_extend_lease)
 {
   announce (0, 1, 1);
   for (int64_t now = 100; now < LEASE_MS; now += 100)
@@ -118,7 +118,7 @@
   ++*(int *)context;
 }
 
-START_TEST (expiry_is_told_once)
+START_TEST (expiry_is_reported_once)
 {
   int expired = 0;
 
@@ -138,7 +138,7 @@
 
 /* Guards against a delayed renewal attracting requests to an engine that is
    leaving.  */
-START_TEST (leave_holds_whatever_comes_late)
+START_TEST (leave_overrides_late_renewal)
 {
   announce (0, 1, 7);
   ck_assert_int_eq (announce_to (members, 10, "lm-1", 1, 7, true),
@@ -167,7 +167,7 @@
 /* A leave that reached only one side of a partition: the other side stops
    using the upstream when the lease ends, even if its hosts relay the
    announcement to each other, and at once when the partition heals.  */
-START_TEST (leave_that_reached_one_host)
+START_TEST (leave_during_partition)
 {
   marjoram_members *cut_off = marjoram_members_create ("ba-1", 1);
   marjoram_members *third = marjoram_members_create ("ba-1", 2);
@@ -194,10 +194,10 @@
 END_TEST
 
 /* Guards against sending requests to a dead engine until its lease ends.  */
-START_TEST (dead_gets_nothing_until_it_is_heard_anew)
+START_TEST (dead_upstream_is_unusable_until_announced)
 {
   announce (0, 1, 5);
-  marjoram_members_died (members, 100, "lm-1");
+  marjoram_members_mark_dead (members, 100, "lm-1");
   ck_assert (!usable (members, 101, "lm-1"));
   ck_assert_int_eq (announce (200, 1, 5), MARJORAM_ANNOUNCE_STALE);
   ck_assert (!usable (members, 201, "lm-1"));
@@ -223,8 +223,8 @@
     for (int i = 0; i < 9; i++)
       {
         snprintf (name, sizeof name, "lm-%d", i);
-        marjoram_members_started (members, name);
-        marjoram_members_ended (members, 10, name, true);
+        marjoram_members_request_started (members, name);
+        marjoram_members_request_ended (members, 10, name, true);
       }
   for (size_t i = 0; i < marjoram_members_count (members); i++)
     ejected
@@ -234,24 +234,24 @@
 }
 END_TEST
 
-START_TEST (hears_hosts)
+START_TEST (tracks_host_heartbeats)
 {
   ck_assert (marjoram_members_host_alive (members, 0, 0));
   ck_assert (!marjoram_members_host_alive (members, 0, 1));
-  marjoram_members_heard (members, 100, 1, 7, false);
-  marjoram_members_heard (members, 150, 1, 6, true);
+  marjoram_members_record_heartbeat (members, 100, 1, 7, false);
+  marjoram_members_record_heartbeat (members, 150, 1, 6, true);
   ck_assert (marjoram_members_host_alive (members, 200, 1));
   ck_assert (!marjoram_members_host_draining (members, 1));
-  ck_assert_int_eq (marjoram_members_hosts (members, 200), 2);
-  marjoram_members_heard (members, 200, 1, 7, true);
+  ck_assert_int_eq (marjoram_members_count_hosts (members, 200), 2);
+  marjoram_members_record_heartbeat (members, 200, 1, 7, true);
   ck_assert (marjoram_members_host_draining (members, 1));
-  ck_assert_int_eq (marjoram_members_hosts (members, 300), 1);
+  ck_assert_int_eq (marjoram_members_count_hosts (members, 300), 1);
   ck_assert (!marjoram_members_host_alive (members,
                                            200 + MARJORAM_HOST_SILENT_MS, 1));
 }
 END_TEST
 
-START_TEST (announcement_goes_over_the_wire)
+START_TEST (announcement_survives_encoding)
 {
   struct marjoram_announcement a = announcement ("lm-1", 3, 4);
   marjoram_bytes *packed
@@ -278,14 +278,14 @@
 
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, orders_announcements);
-  tcase_add_test (c, lease_is_not_prolonged_by_repetition);
-  tcase_add_test (c, expiry_is_told_once);
-  tcase_add_test (c, leave_holds_whatever_comes_late);
-  tcase_add_test (c, leave_that_reached_one_host);
-  tcase_add_test (c, dead_gets_nothing_until_it_is_heard_anew);
+  tcase_add_test (c, repeated_announcement_does_not_extend_lease);
+  tcase_add_test (c, expiry_is_reported_once);
+  tcase_add_test (c, leave_overrides_late_renewal);
+  tcase_add_test (c, leave_during_partition);
+  tcase_add_test (c, dead_upstream_is_unusable_until_announced);
   tcase_add_test (c, ejects_a_third_at_most);
-  tcase_add_test (c, hears_hosts);
-  tcase_add_test (c, announcement_goes_over_the_wire);
+  tcase_add_test (c, tracks_host_heartbeats);
+  tcase_add_test (c, announcement_survives_encoding);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_order.c
+++ b/test/test_order.c
@@ -180,7 +180,7 @@
 /* Guards against a holder that was suspended past its lease sending an order,
    and against its successor sending one to an engine that ignores fences while
    earlier orders may be in flight.  */
-START_TEST (thawed_holder_gives_no_order)
+START_TEST (resumed_holder_sends_no_order)
 {
   struct zone zone;
   int first_holder, second_holder;
@@ -254,7 +254,7 @@
 
 /* Guards against a delayed grant of an earlier round extending the lease
    beyond what its voter granted.  */
-START_TEST (late_grant_does_not_prolong_the_lease)
+START_TEST (late_grant_does_not_extend_lease)
 {
   struct zone zone;
   struct queued_message late;
@@ -375,9 +375,9 @@
   Suite *s = suite_create ("order");
   TCase *c = tcase_create ("order");
 
-  tcase_add_test (c, thawed_holder_gives_no_order);
+  tcase_add_test (c, resumed_holder_sends_no_order);
   tcase_add_test (c, restarted_voter_waits);
-  tcase_add_test (c, late_grant_does_not_prolong_the_lease);
+  tcase_add_test (c, late_grant_does_not_extend_lease);
   tcase_add_test (c, one_holder_in_random_schedules);
   tcase_set_timeout (c, TEST_SECONDS);
   suite_add_tcase (s, c);
--- a/test/test_place.c
+++ b/test/test_place.c
@@ -165,7 +165,7 @@
 }
 
 /* Guards against overloading the weight store with concurrent loads.  */
-START_TEST (loads_the_wanted_copies_two_at_a_time)
+START_TEST (loads_at_most_two_models_at_once)
 {
   int answered_count = 0;
 
@@ -195,7 +195,7 @@
 END_TEST
 
 /* Guards against retrying refused loads (429) on every tick.  */
-START_TEST (refused_loads_spread_out)
+START_TEST (refused_loads_back_off)
 {
   int answered = 0;
 
@@ -213,7 +213,7 @@
 
 /* Guards against a host that was suspended past its lease sending an order
    under that lease.  */
-START_TEST (thawed_holder_gives_no_order_on_its_old_lease)
+START_TEST (resumed_holder_sends_no_order_on_expired_lease)
 {
   uint64_t before;
 
@@ -240,9 +240,9 @@
 
   marjoram_log_open ("test", MARJORAM_LOG_ERROR);
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_test (c, loads_the_wanted_copies_two_at_a_time);
-  tcase_add_test (c, refused_loads_spread_out);
-  tcase_add_test (c, thawed_holder_gives_no_order_on_its_old_lease);
+  tcase_add_test (c, loads_at_most_two_models_at_once);
+  tcase_add_test (c, refused_loads_back_off);
+  tcase_add_test (c, resumed_holder_sends_no_order_on_expired_lease);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -124,7 +124,7 @@
     .offers = { &offer, 1 },
   };
 
-  marjoram_router_learn (node->router, now, &offers, LINK_MS);
+  marjoram_router_process_offers (node->router, now, &offers, LINK_MS);
 }
 
 static struct marjoram_query
@@ -215,7 +215,7 @@
 
 /* Guards against a forwarding loop between two full zones with stale
    offers.  */
-START_TEST (two_outdated_views)
+START_TEST (full_zones_with_stale_offers)
 {
   struct node *a = add_node (0, 0, 1);
   struct node *b = add_node (1, 0, 2);
@@ -245,15 +245,15 @@
 END_TEST
 
 /* Guards against repeated forwarding to a zone that refuses requests.  */
-START_TEST (refusing_zone_is_left_alone)
+START_TEST (refusing_zone_is_backed_off)
 {
   struct node *a = add_node (0, 0, 1);
   struct marjoram_query q = query (100000);
 
   offer_capacity (a, 0, 1, 100);
   ck_assert_int_eq (choose (a, 0, &q).verdict, MARJORAM_VERDICT_FORWARD);
-  marjoram_router_sent (a->router, 0, 1, 0);
-  marjoram_router_returned (a->router, 100, 1, 0, true);
+  marjoram_router_forward_started (a->router, 0, 1, 0);
+  marjoram_router_forward_ended (a->router, 100, 1, 0, true);
   offer_capacity (a, 200, 1, 100);
   ck_assert_int_eq (choose (a, 200, &q).verdict, MARJORAM_VERDICT_REFUSE);
   offer_capacity (a, 3000, 1, 100);
@@ -274,14 +274,14 @@
 
       if (choice.verdict != MARJORAM_VERDICT_FORWARD || choice.zone != zone)
         break;
-      marjoram_router_sent (node->router, now, zone, 0);
+      marjoram_router_forward_started (node->router, now, zone, 0);
     }
   return sent;
 }
 
 /* Guards against overload of an idle zone by many hosts after a partition
    heals.  */
-START_TEST (no_stampede_after_heal)
+START_TEST (no_overload_after_partition_heals)
 {
   struct node *idle = add_node (2, 0, (uint64_t)_i + 100);
   struct node *full[6];
@@ -309,8 +309,10 @@
           struct marjoram_offers offers;
           int forwarded_count;
 
-          marjoram_router_offer (idle->router, now - LINK_MS, i / 3, &offers);
-          marjoram_router_learn (full[i]->router, now, &offers, LINK_MS);
+          marjoram_router_build_offers (idle->router, now - LINK_MS, i / 3,
+                                        &offers);
+          marjoram_router_process_offers (full[i]->router, now, &offers,
+                                          LINK_MS);
           marjoram_wire_clear (&marjoram_offers_layout, &offers);
           forwarded_count = forward_until_refused (full[i], now, 2);
           if (round == 0)
@@ -337,17 +339,17 @@
 
 /* Guards against selecting a dead or failed upstream because it has free
    slots.  */
-START_TEST (gone_upstream_gets_nothing)
+START_TEST (dead_upstream_is_not_selected)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
   struct marjoram_query q = query (30000);
 
   announce (node, 0, "lm-1", 1, 0);
   announce (node, 0, "lm-2", 1, SLOTS);
-  marjoram_members_died (node->members, 5, "lm-1");
+  marjoram_members_mark_dead (node->members, 5, "lm-1");
   for (int i = 0; i < 20; i++)
     ck_assert_str_eq (choose (node, 10, &q).upstream, "lm-2");
-  marjoram_members_died (node->members, 15, "lm-2");
+  marjoram_members_mark_dead (node->members, 15, "lm-2");
   assert_refused (choose (node, 20, &q), MARJORAM_REASON_NO_UPSTREAM);
   announce (node, 30, "lm-2", 2, 0);
   q.tried[q.tried_count++] = "lm-2";
@@ -357,7 +359,7 @@
 
 /* Guards against a Retry-After that is too short for the request to be
    admitted.  */
-START_TEST (retry_after_is_honest)
+START_TEST (retry_after_is_sufficient)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
   struct marjoram_query q = query (4000);
@@ -380,7 +382,7 @@
 
 /* Guards against one busy caller filling the queue at the expense of
    others.  */
-START_TEST (overload_refuses_the_greedy_first)
+START_TEST (overload_refuses_heaviest_caller_first)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
   struct marjoram_query q;
@@ -403,7 +405,7 @@
 
 /* Guards against overnight work taking queue positions from interactive
    work.  */
-START_TEST (overnight_gives_way)
+START_TEST (overnight_work_does_not_queue)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
   struct marjoram_query q = query (30000);
@@ -423,7 +425,7 @@
 
 /* Guards against all hosts selecting the upstream that is idle in a stale
    report.  */
-START_TEST (old_report_draws_no_herd)
+START_TEST (stale_report_does_not_concentrate_load)
 {
   int sent_to_idle = 0;
   char name[16];
@@ -437,7 +439,8 @@
           struct node *node = add_node (0, i, seed * 3 + (uint64_t)i);
 
           for (int j = 0; j < 3; j++)
-            marjoram_members_heard (node->members, 20000, j, 1, false);
+            marjoram_members_record_heartbeat (node->members, 20000, j, 1,
+                                               false);
           for (int j = 0; j < 6; j++)
             {
               snprintf (name, sizeof name, "lm-%d", j);
@@ -452,7 +455,7 @@
 
           ck_assert_int_eq (choice.verdict, MARJORAM_VERDICT_LOCAL);
           sent_to_idle += strcmp (choice.upstream, "lm-0") == 0;
-          marjoram_members_started (node->members, choice.upstream);
+          marjoram_members_request_started (node->members, choice.upstream);
         }
     }
   ck_assert_int_le (sent_to_idle, SEEDS * 9 / 2);
@@ -461,7 +464,7 @@
 
 /* Requests with the same prefix go to the same replica from every host, unless
    it is overloaded.  */
-START_TEST (prefix_finds_one_replica)
+START_TEST (prefix_maps_to_one_replica)
 {
   struct marjoram_query q = query (50000);
   char first[MARJORAM_NAME_MAX + 1] = "";
@@ -519,8 +522,8 @@
 {
   struct marjoram_query q = query (now + 30000);
 
-  marjoram_router_measured (node->router, now, name, &q, whole_ms / 4,
-                            whole_ms, q.answer_tokens);
+  marjoram_router_record_latency (node->router, now, name, &q, whole_ms / 4,
+                                  whole_ms, q.answer_tokens);
 }
 
 /* Ejects a replica that is much slower than its peers, but none if all are
@@ -569,7 +572,7 @@
 }
 END_TEST
 
-START_TEST (refuses_what_it_can_not_judge)
+START_TEST (refuses_invalid_requests)
 {
   struct node *node = add_node (0, 0, 1);
   struct marjoram_query q = query (1000);
@@ -589,7 +592,7 @@
 }
 END_TEST
 
-START_TEST (offers_go_over_the_wire)
+START_TEST (offers_survive_encoding)
 {
   struct node *from = add_node (1, 2, 1);
   struct node *to = add_node (0, 0, 2);
@@ -608,14 +611,14 @@
       announce (from, 0, name, 1, 0);
       marjoram_router_admit (from->router, 0, 1, &retry_ms);
     }
-  marjoram_router_offer (from->router, 10, 0, &offers);
+  marjoram_router_build_offers (from->router, 10, 0, &offers);
   packed = marjoram_wire_pack (&marjoram_offers_layout, &offers);
   read = marjoram_wire_unpack (&marjoram_offers_layout,
                                marjoram_bytes_data (packed),
                                marjoram_bytes_size (packed), NULL);
   ck_assert_ptr_nonnull (read);
   ck_assert_uint_eq (read->ordinal, 2);
-  marjoram_router_learn (to->router, 20, read, LINK_MS);
+  marjoram_router_process_offers (to->router, 20, read, LINK_MS);
   forwarded = choose (to, 30, &q).verdict == MARJORAM_VERDICT_FORWARD;
   ck_assert (forwarded);
   marjoram_wire_destroy (&marjoram_offers_layout, read);
@@ -652,21 +655,21 @@
   tcase_add_loop_test (c, residency_under_overload, 1, 10);
   tcase_add_test (c, residency_of_the_newest_configuration);
   tcase_add_test (c, residency_at_receipt);
-  tcase_add_test (c, two_outdated_views);
-  tcase_add_test (c, refusing_zone_is_left_alone);
-  tcase_add_loop_test (c, no_stampede_after_heal, 1, SEEDS);
+  tcase_add_test (c, full_zones_with_stale_offers);
+  tcase_add_test (c, refusing_zone_is_backed_off);
+  tcase_add_loop_test (c, no_overload_after_partition_heals, 1, SEEDS);
   tcase_add_test (c, offers_expire);
-  tcase_add_loop_test (c, gone_upstream_gets_nothing, 1, 10);
-  tcase_add_loop_test (c, retry_after_is_honest, 1, 10);
-  tcase_add_loop_test (c, overload_refuses_the_greedy_first, 1, 10);
-  tcase_add_loop_test (c, overnight_gives_way, 1, 10);
-  tcase_add_test (c, old_report_draws_no_herd);
-  tcase_add_loop_test (c, prefix_finds_one_replica, 1, SEEDS);
+  tcase_add_loop_test (c, dead_upstream_is_not_selected, 1, 10);
+  tcase_add_loop_test (c, retry_after_is_sufficient, 1, 10);
+  tcase_add_loop_test (c, overload_refuses_heaviest_caller_first, 1, 10);
+  tcase_add_loop_test (c, overnight_work_does_not_queue, 1, 10);
+  tcase_add_test (c, stale_report_does_not_concentrate_load);
+  tcase_add_loop_test (c, prefix_maps_to_one_replica, 1, SEEDS);
   tcase_add_loop_test (c, returning_upstream_starts_slowly, 1, 10);
   tcase_add_loop_test (c, slow_replica_is_ejected, 0, 2);
   tcase_add_test (c, retries_have_a_budget);
-  tcase_add_test (c, refuses_what_it_can_not_judge);
-  tcase_add_test (c, offers_go_over_the_wire);
+  tcase_add_test (c, refuses_invalid_requests);
+  tcase_add_test (c, offers_survive_encoding);
   tcase_add_test (c, explains);
   tcase_set_timeout (c, 60);
   suite_add_tcase (s, c);
--- a/test/test_route_file.c
+++ b/test/test_route_file.c
@@ -115,7 +115,7 @@
 
 /* Hosts are compared case-insensitively, prefixes case-sensitively; the
    message names the routes in file order.  */
-START_TEST (two_routes_of_one_place_are_refused)
+START_TEST (duplicate_routes_are_refused)
 {
 #define ROUTE_AT(name, host, prefix)                                          \
   "[route " name "]\nhost = " host "\nprefix = " prefix "\n"                  \
@@ -140,7 +140,7 @@
 END_TEST
 
 /* Keepers accept both formats and reject other input.  */
-START_TEST (both_forms_are_taken)
+START_TEST (both_formats_are_accepted)
 {
   static const char json[]
       = "{\"version\":3,\"routes\":[],\"services\":[],\"limits\":{"
@@ -202,8 +202,8 @@
 
   tcase_add_test (tests, routes_are_read);
   tcase_add_test (tests, faults_name_line_and_remedy);
-  tcase_add_test (tests, two_routes_of_one_place_are_refused);
-  tcase_add_test (tests, both_forms_are_taken);
+  tcase_add_test (tests, duplicate_routes_are_refused);
+  tcase_add_test (tests, both_formats_are_accepted);
   tcase_add_test (tests, own_calls_are_read);
   suite_add_tcase (all, tests);
   return all;
