--- a/src/claim.c
+++ b/src/claim.c
@@ -29,7 +29,7 @@
                   const struct marjoram_attempt *existing,
                   struct marjoram_hash128 digest)
 {
-  marjoram_claims_queue (
+  marjoram_claims_queue_verdict (
       claims, number,
       marjoram_hash128_equal (existing->entry.digest, digest)
           ? MARJORAM_CLAIM_RUNNING
@@ -41,7 +41,7 @@
 acquire (marjoram_claims *claims, const struct marjoram_claim_entry *entry)
 {
   const struct marjoram_attempt *existing
-      = marjoram_claims_find_key (claims, entry->key);
+      = marjoram_claims_find_by_key (claims, entry->key);
   struct marjoram_attempt *attempt;
 
   if (existing)
@@ -51,16 +51,16 @@
     }
   if (marjoram_claims_key_expired (claims, (int64_t)entry->issued))
     {
-      marjoram_claims_queue (claims, entry->number, MARJORAM_CLAIM_EXPIRED,
-                             NULL);
+      marjoram_claims_queue_verdict (claims, entry->number,
+                                     MARJORAM_CLAIM_EXPIRED, NULL);
       return;
     }
-  attempt = marjoram_claims_attempt (claims, entry);
-  marjoram_claims_consult (claims, attempt);
+  attempt = marjoram_claims_add_attempt (claims, entry);
+  marjoram_claims_vote_locally (claims, attempt);
   if (!attempt->decided)
-    marjoram_claims_ask (claims, attempt);
+    marjoram_claims_request_votes (claims, attempt);
   marjoram_claims_evaluate (claims, attempt);
-  marjoram_claims_clean_up (claims, attempt);
+  marjoram_claims_remove_refused (claims, attempt);
 }
 
 void
@@ -69,8 +69,8 @@
                          const char *digest)
 {
   struct marjoram_claim_entry entry
-      = { .key = marjoram_hash128_text (key),
-          .digest = marjoram_hash128_text (digest),
+      = { .key = marjoram_hash128_from_text (key),
+          .digest = marjoram_hash128_from_text (digest),
           .owner = (uint64_t)claims->options.self,
           .incarnation = claims->options.incarnation,
           .number = attempt,
@@ -79,19 +79,20 @@
 
   set_clock (claims, now, wall);
   acquire (claims, &entry);
-  marjoram_claims_hand_out (claims);
+  marjoram_claims_deliver_verdicts (claims);
 }
 
 void
 marjoram_claims_withdraw (marjoram_claims *claims, int64_t now,
                           uint64_t attempt)
 {
-  struct marjoram_attempt *found = marjoram_claims_find (claims, attempt);
+  struct marjoram_attempt *found
+      = marjoram_claims_find_attempt (claims, attempt);
 
   claims->now = now;
-  marjoram_claims_unqueue (claims, attempt);
+  marjoram_claims_cancel_verdict (claims, attempt);
   if (found && found->phase != MARJORAM_ATTEMPT_FINISHING)
-    marjoram_claims_bar (claims, found);
+    marjoram_claims_abandon (claims, found);
 }
 
 static void
@@ -102,7 +103,7 @@
       = marjoram_claim_records_get (claims->records, &entry);
 
   if (record)
-    marjoram_claim_record_entry (record, &entry);
+    marjoram_claim_record_to_entry (record, &entry);
   marjoram_claims_send_all (claims, MARJORAM_CLAIM_FINISH, &entry,
                             attempt->acknowledged);
   attempt->resend_at
@@ -114,7 +115,8 @@
 marjoram_claims_finish (marjoram_claims *claims, int64_t now, uint64_t attempt,
                         const struct marjoram_kept_answer *kept)
 {
-  struct marjoram_attempt *found = marjoram_claims_find (claims, attempt);
+  struct marjoram_attempt *found
+      = marjoram_claims_find_attempt (claims, attempt);
   struct marjoram_claim_entry entry;
 
   claims->now = now;
@@ -128,9 +130,9 @@
       && (!kept->content_type
           || strlen (kept->content_type) <= MARJORAM_KEPT_TYPE_MAX))
     entry.kept = *kept;
-  marjoram_claims_remember (claims, &entry);
+  marjoram_claims_store_record (claims, &entry);
   if (claims->options.slot_count == 1)
-    marjoram_claims_forget (claims, found);
+    marjoram_claims_remove_attempt (claims, found);
   else
     send_finish (claims, found);
 }
@@ -142,7 +144,7 @@
                 const struct marjoram_claim_entry *entry)
 {
   const struct marjoram_attempt *attempt
-      = marjoram_claims_find (claims, entry->number);
+      = marjoram_claims_find_attempt (claims, entry->number);
   const struct marjoram_claim_record *record;
   struct marjoram_claim_entry done;
 
@@ -155,7 +157,7 @@
       marjoram_claims_send (claims, to, MARJORAM_CLAIM_WITHDRAW, entry);
       return;
     }
-  marjoram_claim_record_entry (record, &done);
+  marjoram_claim_record_to_entry (record, &done);
   marjoram_claims_send (claims, to, MARJORAM_CLAIM_FINISH, &done);
 }
 
@@ -173,11 +175,11 @@
   if (entry->owner != (uint64_t)from || entry->incarnation != m->incarnation)
     return;
   if (m->kind == MARJORAM_CLAIM_ASK)
-    given = marjoram_claims_vote (claims, entry);
-  count = marjoram_claims_list (claims, entry->key, entries + 1);
+    given = marjoram_claims_cast_vote (claims, entry);
+  count = marjoram_claims_list_attempts (claims, entry->key, entries + 1);
   marjoram_claims_check_owners (claims, entry, entries + 1, count);
-  reply = marjoram_claims_message (claims, MARJORAM_CLAIM_ANSWER, entries,
-                                   1 + count);
+  reply = marjoram_claims_make_message (claims, MARJORAM_CLAIM_ANSWER, entries,
+                                        1 + count);
   reply.vote = given;
   claims->ops.send (claims->context, from, &reply);
 }
@@ -200,7 +202,7 @@
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
   struct marjoram_attempt *attempt
-      = marjoram_claims_find (claims, entries[0].number);
+      = marjoram_claims_find_attempt (claims, entries[0].number);
 
   if (!marjoram_claims_owns (claims, &entries[0]))
     return;
@@ -210,36 +212,36 @@
         report_outcome (claims, from, &entries[0]);
       return;
     }
-  clear_answers (&attempt->answers, marjoram_claims_bit (from));
-  attempt->answers.responded |= marjoram_claims_bit (from);
+  clear_answers (&attempt->answers, marjoram_claims_slot_bit (from));
+  attempt->answers.responded |= marjoram_claims_slot_bit (from);
   attempt->vote_incarnations[from] = m->incarnation;
   if (m->vote == MARJORAM_VOTE_YES)
-    attempt->answers.yes |= marjoram_claims_bit (from);
+    attempt->answers.yes |= marjoram_claims_slot_bit (from);
   else if (m->vote == MARJORAM_VOTE_BLOCKED)
-    marjoram_claims_note_blocked (&attempt->answers, from, m->recovered);
+    marjoram_claims_set_blocked (&attempt->answers, from, m->recovered);
   for (size_t i = 1; i < m->entries.count; i++)
     {
       report_outcome (claims, from, &entries[i]);
-      marjoram_claims_weigh (claims, attempt, from, m->incarnation,
-                             &entries[i]);
+      marjoram_claims_handle_conflict (claims, attempt, from, m->incarnation,
+                                       &entries[i]);
     }
   marjoram_claims_evaluate (claims, attempt);
-  marjoram_claims_clean_up (claims, attempt);
+  marjoram_claims_remove_refused (claims, attempt);
 }
 
 /* Resumes a waiting attempt for KEY after a conflicting one was withdrawn.  */
 static void
 retry_key (marjoram_claims *claims, struct marjoram_hash128 key)
 {
-  struct marjoram_attempt *attempt = marjoram_claims_find_key (claims, key);
+  struct marjoram_attempt *attempt = marjoram_claims_find_by_key (claims, key);
 
   if (!attempt || attempt->phase != MARJORAM_ATTEMPT_WAITING)
     return;
-  marjoram_claims_consult (claims, attempt);
+  marjoram_claims_vote_locally (claims, attempt);
   if (!attempt->decided)
-    marjoram_claims_ask (claims, attempt);
+    marjoram_claims_request_votes (claims, attempt);
   marjoram_claims_evaluate (claims, attempt);
-  marjoram_claims_clean_up (claims, attempt);
+  marjoram_claims_remove_refused (claims, attempt);
 }
 
 static void
@@ -252,7 +254,7 @@
   if (!record || entry->owner != (uint64_t)from
       || record->state == MARJORAM_CLAIM_DONE)
     return;
-  marjoram_claim_records_drop (claims->records, record);
+  marjoram_claim_records_remove (claims->records, record);
   retry_key (claims, entry->key);
 }
 
@@ -265,7 +267,7 @@
   if (entry->state != MARJORAM_CLAIM_DONE)
     return;
   if (!marjoram_claims_key_expired (claims, (int64_t)entry->issued))
-    marjoram_claims_remember (claims, entry);
+    marjoram_claims_store_record (claims, entry);
   acknowledged.kept = (struct marjoram_kept_answer){ 0 };
   marjoram_claims_send (claims, from, MARJORAM_CLAIM_FINISHED, &acknowledged);
 }
@@ -275,16 +277,17 @@
                  const struct marjoram_claim_entry *entry)
 {
   struct marjoram_attempt *attempt
-      = marjoram_claims_find (claims, entry->number);
-  uint64_t all = marjoram_claims_bit (claims->options.slot_count - 1) * 2 - 1;
+      = marjoram_claims_find_attempt (claims, entry->number);
+  uint64_t all
+      = marjoram_claims_slot_bit (claims->options.slot_count - 1) * 2 - 1;
 
   if (!marjoram_claims_owns (claims, entry) || !attempt
       || attempt->phase != MARJORAM_ATTEMPT_FINISHING)
     return;
-  attempt->acknowledged |= marjoram_claims_bit (from);
-  if ((attempt->acknowledged | marjoram_claims_bit (claims->options.self))
+  attempt->acknowledged |= marjoram_claims_slot_bit (from);
+  if ((attempt->acknowledged | marjoram_claims_slot_bit (claims->options.self))
       == all)
-    marjoram_claims_forget (claims, attempt);
+    marjoram_claims_remove_attempt (claims, attempt);
 }
 
 static void
@@ -292,8 +295,8 @@
 {
   struct marjoram_claim_entry *entries
       = marjoram_alloc (MARJORAM_CLAIM_ENTRIES_MAX * sizeof *entries);
-  struct marjoram_claim_message m
-      = marjoram_claims_message (claims, MARJORAM_CLAIM_STATE, entries, 0);
+  struct marjoram_claim_message m = marjoram_claims_make_message (
+      claims, MARJORAM_CLAIM_STATE, entries, 0);
   size_t bytes = 0;
 
   m.since = since;
@@ -306,7 +309,7 @@
 
       if (!record)
         break;
-      marjoram_claim_record_entry (record, &entries[m.entries.count]);
+      marjoram_claim_record_to_entry (record, &entries[m.entries.count]);
       bytes += marjoram_bytes_size (entries[m.entries.count].kept.body);
       m.entries.count++;
       m.cursor = record->serial;
@@ -321,9 +324,9 @@
 {
   struct marjoram_claim_message m;
 
-  if (!marjoram_claim_recovery_wants (&claims->recovery, peer))
+  if (!marjoram_claim_recovery_needs (&claims->recovery, peer))
     return;
-  m = marjoram_claims_message (claims, MARJORAM_CLAIM_RECOVER, NULL, 0);
+  m = marjoram_claims_make_message (claims, MARJORAM_CLAIM_RECOVER, NULL, 0);
   m.since = claims->recovery.peers[peer].cursor;
   claims->ops.send (claims->context, peer, &m);
 }
@@ -334,8 +337,9 @@
   bool wait_for_recovering
       = claims->now < claims->started_at + claims->options.timeout_ms;
 
-  marjoram_claim_recovery_try (&claims->recovery, claims->known_incarnations,
-                               wait_for_recovering, &claims->horizon);
+  marjoram_claim_recovery_try_finish (&claims->recovery,
+                                      claims->known_incarnations,
+                                      wait_for_recovering, &claims->horizon);
 }
 
 static void
@@ -350,11 +354,11 @@
           .value
       != claims->options.incarnation)
     return;
-  if (!marjoram_claim_recovery_hear (&claims->recovery, from, m))
+  if (!marjoram_claim_recovery_receive (&claims->recovery, from, m))
     return;
   for (size_t i = 0; i < m->entries.count; i++)
     if (!marjoram_claims_key_expired (claims, (int64_t)entries[i].issued))
-      marjoram_claims_remember (claims, &entries[i]);
+      marjoram_claims_store_record (claims, &entries[i]);
   if (m->more)
     request_state (claims, from);
   else
@@ -455,7 +459,7 @@
     return;
   learn_incarnations (claims, from, m);
   handle_message (claims, from, m);
-  marjoram_claims_hand_out (claims);
+  marjoram_claims_deliver_verdicts (claims);
 }
 
 static void
@@ -466,20 +470,20 @@
       if (claims->now < attempt->resend_at)
         return;
       if (attempt->send_count >= FINISH_SENDS_MAX)
-        marjoram_claims_forget (claims, attempt);
+        marjoram_claims_remove_attempt (claims, attempt);
       else
         send_finish (claims, attempt);
       return;
     }
   if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
     return;
-  marjoram_claims_consult (claims, attempt);
+  marjoram_claims_vote_locally (claims, attempt);
   marjoram_claims_evaluate (claims, attempt);
   if (!attempt->decided && claims->now >= attempt->deadline)
-    marjoram_claims_give_up (claims, attempt);
+    marjoram_claims_time_out (claims, attempt);
   if (!attempt->decided)
-    marjoram_claims_ask (claims, attempt);
-  marjoram_claims_clean_up (claims, attempt);
+    marjoram_claims_request_votes (claims, attempt);
+  marjoram_claims_remove_refused (claims, attempt);
 }
 
 void
@@ -502,7 +506,7 @@
   marjoram_claim_records_expire (
       claims->records,
       claims->wall_max - retention - KEY_LEAD_MAX_MS - CLOCK_STEP_MAX_MS, now);
-  marjoram_claims_hand_out (claims);
+  marjoram_claims_deliver_verdicts (claims);
 }
 
 marjoram_claims *
@@ -533,8 +537,8 @@
   for (attempt = TAILQ_FIRST (&claims->attempts); attempt; attempt = next)
     {
       next = TAILQ_NEXT (attempt, link);
-      marjoram_claims_unqueue (claims, attempt->entry.number);
-      marjoram_claims_forget (claims, attempt);
+      marjoram_claims_cancel_verdict (claims, attempt->entry.number);
+      marjoram_claims_remove_attempt (claims, attempt);
     }
   marjoram_claim_records_destroy (claims->records);
   free (claims);
--- a/src/claim.h
+++ b/src/claim.h
@@ -104,7 +104,7 @@
    MARJORAM_KEY_MAX bytes.  */
 bool marjoram_key_parse (const char *key, char *zone, int64_t *issued_ms);
 /* Formats the key prefix returned by GET /v1/entries, "ZONE.TIME.".  */
-void marjoram_key_prefix (char *prefix, size_t size, const char *zone,
-                          int64_t wall);
+void marjoram_key_format_prefix (char *prefix, size_t size, const char *zone,
+                                 int64_t wall);
 
 #endif
--- a/src/claim_attempt.c
+++ b/src/claim_attempt.c
@@ -3,7 +3,7 @@
 #include "cleanup.h"
 
 uint64_t
-marjoram_claims_bit (int ordinal)
+marjoram_claims_slot_bit (int ordinal)
 {
   return (uint64_t)1 << ordinal;
 }
@@ -29,7 +29,7 @@
 }
 
 struct marjoram_attempt *
-marjoram_claims_find (const marjoram_claims *claims, uint64_t number)
+marjoram_claims_find_attempt (const marjoram_claims *claims, uint64_t number)
 {
   struct marjoram_attempt *attempt;
 
@@ -38,8 +38,8 @@
 }
 
 struct marjoram_attempt *
-marjoram_claims_find_key (const marjoram_claims *claims,
-                          struct marjoram_hash128 key)
+marjoram_claims_find_by_key (const marjoram_claims *claims,
+                             struct marjoram_hash128 key)
 {
   struct marjoram_attempt *attempt;
 
@@ -51,13 +51,13 @@
 marjoram_claims_release_key (marjoram_claims *claims,
                              struct marjoram_attempt *attempt)
 {
-  if (marjoram_claims_find_key (claims, attempt->entry.key) == attempt)
+  if (marjoram_claims_find_by_key (claims, attempt->entry.key) == attempt)
     HASH_DELETE (hh_key, claims->by_key, attempt);
 }
 
 void
-marjoram_claims_forget (marjoram_claims *claims,
-                        struct marjoram_attempt *attempt)
+marjoram_claims_remove_attempt (marjoram_claims *claims,
+                                struct marjoram_attempt *attempt)
 {
   marjoram_claims_release_key (claims, attempt);
   HASH_DELETE (hh, claims->by_number, attempt);
@@ -67,10 +67,10 @@
 }
 
 struct marjoram_claim_message
-marjoram_claims_message (const marjoram_claims *claims,
-                         enum marjoram_claim_kind kind,
-                         const struct marjoram_claim_entry *entries,
-                         size_t count)
+marjoram_claims_make_message (const marjoram_claims *claims,
+                              enum marjoram_claim_kind kind,
+                              const struct marjoram_claim_entry *entries,
+                              size_t count)
 {
   return (struct marjoram_claim_message){
     .kind = kind,
@@ -89,7 +89,7 @@
                       const struct marjoram_claim_entry *entry)
 {
   struct marjoram_claim_message m
-      = marjoram_claims_message (claims, kind, entry, 1);
+      = marjoram_claims_make_message (claims, kind, entry, 1);
 
   claims->ops.send (claims->context, to, &m);
 }
@@ -101,32 +101,33 @@
                           uint64_t except)
 {
   for (int i = 0; i < claims->options.slot_count; i++)
-    if (i != claims->options.self && !(except & marjoram_claims_bit (i)))
+    if (i != claims->options.self && !(except & marjoram_claims_slot_bit (i)))
       marjoram_claims_send (claims, i, kind, entry);
 }
 
 /* Removes the attempt and tells the peers to release its key.  Attempt numbers
    are not reused, so votes that arrive later match no attempt.  */
 void
-marjoram_claims_bar (marjoram_claims *claims, struct marjoram_attempt *attempt)
+marjoram_claims_abandon (marjoram_claims *claims,
+                         struct marjoram_attempt *attempt)
 {
   struct marjoram_claim_record *record
       = marjoram_claim_records_get (claims->records, &attempt->entry);
 
   if (record)
-    marjoram_claim_records_drop (claims->records, record);
+    marjoram_claim_records_remove (claims->records, record);
   if (attempt->phase != MARJORAM_ATTEMPT_WAITING)
     marjoram_claims_send_all (claims, MARJORAM_CLAIM_WITHDRAW, &attempt->entry,
                               0);
-  marjoram_claims_forget (claims, attempt);
+  marjoram_claims_remove_attempt (claims, attempt);
 }
 
 /* Verdicts are queued until internal state is consistent, because the callback
    may call back into this module.  */
 void
-marjoram_claims_queue (marjoram_claims *claims, uint64_t attempt,
-                       enum marjoram_claim_verdict verdict,
-                       const struct marjoram_kept_answer *kept)
+marjoram_claims_queue_verdict (marjoram_claims *claims, uint64_t attempt,
+                               enum marjoram_claim_verdict verdict,
+                               const struct marjoram_kept_answer *kept)
 {
   struct marjoram_claim_decision *decision = marjoram_alloc (sizeof *decision);
 
@@ -151,7 +152,7 @@
 }
 
 void
-marjoram_claims_unqueue (marjoram_claims *claims, uint64_t attempt)
+marjoram_claims_cancel_verdict (marjoram_claims *claims, uint64_t attempt)
 {
   struct marjoram_claim_decision *decision = STAILQ_FIRST (&claims->decisions);
 
@@ -164,7 +165,7 @@
 }
 
 void
-marjoram_claims_hand_out (marjoram_claims *claims)
+marjoram_claims_deliver_verdicts (marjoram_claims *claims)
 {
   struct marjoram_claim_decision *decision;
 
@@ -183,7 +184,7 @@
         enum marjoram_claim_verdict verdict,
         const struct marjoram_kept_answer *kept)
 {
-  marjoram_claims_queue (claims, attempt->entry.number, verdict, kept);
+  marjoram_claims_queue_verdict (claims, attempt->entry.number, verdict, kept);
   attempt->decided = true;
   if (verdict == MARJORAM_CLAIM_RUN)
     attempt->phase = MARJORAM_ATTEMPT_GRANTED;
@@ -205,29 +206,29 @@
 /* Processes a conflicting attempt for ATTEMPT's key, as reported by host
    FROM.  */
 void
-marjoram_claims_weigh (marjoram_claims *claims,
-                       struct marjoram_attempt *attempt, int from,
-                       uint64_t incarnation,
-                       const struct marjoram_claim_entry *entry)
+marjoram_claims_handle_conflict (marjoram_claims *claims,
+                                 struct marjoram_attempt *attempt, int from,
+                                 uint64_t incarnation,
+                                 const struct marjoram_claim_entry *entry)
 {
   struct marjoram_claim_answers *answers = &attempt->answers;
 
-  if (attempt->decided || marjoram_claim_same (entry, &attempt->entry))
+  if (attempt->decided || marjoram_claim_same_attempt (entry, &attempt->entry))
     return;
   if (!marjoram_hash128_equal (entry->digest, attempt->entry.digest))
     decide (claims, attempt, MARJORAM_CLAIM_MISMATCH, NULL);
   else if (entry->state == MARJORAM_CLAIM_DONE && entry->kept.status)
     decide (claims, attempt, MARJORAM_CLAIM_REPLAY, &entry->kept);
   else if (entry->state == MARJORAM_CLAIM_DONE)
-    answers->done |= marjoram_claims_bit (from);
+    answers->done |= marjoram_claims_slot_bit (from);
   else if (entry->incarnation < claims->known_incarnations[entry->owner].value)
-    answers->lost |= marjoram_claims_bit (from);
+    answers->lost |= marjoram_claims_slot_bit (from);
   else if (entry->owner != (uint64_t)from || entry->incarnation != incarnation)
-    answers->held |= marjoram_claims_bit (from);
+    answers->held |= marjoram_claims_slot_bit (from);
   else if (yields_to_rival (claims, attempt, entry))
     decide (claims, attempt, MARJORAM_CLAIM_RUNNING, NULL);
   else
-    answers->rival |= marjoram_claims_bit (from);
+    answers->rival |= marjoram_claims_slot_bit (from);
 }
 
 /* Counts votes cast by the latest known incarnation of each host only.  A
@@ -240,7 +241,7 @@
   int votes = 0;
 
   for (int i = 0; i < claims->options.slot_count; i++)
-    if (attempt->answers.yes & marjoram_claims_bit (i)
+    if (attempt->answers.yes & marjoram_claims_slot_bit (i)
         && attempt->vote_incarnations[i]
                >= claims->known_incarnations[i].value)
       votes++;
@@ -252,7 +253,8 @@
                           struct marjoram_attempt *attempt)
 {
   const struct marjoram_claim_answers *answers = &attempt->answers;
-  uint64_t all = marjoram_claims_bit (claims->options.slot_count - 1) * 2 - 1;
+  uint64_t all
+      = marjoram_claims_slot_bit (claims->options.slot_count - 1) * 2 - 1;
   int blocked = __builtin_popcountll (answers->blocked);
   int spare = claims->options.slot_count - majority (claims);
 
@@ -271,8 +273,8 @@
 /* Decides an attempt whose deadline has passed.  NO_QUORUM is returned only if
    no host reported a conflicting attempt.  */
 void
-marjoram_claims_give_up (marjoram_claims *claims,
-                         struct marjoram_attempt *attempt)
+marjoram_claims_time_out (marjoram_claims *claims,
+                          struct marjoram_attempt *attempt)
 {
   const struct marjoram_claim_answers *answers = &attempt->answers;
 
@@ -311,8 +313,8 @@
 }
 
 void
-marjoram_claims_remember (marjoram_claims *claims,
-                          const struct marjoram_claim_entry *entry)
+marjoram_claims_store_record (marjoram_claims *claims,
+                              const struct marjoram_claim_entry *entry)
 {
   marjoram_claim_records_put (claims->records, entry, claims->wall_max,
                               claims->now + claims->options.replay_ms);
@@ -320,8 +322,8 @@
 
 /* Returns the local vote for ENTRY, and records it if granted.  */
 enum marjoram_claim_vote
-marjoram_claims_vote (marjoram_claims *claims,
-                      const struct marjoram_claim_entry *entry)
+marjoram_claims_cast_vote (marjoram_claims *claims,
+                           const struct marjoram_claim_entry *entry)
 {
   const struct marjoram_claim_record *record
       = marjoram_claim_records_find (claims->records, entry->key);
@@ -332,35 +334,36 @@
     {
       struct marjoram_claim_entry held;
 
-      marjoram_claim_record_entry (record, &held);
-      if (!marjoram_claim_same (&held, entry)
+      marjoram_claim_record_to_entry (record, &held);
+      if (!marjoram_claim_same_attempt (&held, entry)
           || held.state == MARJORAM_CLAIM_DONE)
         return MARJORAM_VOTE_HELD;
     }
   if (key_too_far_ahead (claims, entry->issued))
     return MARJORAM_VOTE_NONE;
-  marjoram_claims_remember (claims, entry);
+  marjoram_claims_store_record (claims, entry);
   return MARJORAM_VOTE_YES;
 }
 
 /* Fills HELD with up to REPORTED_ATTEMPTS_MAX known attempts for KEY.  Returns
    their count.  */
 size_t
-marjoram_claims_list (const marjoram_claims *claims,
-                      struct marjoram_hash128 key,
-                      struct marjoram_claim_entry *held)
+marjoram_claims_list_attempts (const marjoram_claims *claims,
+                               struct marjoram_hash128 key,
+                               struct marjoram_claim_entry *held)
 {
   const struct marjoram_claim_record *record
       = marjoram_claim_records_find (claims->records, key);
   const struct marjoram_attempt *attempt
-      = marjoram_claims_find_key (claims, key);
+      = marjoram_claims_find_by_key (claims, key);
   size_t count = 0;
   bool listed = false;
 
   for (; record && count < REPORTED_ATTEMPTS_MAX - 1; record = record->next)
     {
-      marjoram_claim_record_entry (record, &held[count]);
-      if (attempt && marjoram_claim_same (&held[count], &attempt->entry))
+      marjoram_claim_record_to_entry (record, &held[count]);
+      if (attempt
+          && marjoram_claim_same_attempt (&held[count], &attempt->entry))
         {
           listed = true;
           if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
@@ -387,7 +390,7 @@
                               size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (!marjoram_claim_same (&held[i], entry)
+    if (!marjoram_claim_same_attempt (&held[i], entry)
         && held[i].state != MARJORAM_CLAIM_DONE
         && held[i].owner != (uint64_t)claims->options.self)
       marjoram_claims_send (claims, (int)held[i].owner, MARJORAM_CLAIM_CHECK,
@@ -398,25 +401,26 @@
    recovered.  If it is still recovering at the deadline, the verdict is LOST,
    because an attempt from before its restart may have run.  */
 void
-marjoram_claims_note_blocked (struct marjoram_claim_answers *answers, int from,
-                              bool recovered)
+marjoram_claims_set_blocked (struct marjoram_claim_answers *answers, int from,
+                             bool recovered)
 {
   if (recovered)
-    answers->blocked |= marjoram_claims_bit (from);
+    answers->blocked |= marjoram_claims_slot_bit (from);
   else
-    answers->blocked_recovering |= marjoram_claims_bit (from);
+    answers->blocked_recovering |= marjoram_claims_slot_bit (from);
 }
 
 /* Checks the local records for conflicts with ATTEMPT and casts the local
    vote.  */
 void
-marjoram_claims_consult (marjoram_claims *claims,
-                         struct marjoram_attempt *attempt)
+marjoram_claims_vote_locally (marjoram_claims *claims,
+                              struct marjoram_attempt *attempt)
 {
   struct marjoram_claim_entry held[REPORTED_ATTEMPTS_MAX];
-  size_t count = marjoram_claims_list (claims, attempt->entry.key, held);
+  size_t count
+      = marjoram_claims_list_attempts (claims, attempt->entry.key, held);
   struct marjoram_claim_answers *answers = &attempt->answers;
-  uint64_t self = marjoram_claims_bit (claims->options.self);
+  uint64_t self = marjoram_claims_slot_bit (claims->options.self);
 
   answers->responded |= self;
   answers->blocked &= ~self;
@@ -425,11 +429,12 @@
   answers->lost &= ~self;
   answers->done &= ~self;
   for (size_t i = 0; i < count; i++)
-    marjoram_claims_weigh (claims, attempt, claims->options.self, 0, &held[i]);
+    marjoram_claims_handle_conflict (claims, attempt, claims->options.self, 0,
+                                     &held[i]);
   marjoram_claims_check_owners (claims, &attempt->entry, held, count);
   if (attempt->decided || answers->yes & self)
     return;
-  switch (marjoram_claims_vote (claims, &attempt->entry))
+  switch (marjoram_claims_cast_vote (claims, &attempt->entry))
     {
     case MARJORAM_VOTE_YES:
       answers->yes |= self;
@@ -438,8 +443,8 @@
       attempt->phase = MARJORAM_ATTEMPT_ASKING;
       break;
     case MARJORAM_VOTE_BLOCKED:
-      marjoram_claims_note_blocked (answers, claims->options.self,
-                                    claims->recovery.done);
+      marjoram_claims_set_blocked (answers, claims->options.self,
+                                   claims->recovery.done);
       attempt->phase = MARJORAM_ATTEMPT_ASKING;
       break;
     default:
@@ -448,8 +453,8 @@
 }
 
 void
-marjoram_claims_ask (marjoram_claims *claims,
-                     const struct marjoram_attempt *attempt)
+marjoram_claims_request_votes (marjoram_claims *claims,
+                               const struct marjoram_attempt *attempt)
 {
   marjoram_claims_send_all (claims,
                             attempt->phase == MARJORAM_ATTEMPT_ASKING
@@ -460,16 +465,16 @@
 
 /* Removes ATTEMPT if it was refused.  */
 void
-marjoram_claims_clean_up (marjoram_claims *claims,
-                          struct marjoram_attempt *attempt)
+marjoram_claims_remove_refused (marjoram_claims *claims,
+                                struct marjoram_attempt *attempt)
 {
   if (attempt->decided && attempt->phase < MARJORAM_ATTEMPT_GRANTED)
-    marjoram_claims_bar (claims, attempt);
+    marjoram_claims_abandon (claims, attempt);
 }
 
 struct marjoram_attempt *
-marjoram_claims_attempt (marjoram_claims *claims,
-                         const struct marjoram_claim_entry *entry)
+marjoram_claims_add_attempt (marjoram_claims *claims,
+                             const struct marjoram_claim_entry *entry)
 {
   struct marjoram_attempt *attempt = marjoram_alloc (sizeof *attempt);
 
--- a/src/claim_attempt.h
+++ b/src/claim_attempt.h
@@ -91,19 +91,19 @@
   STAILQ_HEAD (, marjoram_claim_decision) decisions;
 };
 
-uint64_t marjoram_claims_bit (int ordinal);
+uint64_t marjoram_claims_slot_bit (int ordinal);
 bool marjoram_claims_owns (const marjoram_claims *claims,
                            const struct marjoram_claim_entry *entry);
-struct marjoram_attempt *marjoram_claims_find (const marjoram_claims *claims,
-                                               uint64_t number);
 struct marjoram_attempt *
-marjoram_claims_find_key (const marjoram_claims *claims,
-                          struct marjoram_hash128 key);
+marjoram_claims_find_attempt (const marjoram_claims *claims, uint64_t number);
+struct marjoram_attempt *
+marjoram_claims_find_by_key (const marjoram_claims *claims,
+                             struct marjoram_hash128 key);
 void marjoram_claims_release_key (marjoram_claims *claims,
                                   struct marjoram_attempt *attempt);
-void marjoram_claims_forget (marjoram_claims *claims,
-                             struct marjoram_attempt *attempt);
-struct marjoram_claim_message marjoram_claims_message (
+void marjoram_claims_remove_attempt (marjoram_claims *claims,
+                                     struct marjoram_attempt *attempt);
+struct marjoram_claim_message marjoram_claims_make_message (
     const marjoram_claims *claims, enum marjoram_claim_kind kind,
     const struct marjoram_claim_entry *entries, size_t count);
 void marjoram_claims_send (marjoram_claims *claims, int to,
@@ -113,45 +113,45 @@
                                enum marjoram_claim_kind kind,
                                const struct marjoram_claim_entry *entry,
                                uint64_t except);
-void marjoram_claims_bar (marjoram_claims *claims,
-                          struct marjoram_attempt *attempt);
-void marjoram_claims_queue (marjoram_claims *claims, uint64_t attempt,
-                            enum marjoram_claim_verdict verdict,
-                            const struct marjoram_kept_answer *kept);
-void marjoram_claims_unqueue (marjoram_claims *claims, uint64_t attempt);
-void marjoram_claims_hand_out (marjoram_claims *claims);
-void marjoram_claims_weigh (marjoram_claims *claims,
-                            struct marjoram_attempt *attempt, int from,
-                            uint64_t incarnation,
-                            const struct marjoram_claim_entry *entry);
+void marjoram_claims_abandon (marjoram_claims *claims,
+                              struct marjoram_attempt *attempt);
+void marjoram_claims_queue_verdict (marjoram_claims *claims, uint64_t attempt,
+                                    enum marjoram_claim_verdict verdict,
+                                    const struct marjoram_kept_answer *kept);
+void marjoram_claims_cancel_verdict (marjoram_claims *claims,
+                                     uint64_t attempt);
+void marjoram_claims_deliver_verdicts (marjoram_claims *claims);
+void marjoram_claims_handle_conflict (
+    marjoram_claims *claims, struct marjoram_attempt *attempt, int from,
+    uint64_t incarnation, const struct marjoram_claim_entry *entry);
 void marjoram_claims_evaluate (marjoram_claims *claims,
                                struct marjoram_attempt *attempt);
-void marjoram_claims_give_up (marjoram_claims *claims,
-                              struct marjoram_attempt *attempt);
+void marjoram_claims_time_out (marjoram_claims *claims,
+                               struct marjoram_attempt *attempt);
 bool marjoram_claims_key_expired (const marjoram_claims *claims,
                                   int64_t issued);
-void marjoram_claims_remember (marjoram_claims *claims,
-                               const struct marjoram_claim_entry *entry);
+void marjoram_claims_store_record (marjoram_claims *claims,
+                                   const struct marjoram_claim_entry *entry);
 enum marjoram_claim_vote
-marjoram_claims_vote (marjoram_claims *claims,
-                      const struct marjoram_claim_entry *entry);
-size_t marjoram_claims_list (const marjoram_claims *claims,
-                             struct marjoram_hash128 key,
-                             struct marjoram_claim_entry *held);
+marjoram_claims_cast_vote (marjoram_claims *claims,
+                           const struct marjoram_claim_entry *entry);
+size_t marjoram_claims_list_attempts (const marjoram_claims *claims,
+                                      struct marjoram_hash128 key,
+                                      struct marjoram_claim_entry *held);
 void marjoram_claims_check_owners (marjoram_claims *claims,
                                    const struct marjoram_claim_entry *entry,
                                    const struct marjoram_claim_entry *held,
                                    size_t count);
-void marjoram_claims_note_blocked (struct marjoram_claim_answers *answers,
-                                   int from, bool recovered);
-void marjoram_claims_consult (marjoram_claims *claims,
-                              struct marjoram_attempt *attempt);
-void marjoram_claims_ask (marjoram_claims *claims,
-                          const struct marjoram_attempt *attempt);
-void marjoram_claims_clean_up (marjoram_claims *claims,
-                               struct marjoram_attempt *attempt);
+void marjoram_claims_set_blocked (struct marjoram_claim_answers *answers,
+                                  int from, bool recovered);
+void marjoram_claims_vote_locally (marjoram_claims *claims,
+                                   struct marjoram_attempt *attempt);
+void marjoram_claims_request_votes (marjoram_claims *claims,
+                                    const struct marjoram_attempt *attempt);
+void marjoram_claims_remove_refused (marjoram_claims *claims,
+                                     struct marjoram_attempt *attempt);
 struct marjoram_attempt *
-marjoram_claims_attempt (marjoram_claims *claims,
-                         const struct marjoram_claim_entry *entry);
+marjoram_claims_add_attempt (marjoram_claims *claims,
+                             const struct marjoram_claim_entry *entry);
 
 #endif
--- a/src/claim_message.c
+++ b/src/claim_message.c
@@ -56,7 +56,7 @@
         COUNT (message_fields) };
 
 struct marjoram_hash128
-marjoram_hash128_text (const char *text)
+marjoram_hash128_from_text (const char *text)
 {
   struct marjoram_hash128 hash;
 
@@ -72,8 +72,8 @@
 }
 
 bool
-marjoram_claim_same (const struct marjoram_claim_entry *a,
-                     const struct marjoram_claim_entry *b)
+marjoram_claim_same_attempt (const struct marjoram_claim_entry *a,
+                             const struct marjoram_claim_entry *b)
 {
   return a->owner == b->owner && a->incarnation == b->incarnation
          && a->number == b->number;
@@ -114,7 +114,8 @@
 }
 
 void
-marjoram_key_prefix (char *prefix, size_t size, const char *zone, int64_t wall)
+marjoram_key_format_prefix (char *prefix, size_t size, const char *zone,
+                            int64_t wall)
 {
   snprintf (prefix, size, "%s.%" PRIx64 ".", zone, (uint64_t)wall);
 }
--- a/src/claim_message.h
+++ b/src/claim_message.h
@@ -83,10 +83,10 @@
 };
 
 /* BLAKE2b, because keys are chosen by callers and must not collide.  */
-struct marjoram_hash128 marjoram_hash128_text (const char *text);
+struct marjoram_hash128 marjoram_hash128_from_text (const char *text);
 bool marjoram_hash128_equal (struct marjoram_hash128 a,
                              struct marjoram_hash128 b);
-bool marjoram_claim_same (const struct marjoram_claim_entry *a,
-                          const struct marjoram_claim_entry *b);
+bool marjoram_claim_same_attempt (const struct marjoram_claim_entry *a,
+                                  const struct marjoram_claim_entry *b);
 
 #endif
--- a/src/claim_record.c
+++ b/src/claim_record.c
@@ -53,7 +53,7 @@
   for (record = TAILQ_FIRST (&records->list); record; record = next)
     {
       next = TAILQ_NEXT (record, link);
-      marjoram_claim_records_drop (records, record);
+      marjoram_claim_records_remove (records, record);
     }
   free (records);
 }
@@ -198,8 +198,8 @@
 }
 
 void
-marjoram_claim_records_drop (marjoram_claim_records *records,
-                             struct marjoram_claim_record *record)
+marjoram_claim_records_remove (marjoram_claim_records *records,
+                               struct marjoram_claim_record *record)
 {
   unlink_key (records, record);
   for (int i = 0; i < MARJORAM_ZONE_SLOTS_MAX; i++)
@@ -214,8 +214,8 @@
 }
 
 void
-marjoram_claim_record_entry (const struct marjoram_claim_record *record,
-                             struct marjoram_claim_entry *entry)
+marjoram_claim_record_to_entry (const struct marjoram_claim_record *record,
+                                struct marjoram_claim_entry *entry)
 {
   *entry = (struct marjoram_claim_entry){ .key = record->key,
                                           .digest = record->digest,
@@ -238,7 +238,7 @@
        record && record->created_at < before / 1000; record = next)
     {
       next = TAILQ_NEXT (record, link);
-      marjoram_claim_records_drop (records, record);
+      marjoram_claim_records_remove (records, record);
     }
   evict_answers (records, now);
 }
--- a/src/claim_record.h
+++ b/src/claim_record.h
@@ -47,11 +47,12 @@
 marjoram_claim_records_put (marjoram_claim_records *records,
                             const struct marjoram_claim_entry *entry,
                             int64_t wall, int64_t replay_end);
-void marjoram_claim_records_drop (marjoram_claim_records *records,
-                                  struct marjoram_claim_record *record);
+void marjoram_claim_records_remove (marjoram_claim_records *records,
+                                    struct marjoram_claim_record *record);
 /* Copies RECORD to ENTRY.  The stored answer remains owned by RECORD.  */
-void marjoram_claim_record_entry (const struct marjoram_claim_record *record,
-                                  struct marjoram_claim_entry *entry);
+void
+marjoram_claim_record_to_entry (const struct marjoram_claim_record *record,
+                                struct marjoram_claim_entry *entry);
 /* Removes records created before BEFORE (wall clock), and stored answers whose
    replay time ended before NOW.  */
 void marjoram_claim_records_expire (marjoram_claim_records *records,
--- a/src/claim_recovery.c
+++ b/src/claim_recovery.c
@@ -14,9 +14,9 @@
 }
 
 bool
-marjoram_claim_recovery_hear (struct marjoram_claim_recovery *recovery,
-                              int from,
-                              const struct marjoram_claim_message *part)
+marjoram_claim_recovery_receive (struct marjoram_claim_recovery *recovery,
+                                 int from,
+                                 const struct marjoram_claim_message *part)
 {
   struct marjoram_claim_peer *peer = &recovery->peers[from];
 
@@ -84,7 +84,7 @@
 }
 
 bool
-marjoram_claim_recovery_try (
+marjoram_claim_recovery_try_finish (
     struct marjoram_claim_recovery *recovery,
     const struct marjoram_claim_incarnation *known_incarnations,
     bool wait_for_recovering, int64_t *horizon)
@@ -106,7 +106,7 @@
 }
 
 bool
-marjoram_claim_recovery_wants (struct marjoram_claim_recovery *recovery,
+marjoram_claim_recovery_needs (struct marjoram_claim_recovery *recovery,
                                int peer)
 {
   struct marjoram_claim_peer *p = &recovery->peers[peer];
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -137,7 +137,7 @@
 void marjoram_host_settle (marjoram_host *host, int64_t now);
 void marjoram_claim_result_destroy (struct marjoram_claim_result *result);
 
-/* agree.c: the configuration in force, and the keeper.  */
+/* host_consensus.c: the configuration in force, and the keeper.  */
 marjoram_spread *marjoram_host_create_spread (marjoram_host *host,
                                               int64_t now);
 bool marjoram_host_create_keeper (marjoram_host *host,
--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -4,11 +4,11 @@
 
 #define MARK(type, member)                                                    \
   { MARJORAM_FIELD_UINT,                                                      \
-    offsetof (type, member) + offsetof (struct marjoram_value_mark, high), 0, \
+    offsetof (type, member) + offsetof (struct marjoram_value_hash, high), 0, \
     NULL },                                                                   \
   {                                                                           \
     MARJORAM_FIELD_UINT,                                                      \
-        offsetof (type, member) + offsetof (struct marjoram_value_mark, low), \
+        offsetof (type, member) + offsetof (struct marjoram_value_hash, low), \
         0, NULL                                                               \
   }
 #define COUNT(array) (sizeof (array) / sizeof *(array))
--- a/src/keeper_parcel.c
+++ b/src/keeper_parcel.c
@@ -25,7 +25,7 @@
 
 static marjoram_value *
 find_marked (const marjoram_keeper *keeper,
-             const struct marjoram_value_mark *mark)
+             const struct marjoram_value_hash *mark)
 {
   marjoram_value *values[HELD_VALUES];
 
@@ -33,9 +33,9 @@
   for (size_t i = 0; i < HELD_VALUES; i++)
     if (values[i])
       {
-        struct marjoram_value_mark other = marjoram_value_mark (values[i]);
+        struct marjoram_value_hash other = marjoram_value_hash (values[i]);
 
-        if (marjoram_value_mark_equal (&other, mark))
+        if (marjoram_value_hash_equal (&other, mark))
           return values[i];
       }
   return NULL;
@@ -85,16 +85,16 @@
    prevent decoding to a different value.  */
 static void
 encode_against (const marjoram_keeper *keeper,
-                const struct marjoram_value_mark *accepted_mark,
+                const struct marjoram_value_hash *accepted_mark,
                 marjoram_value *value, struct marjoram_keeper_message *message)
 {
-  struct marjoram_value_mark mark = marjoram_value_mark (value);
+  struct marjoram_value_hash mark = marjoram_value_hash (value);
   marjoram_value *base = find_marked (keeper, accepted_mark);
 
   message->base_mark = *accepted_mark;
   message->encoding = MARJORAM_KEEPER_SAME;
   message->value = keeper->empty_bytes;
-  if (marjoram_value_mark_equal (&mark, accepted_mark))
+  if (marjoram_value_hash_equal (&mark, accepted_mark))
     return;
   message->encoding
       = base ? MARJORAM_KEEPER_DELTA : MARJORAM_KEEPER_COMPRESSED;
--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -218,8 +218,8 @@
   if (!marjoram_attempt_read (attempt, keeper->chosen))
     {
       if (marjoram_keeper_may_bootstrap (keeper)
-          && marjoram_attempt_may_form (attempt, keeper->first,
-                                        keeper->first_count))
+          && marjoram_attempt_may_propose_founding (attempt, keeper->first,
+                                                    keeper->first_count))
         propose (keeper, founding_value (keeper));
       return;
     }
--- a/src/register.c
+++ b/src/register.c
@@ -13,10 +13,10 @@
   int references;
   struct marjoram_state *state;
   marjoram_bytes *packed;
-  struct marjoram_value_mark hash; /* zero until computed */
+  struct marjoram_value_hash hash; /* zero until computed */
   marjoram_bytes *compressed;
   marjoram_bytes *delta; /* against the value identified by BASE */
-  struct marjoram_value_mark base;
+  struct marjoram_value_hash base;
 };
 
 static int
@@ -125,20 +125,20 @@
 }
 
 bool
-marjoram_value_mark_equal (const struct marjoram_value_mark *a,
-                           const struct marjoram_value_mark *b)
+marjoram_value_hash_equal (const struct marjoram_value_hash *a,
+                           const struct marjoram_value_hash *b)
 {
   return a->high == b->high && a->low == b->low;
 }
 
-struct marjoram_value_mark
-marjoram_value_mark (marjoram_value *value)
+struct marjoram_value_hash
+marjoram_value_hash (marjoram_value *value)
 {
-  static const struct marjoram_value_mark none;
+  static const struct marjoram_value_hash none;
 
   if (!value)
     return none;
-  if (marjoram_value_mark_equal (&value->hash, &none))
+  if (marjoram_value_hash_equal (&value->hash, &none))
     crypto_generichash ((unsigned char *)&value->hash, sizeof value->hash,
                         marjoram_bytes_data (value->packed),
                         marjoram_bytes_size (value->packed), NULL, 0);
@@ -148,9 +148,9 @@
 static marjoram_bytes *
 delta_against (marjoram_value *value, marjoram_value *base)
 {
-  struct marjoram_value_mark hash = marjoram_value_mark (base);
+  struct marjoram_value_hash hash = marjoram_value_hash (base);
 
-  if (value->delta && marjoram_value_mark_equal (&value->base, &hash))
+  if (value->delta && marjoram_value_hash_equal (&value->base, &hash))
     return value->delta;
   marjoram_bytes_release (value->delta);
   value->delta = marjoram_compress (value->packed, base->packed);
@@ -331,8 +331,8 @@
 }
 
 bool
-marjoram_attempt_may_form (const struct marjoram_attempt *attempt,
-                           char *const *first, size_t count)
+marjoram_attempt_may_propose_founding (const struct marjoram_attempt *attempt,
+                                       char *const *first, size_t count)
 {
   if (count == 0
       || (attempt->best && !marjoram_value_is_founding (attempt->best)))
--- a/src/register.h
+++ b/src/register.h
@@ -25,7 +25,7 @@
 
 /* A cryptographic hash that identifies a value by its packed form.  Zero
    stands for no value.  */
-struct marjoram_value_mark
+struct marjoram_value_hash
 {
   uint64_t high;
   uint64_t low;
@@ -43,9 +43,9 @@
 marjoram_value_state (const marjoram_value *value);
 /* The result is owned by VALUE.  */
 marjoram_bytes *marjoram_value_packed (const marjoram_value *value);
-struct marjoram_value_mark marjoram_value_mark (marjoram_value *value);
-bool marjoram_value_mark_equal (const struct marjoram_value_mark *a,
-                                const struct marjoram_value_mark *b);
+struct marjoram_value_hash marjoram_value_hash (marjoram_value *value);
+bool marjoram_value_hash_equal (const struct marjoram_value_hash *a,
+                                const struct marjoram_value_hash *b);
 /* Returns the compressed packed form, or a delta against BASE unless that is
    null.  The result is cached and owned by VALUE; only the delta against the
    most recent base is retained.  */
@@ -126,8 +126,9 @@
    promised, and no value beyond a founding one was reported.  This keeps
    keepers with empty disks from starting a second history next to an existing
    one.  */
-bool marjoram_attempt_may_form (const struct marjoram_attempt *attempt,
-                                char *const *first, size_t count);
+bool
+marjoram_attempt_may_propose_founding (const struct marjoram_attempt *attempt,
+                                       char *const *first, size_t count);
 void marjoram_attempt_propose (struct marjoram_attempt *attempt,
                                marjoram_value *value);
 void marjoram_attempt_accepted (struct marjoram_attempt *attempt,
--- a/src/report.c
+++ b/src/report.c
@@ -61,7 +61,7 @@
 
   if (host->claims)
     wall = marjoram_claims_issue_time (host->claims, wall);
-  marjoram_key_prefix (prefix, sizeof prefix, settings->zone, wall);
+  marjoram_key_format_prefix (prefix, sizeof prefix, settings->zone, wall);
   if (host->config)
     for (int rank = 0; rank < 4; rank++)
       add_entries (host, now, entries, rank);
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -584,7 +584,7 @@
 /* Host 0 votes for A between two restarts, and a duplicate of the state sent
    for its first recovery arrives during the second.  That state lacks A; using
    it would let B run as well.  */
-START_TEST (state_for_a_former_incarnation_is_void)
+START_TEST (state_for_an_earlier_incarnation_is_ignored)
 {
   struct zone zone;
   int a;
@@ -670,7 +670,7 @@
 
 /* A is withdrawn before it is decided.  A vote for it that arrives after B was
    granted must not grant A too.  */
-START_TEST (late_vote_for_a_withdrawn_attempt_is_void)
+START_TEST (late_vote_for_a_withdrawn_attempt_is_ignored)
 {
   struct zone zone;
   int a, b;
@@ -867,7 +867,7 @@
 /* Host 2's clock is ahead, and its horizon is adopted by host 0.  If host 0
    voted for a key beyond its own horizon and then restarted, it would vote for
    that key again and the request would run twice.  */
-START_TEST (horizon_of_a_peer_lets_no_key_in)
+START_TEST (peer_horizon_does_not_admit_keys)
 {
   struct zone zone;
   int a, b;
@@ -964,7 +964,7 @@
 }
 
 /* Recovers more claims than fit into one message.  */
-START_TEST (large_state_comes_back_in_parts)
+START_TEST (large_state_is_transferred_in_parts)
 {
   enum
   {
@@ -998,7 +998,7 @@
 }
 END_TEST
 
-START_TEST (reads_keys)
+START_TEST (parses_keys)
 {
   static const struct
   {
@@ -1029,7 +1029,7 @@
   long_key[sizeof long_key - 1] = '\0';
   memcpy (long_key, "z.12.", 5);
   ck_assert (!marjoram_key_parse (long_key, zone, &issued));
-  marjoram_key_prefix (prefix, sizeof prefix, "ba-1", 0x19a2f3c4d5e);
+  marjoram_key_format_prefix (prefix, sizeof prefix, "ba-1", 0x19a2f3c4d5e);
   ck_assert_str_eq (prefix, "ba-1.19a2f3c4d5e.");
 }
 END_TEST
@@ -1043,10 +1043,10 @@
   tcase_add_test (c, grants_one_and_replays_it);
   tcase_add_test (c, vote_of_a_restarted_host_does_not_count);
   tcase_add_test (c, recovery_needs_more_than_one_peer);
-  tcase_add_test (c, state_for_a_former_incarnation_is_void);
+  tcase_add_test (c, state_for_an_earlier_incarnation_is_ignored);
   tcase_add_test (c, state_from_before_a_restart_does_not_count);
   tcase_add_test (c, recovery_keeps_every_attempt);
-  tcase_add_test (c, late_vote_for_a_withdrawn_attempt_is_void);
+  tcase_add_test (c, late_vote_for_a_withdrawn_attempt_is_ignored);
   tcase_add_test (c, lost_withdrawal_does_not_block_the_key);
   tcase_add_test (c, racing_hosts_do_not_block_each_other);
   tcase_add_test (c, same_host_runs_a_key_once);
@@ -1055,12 +1055,12 @@
   tcase_add_test (c, outcome_survives_restarts_one_by_one);
   tcase_add_test (c, recovering_host_is_asked_again);
   tcase_add_loop_test (c, restarted_zone_refuses_old_keys_only, 0, 5);
-  tcase_add_test (c, horizon_of_a_peer_lets_no_key_in);
+  tcase_add_test (c, peer_horizon_does_not_admit_keys);
   tcase_add_test (c, key_from_the_future_is_not_run);
   tcase_add_test (c, without_majority_nothing_runs);
   tcase_add_test (c, answers_and_claims_are_kept_for_a_time);
-  tcase_add_test (c, large_state_comes_back_in_parts);
-  tcase_add_test (c, reads_keys);
+  tcase_add_test (c, large_state_is_transferred_in_parts);
+  tcase_add_test (c, parses_keys);
   tcase_add_loop_test (c, runs_at_most_once_in_random_schedules, 0, 8);
   tcase_set_timeout (c, TEST_SECONDS);
   suite_add_tcase (s, c);
--- a/test/test_fuzz_message.c
+++ b/test/test_fuzz_message.c
@@ -221,7 +221,7 @@
 /* Messages with missing names, or with ordinals, kinds and numbers out of
    range, must not crash a module or make it send a message that exceeds the
    limits of its layout.  */
-START_TEST (decisions_survive_senseless_messages)
+START_TEST (modules_survive_invalid_messages)
 {
   static const enum marjoram_frame_type types[]
       = { MARJORAM_FRAME_UPSTREAM, MARJORAM_FRAME_CLAIM,
@@ -259,7 +259,7 @@
   TCase *c = tcase_create ("fuzz_message");
 
   tcase_set_timeout (c, 60);
-  tcase_add_loop_test (c, decisions_survive_senseless_messages, 0, 6);
+  tcase_add_loop_test (c, modules_survive_invalid_messages, 0, 6);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_register.c
+++ b/test/test_register.c
@@ -143,9 +143,9 @@
   marjoram_attempt_promised (&attempt, "b", "b", &before, founding);
   ck_assert (!marjoram_attempt_read (&attempt, NULL));
   ck_assert (marjoram_attempt_read (&attempt, founding));
-  ck_assert (!marjoram_attempt_may_form (&attempt, first, FIRST));
+  ck_assert (!marjoram_attempt_may_propose_founding (&attempt, first, FIRST));
   marjoram_attempt_promised (&attempt, "c", "c", &before, NULL);
-  ck_assert (marjoram_attempt_may_form (&attempt, first, FIRST));
+  ck_assert (marjoram_attempt_may_propose_founding (&attempt, first, FIRST));
   marjoram_attempt_propose (&attempt, founding);
   marjoram_attempt_accepted (&attempt, "a", "a");
   marjoram_attempt_accepted (&attempt, "b", "b");
@@ -515,7 +515,7 @@
 /* Empty disks under the names of all first keepers must not create a new
    founding value while other hosts still have the state: the number would
    restart at 1.  */
-START_TEST (empty_disks_form_no_second_state)
+START_TEST (empty_disks_create_no_second_state)
 {
   struct net *net = create_net ();
 
@@ -598,7 +598,7 @@
   tcase_add_test (c, old_members_stay_until_the_step_is_known_chosen);
   tcase_add_test (c, ballots_are_used_once);
   tcase_add_test (c, repair_waits_for_the_new_store);
-  tcase_add_test (c, empty_disks_form_no_second_state);
+  tcase_add_test (c, empty_disks_create_no_second_state);
   tcase_add_test (c, says_not_run_only_when_proven);
   tcase_add_test (c, answers_a_change_sent_again_as_before);
   suite_add_tcase (s, c);
