--- a/bench/bench_keeper.c
+++ b/bench/bench_keeper.c
@@ -90,7 +90,8 @@
 
   flight->from = host->index;
   flight->to = slot[1] - '0';
-  flight->packed = marjoram_wire_pack (&marjoram_keeper_layout, message);
+  flight->packed
+      = marjoram_wire_pack (&marjoram_keeper_message_layout, message);
   STAILQ_INSERT_TAIL (&host->net->flights, flight, link);
 }
 
@@ -178,12 +179,13 @@
       struct marjoram_keeper_message *message;
 
       STAILQ_REMOVE_HEAD (&net->flights, link);
-      message = marjoram_wire_unpack (
-          &marjoram_keeper_layout, marjoram_bytes_data (flight->packed),
-          marjoram_bytes_size (flight->packed), NULL);
+      message
+          = marjoram_wire_unpack (&marjoram_keeper_message_layout,
+                                  marjoram_bytes_data (flight->packed),
+                                  marjoram_bytes_size (flight->packed), NULL);
       marjoram_keeper_receive (net->hosts[flight->to].keeper, net->now,
                                net->hosts[flight->from].slot, message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout, message);
       marjoram_bytes_release (flight->packed);
       free (flight);
     }
@@ -208,7 +210,7 @@
   for (int i = 0; i < KEEPERS; i++)
     {
       const struct marjoram_state *state
-          = marjoram_keeper_state (net->hosts[i].keeper);
+          = marjoram_keeper_durable_state (net->hosts[i].keeper);
 
       if (!state || !marjoram_keeper_votes (net->hosts[i].keeper)
           || (i > 0 && state->number != number))
@@ -474,7 +476,7 @@
 
   sum->answered += took >= 0;
   sum->took_ms += took < 0 ? AGREE_MS : took;
-  sum->agreed += keeper_net_agree (net, AGREE_MS);
+  sum->agreed += keeper_net_wait_agreement (net, AGREE_MS);
 }
 
 static void
@@ -508,11 +510,11 @@
   struct route_changes first = { 0 }, sum = { 0 };
   clock_t cpu;
 
-  if (!keeper_net_agree (net, AGREE_MS))
+  if (!keeper_net_wait_agreement (net, AGREE_MS))
     fail ("a first state");
   change_route (net, routes, 0, &first);
   keeper_net_run (net, AGREE_MS);
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   cpu = clock ();
   for (int i = 1; i <= ROUTE_CHANGES; i++)
     change_route (net, routes, i, &sum);
--- a/src/host_peer.c
+++ b/src/host_peer.c
@@ -89,7 +89,7 @@
                                        heartbeat->draining);
   marjoram_spread_heard (host->spread, now, slot, heartbeat->config_number);
   if (host->keeper && heartbeat->config_number > 0)
-    marjoram_keeper_heard (host->keeper, heartbeat->config_number);
+    marjoram_keeper_observe_number (host->keeper, heartbeat->config_number);
 }
 
 /* Frames that only hosts of the same zone may send.  */
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -126,7 +126,7 @@
       marjoram_keeper_envelope_destroy (envelope);
       start_attempt_if_needed (keeper);
     }
-  marjoram_keeper_announce (keeper);
+  marjoram_keeper_deliver_chosen (keeper);
   marjoram_keeper_flush (keeper);
 }
 
@@ -316,10 +316,10 @@
     {
       /* Reports what was seen of that store, so that it can detect a
          rollback.  */
-      marjoram_keeper_post (keeper, marjoram_keeper_envelope_create (
-                                        from, message->store_id,
-                                        MARJORAM_KEEPER_HEARTBEAT_REPLY, NULL,
-                                        NULL, NULL));
+      marjoram_keeper_send_envelope (
+          keeper, marjoram_keeper_envelope_create (
+                      from, message->store_id, MARJORAM_KEEPER_HEARTBEAT_REPLY,
+                      NULL, NULL, NULL));
       return false;
     }
   if (names_our_store (keeper, message)
@@ -390,7 +390,7 @@
           = STAILQ_FIRST (&keeper->pending_replies);
 
       STAILQ_REMOVE_HEAD (&keeper->pending_replies, link);
-      marjoram_keeper_post (keeper, reply);
+      marjoram_keeper_send_envelope (keeper, reply);
     }
   process_pending (keeper);
 }
@@ -528,14 +528,14 @@
 }
 
 void
-marjoram_keeper_heard (marjoram_keeper *keeper, uint64_t number)
+marjoram_keeper_observe_number (marjoram_keeper *keeper, uint64_t number)
 {
   if (number > 0)
     keeper->bootstrapped = true;
 }
 
 const struct marjoram_state *
-marjoram_keeper_state (const marjoram_keeper *keeper)
+marjoram_keeper_durable_state (const marjoram_keeper *keeper)
 {
   if (keeper->delivered)
     return marjoram_value_state (keeper->delivered);
@@ -545,14 +545,14 @@
 }
 
 const struct marjoram_state *
-marjoram_keeper_chosen (const marjoram_keeper *keeper)
+marjoram_keeper_chosen_state (const marjoram_keeper *keeper)
 {
   return keeper->chosen ? marjoram_value_state (keeper->chosen) : NULL;
 }
 
 const char *
-marjoram_keeper_heard_store (const marjoram_keeper *keeper, const char *slot,
-                             int64_t age_ms)
+marjoram_keeper_store_in_slot (const marjoram_keeper *keeper, const char *slot,
+                               int64_t age_ms)
 {
   const struct marjoram_keeper_peer *peer;
 
@@ -584,7 +584,7 @@
 }
 
 const char *
-marjoram_keeper_trouble (const marjoram_keeper *keeper)
+marjoram_keeper_no_vote_reason (const marjoram_keeper *keeper)
 {
   if (keeper->write_failed)
     return "a write to the data folder failed: no vote; repair the disk and "
--- a/src/keeper.h
+++ b/src/keeper.h
@@ -12,7 +12,7 @@
 typedef struct marjoram_keeper marjoram_keeper;
 
 struct marjoram_keeper_message; /* defined in keeper_message.h */
-extern const struct marjoram_layout marjoram_keeper_layout;
+extern const struct marjoram_layout marjoram_keeper_message_layout;
 
 /* Outcome of an apply.  NOT_RUN: nothing was changed and nothing will be.
    UNKNOWN: it may still take effect; resend it with the same change id.  */
@@ -35,8 +35,8 @@
 
 struct marjoram_keeper_ops
 {
-  /* Sends MESSAGE, packed with marjoram_keeper_layout, to the keeper in SLOT.
-     Delivery is not guaranteed.  */
+  /* Sends MESSAGE, packed with marjoram_keeper_message_layout, to the keeper
+     in SLOT. Delivery is not guaranteed.  */
   void (*send) (void *context, const char *slot,
                 const struct marjoram_keeper_message *message);
   /* Replaces the stored record by RECORD durably, then calls
@@ -90,7 +90,7 @@
 void marjoram_keeper_probe (marjoram_keeper *keeper, int64_t now,
                             const char *slot);
 /* Linearizable read: answered DECIDED once a majority has confirmed, after
-   this call, that marjoram_keeper_chosen is the latest state; NOT_RUN on
+   this call, that marjoram_keeper_chosen_state is the latest state; NOT_RUN on
    timeout.  */
 void marjoram_keeper_read (marjoram_keeper *keeper, int64_t now,
                            uint64_t request);
@@ -101,24 +101,24 @@
                                 uint64_t ticket, bool ok);
 /* A host reported a configuration with this number: a keeper with an empty
    disk then never takes part in bootstrapping.  */
-void marjoram_keeper_heard (marjoram_keeper *keeper, uint64_t number);
+void marjoram_keeper_observe_number (marjoram_keeper *keeper, uint64_t number);
 /* To be called at least every 100 ms.  */
 void marjoram_keeper_tick (marjoram_keeper *keeper, int64_t now);
 /* The latest chosen state that is on this disk; null before any.  */
 const struct marjoram_state *
-marjoram_keeper_state (const marjoram_keeper *keeper);
+marjoram_keeper_durable_state (const marjoram_keeper *keeper);
 /* The latest state known to be chosen, on this disk or not; null before
    any.  */
 const struct marjoram_state *
-marjoram_keeper_chosen (const marjoram_keeper *keeper);
+marjoram_keeper_chosen_state (const marjoram_keeper *keeper);
 /* The id of the store last heard from in SLOT within AGE_MS; null if none
    was.  */
-const char *marjoram_keeper_heard_store (const marjoram_keeper *keeper,
-                                         const char *slot, int64_t age_ms);
+const char *marjoram_keeper_store_in_slot (const marjoram_keeper *keeper,
+                                           const char *slot, int64_t age_ms);
 /* Whether this keeper's store is a voting member.  */
 bool marjoram_keeper_votes (const marjoram_keeper *keeper);
 /* Why this keeper can't vote, with the remedy, for status output; null if it
    can.  */
-const char *marjoram_keeper_trouble (const marjoram_keeper *keeper);
+const char *marjoram_keeper_no_vote_reason (const marjoram_keeper *keeper);
 
 #endif
--- a/src/keeper_accept.c
+++ b/src/keeper_accept.c
@@ -106,7 +106,7 @@
   if (keeper->confirmed)
     return;
   if (keeper->confirm_by == 0)
-    keeper->confirm_by = keeper->now + MARJORAM_KEEPER_MEET_MS;
+    keeper->confirm_by = keeper->now + MARJORAM_KEEPER_CONFIRM_TIMEOUT_MS;
   keeper->confirmed
       = confirmed_by_majority (keeper)
         || (keeper->now >= keeper->confirm_by && confirmed_by_any (keeper));
@@ -115,7 +115,7 @@
 /* Delivered once durable, so that a restart can't go back to an older state.
    After a failed write the latest state is delivered anyway.  */
 void
-marjoram_keeper_announce (marjoram_keeper *keeper)
+marjoram_keeper_deliver_chosen (marjoram_keeper *keeper)
 {
   if (keeper->chosen == keeper->delivered
       || (keeper->durable < keeper->deliver_after && !keeper->write_failed))
@@ -152,10 +152,10 @@
 reject (marjoram_keeper *keeper,
         const struct marjoram_keeper_envelope *envelope)
 {
-  marjoram_keeper_post (keeper, marjoram_keeper_envelope_create (
-                                    envelope->slot, envelope->store_id,
-                                    MARJORAM_KEEPER_REJECT, &envelope->ballot,
-                                    &keeper->acceptor.promised, NULL));
+  marjoram_keeper_send_envelope (
+      keeper, marjoram_keeper_envelope_create (
+                  envelope->slot, envelope->store_id, MARJORAM_KEEPER_REJECT,
+                  &envelope->ballot, &keeper->acceptor.promised, NULL));
 }
 
 void
--- a/src/keeper_parcel.c
+++ b/src/keeper_encoding.c
@@ -92,7 +92,7 @@
   marjoram_value *base = find_marked (keeper, accepted_mark);
 
   message->base_mark = *accepted_mark;
-  message->encoding = MARJORAM_KEEPER_SAME;
+  message->encoding = MARJORAM_KEEPER_REFERENCE;
   message->value = keeper->empty_bytes;
   if (marjoram_value_hash_equal (&mark, accepted_mark))
     return;
@@ -109,8 +109,8 @@
 {
   message->encoding = MARJORAM_KEEPER_PLAIN;
   message->value = marjoram_value_packed (value);
-  if (marjoram_bytes_size (message->value) > MARJORAM_KEEPER_SMALL && peer
-      && peer->max_encoding >= MARJORAM_KEEPER_SAME)
+  if (marjoram_bytes_size (message->value) > MARJORAM_KEEPER_SMALL_MAX && peer
+      && peer->max_encoding >= MARJORAM_KEEPER_REFERENCE)
     encode_against (keeper, &peer->accepted_mark, value, message);
 }
 
@@ -125,9 +125,9 @@
   if (message->encoding == MARJORAM_KEEPER_COMPRESSED)
     return decode_compressed (keeper, message->value, NULL);
   base = find_marked (keeper, &message->base_mark);
-  if (!base || message->encoding > MARJORAM_KEEPER_SAME)
+  if (!base || message->encoding > MARJORAM_KEEPER_REFERENCE)
     return NULL;
-  if (message->encoding == MARJORAM_KEEPER_SAME)
+  if (message->encoding == MARJORAM_KEEPER_REFERENCE)
     return marjoram_value_retain (base);
   return decode_compressed (keeper, message->value, base);
 }
--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -45,7 +45,7 @@
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, max_encoding) },
   MARK (struct marjoram_keeper_message, accepted_mark),
 };
-const struct marjoram_layout marjoram_keeper_layout
+const struct marjoram_layout marjoram_keeper_message_layout
     = { "marjoram_keeper_message", sizeof (struct marjoram_keeper_message),
         message_fields, COUNT (message_fields) };
 
--- a/src/keeper_message.h
+++ b/src/keeper_message.h
@@ -25,7 +25,7 @@
   MARJORAM_KEEPER_PLAIN,      /* the packed value */
   MARJORAM_KEEPER_COMPRESSED, /* compressed */
   MARJORAM_KEEPER_DELTA,      /* compressed against the marked value */
-  MARJORAM_KEEPER_SAME        /* no bytes; equal to the marked value */
+  MARJORAM_KEEPER_REFERENCE   /* no bytes; equal to the marked value */
 };
 
 /* Each message carries the sender's store and incarnation, and what the sender
--- a/src/keeper_peer.c
+++ b/src/keeper_peer.c
@@ -31,8 +31,8 @@
 }
 
 struct marjoram_keeper_peer *
-marjoram_keeper_peers_answered (const struct marjoram_keeper_peers *peers,
-                                const char *slot, int64_t since)
+marjoram_keeper_peers_latest_answered (
+    const struct marjoram_keeper_peers *peers, const char *slot, int64_t since)
 {
   struct marjoram_keeper_peer *peer, *last = NULL;
 
--- a/src/keeper_peer.h
+++ b/src/keeper_peer.h
@@ -44,9 +44,9 @@
     int64_t since);
 /* The peer in SLOT that most recently answered a heartbeat sent at SINCE or
    later; null if none.  */
-struct marjoram_keeper_peer *
-marjoram_keeper_peers_answered (const struct marjoram_keeper_peers *peers,
-                                const char *slot, int64_t since);
+struct marjoram_keeper_peer *marjoram_keeper_peers_latest_answered (
+    const struct marjoram_keeper_peers *peers, const char *slot,
+    int64_t since);
 /* Whether the last large message to PEER may still be in flight: no heartbeat
    sent after it has been answered.  */
 bool marjoram_keeper_peer_is_busy (const struct marjoram_keeper_peer *peer);
--- a/src/keeper_private.h
+++ b/src/keeper_private.h
@@ -1,6 +1,6 @@
-/* Internals of a keeper, shared by keeper.c (public calls), keeper_mail.c
-   (messages), keeper_parcel.c (encoding of values), keeper_accept.c (acceptor,
-   disk, learning) and keeper_propose.c (proposer).  */
+/* Internals of a keeper, shared by keeper.c (public calls), keeper_transport.c
+   (messages), keeper_encoding.c (encoding of values), keeper_accept.c
+   (acceptor, disk, learning) and keeper_propose.c (proposer).  */
 #ifndef MARJORAM_KEEPER_PRIVATE_H
 #define MARJORAM_KEEPER_PRIVATE_H
 
@@ -12,7 +12,7 @@
 enum
 {
   MARJORAM_KEEPER_HEARTBEAT_MS = 1000,
-  MARJORAM_KEEPER_MEET_MS = 10000,
+  MARJORAM_KEEPER_CONFIRM_TIMEOUT_MS = 10000,
   /* A peer silent for longer is not relied on for bootstrapping, nor admitted
      as the new keeper of a replacement.  */
   MARJORAM_KEEPER_PEER_TIMEOUT_MS = 3500,
@@ -28,7 +28,7 @@
   MARJORAM_KEEPER_WRITE_RETRY_MS = 500,
   MARJORAM_KEEPER_TARGETS_MAX = 64,
   /* Bytes; messages up to this size are neither held back nor compressed.  */
-  MARJORAM_KEEPER_SMALL = 4096
+  MARJORAM_KEEPER_SMALL_MAX = 4096
 };
 
 /* A message waiting for a disk write, or to be processed by this keeper
@@ -66,7 +66,7 @@
   marjoram_value
       *previous_chosen; /* chosen before CHOSEN; peers may still hold it */
   marjoram_value *delivered;   /* the one last delivered to the owner */
-  marjoram_bytes *empty_bytes; /* zero bytes, for MARJORAM_KEEPER_SAME */
+  marjoram_bytes *empty_bytes; /* zero bytes, for MARJORAM_KEEPER_REFERENCE */
   uint64_t deliver_after;
 
   uint64_t base;     /* durable writes at the start of this incarnation */
@@ -115,8 +115,8 @@
 marjoram_keeper_decode_value (const marjoram_keeper *keeper,
                               const struct marjoram_keeper_message *message);
 /* Sends ENVELOPE and takes ownership of it.  */
-void marjoram_keeper_post (marjoram_keeper *keeper,
-                           struct marjoram_keeper_envelope *envelope);
+void marjoram_keeper_send_envelope (marjoram_keeper *keeper,
+                                    struct marjoram_keeper_envelope *envelope);
 void
 marjoram_keeper_send_when_durable (marjoram_keeper *keeper,
                                    struct marjoram_keeper_envelope *envelope);
@@ -139,7 +139,7 @@
                             const struct marjoram_ballot *ballot,
                             marjoram_value *value);
 /* Delivers the chosen state to the owner if it changed.  */
-void marjoram_keeper_announce (marjoram_keeper *keeper);
+void marjoram_keeper_deliver_chosen (marjoram_keeper *keeper);
 /* Starts the next write, if one is due.  */
 void marjoram_keeper_flush (marjoram_keeper *keeper);
 bool marjoram_keeper_load (marjoram_keeper *keeper,
--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -14,9 +14,10 @@
                       ? MARJORAM_KEEPER_PREPARE
                       : MARJORAM_KEEPER_ACCEPT;
 
-  marjoram_keeper_post (keeper, marjoram_keeper_envelope_create (
-                                    slot, NULL, kind, &attempt->ballot, NULL,
-                                    attempt->proposed));
+  marjoram_keeper_send_envelope (
+      keeper,
+      marjoram_keeper_envelope_create (slot, NULL, kind, &attempt->ballot,
+                                       NULL, attempt->proposed));
 }
 
 void
@@ -102,8 +103,8 @@
     return keeper->delivered == keeper->chosen ? keeper->store_id : NULL;
   /* A store last heard from before the request may be the one that was
      lost.  */
-  peer = marjoram_keeper_peers_answered (&keeper->peers, request->new,
-                                         request->received_at);
+  peer = marjoram_keeper_peers_latest_answered (&keeper->peers, request->new,
+                                                request->received_at);
   if (!peer || peer->number < marjoram_value_number (keeper->chosen))
     return NULL;
   return peer->seen.store_id;
@@ -189,7 +190,7 @@
 {
   marjoram_bytes *packed = marjoram_value_packed (attempt->proposed);
 
-  return marjoram_bytes_size (packed) <= MARJORAM_KEEPER_SMALL
+  return marjoram_bytes_size (packed) <= MARJORAM_KEEPER_SMALL_MAX
          || marjoram_voters_find (&attempt->promised, slot);
 }
 
@@ -246,7 +247,7 @@
 
   for (size_t i = 0; i < count; i++)
     if (strcmp (targets[i], keeper->slot) != 0)
-      marjoram_keeper_post (
+      marjoram_keeper_send_envelope (
           keeper, marjoram_keeper_envelope_create (targets[i], NULL,
                                                    MARJORAM_KEEPER_CHOSEN,
                                                    &ballot, NULL, NULL));
--- a/src/keeper_tell.c
+++ b/src/keeper_publish.c
@@ -9,7 +9,8 @@
 static void
 load_newest_state (struct marjoram_keeper_role *self)
 {
-  const struct marjoram_state *state = marjoram_keeper_state (self->keeper);
+  const struct marjoram_state *state
+      = marjoram_keeper_durable_state (self->keeper);
 
   if (state)
     marjoram_state_giver_set (self->giver, state);
--- a/src/keeper_care.c
+++ b/src/keeper_repair.c
@@ -1,4 +1,4 @@
-#include "keeper_care.h"
+#include "keeper_repair.h"
 
 #include "cleanup.h"
 
@@ -20,7 +20,7 @@
   REQUEST_INTERVAL_MS = 1500
 };
 
-struct marjoram_keeper_care
+struct marjoram_keeper_repair
 {
   char *slot;
   size_t members; /* target number */
@@ -30,10 +30,10 @@
   struct marjoram_keeper_change due;
 };
 
-marjoram_keeper_care *
+marjoram_keeper_repair *
 marjoram_keeper_repair_create (const char *slot, size_t losses)
 {
-  marjoram_keeper_care *repair = marjoram_alloc (sizeof *repair);
+  marjoram_keeper_repair *repair = marjoram_alloc (sizeof *repair);
 
   repair->slot = marjoram_strdup (slot);
   repair->members = 2 * losses + 1;
@@ -41,7 +41,7 @@
 }
 
 void
-marjoram_keeper_repair_destroy (marjoram_keeper_care *repair)
+marjoram_keeper_repair_destroy (marjoram_keeper_repair *repair)
 {
   if (!repair)
     return;
@@ -73,8 +73,8 @@
           = marjoram_host_list_find (hosts, members[i].slot);
 
       count += host && strcmp (host->beat.region, region) == 0
-               && marjoram_keeper_heard_store (keeper, members[i].slot,
-                                               FAILED_MS);
+               && marjoram_keeper_store_in_slot (keeper, members[i].slot,
+                                                 FAILED_MS);
     }
   return count;
 }
@@ -95,7 +95,8 @@
 
     if (!host->beat.keeper
         || marjoram_voters_find (&state->members, host->beat.name)
-        || !marjoram_keeper_heard_store (keeper, host->beat.name, PRESENT_MS))
+        || !marjoram_keeper_store_in_slot (keeper, host->beat.name,
+                                           PRESENT_MS))
       continue;
     count = count_live_members (keeper, state, hosts, host->beat.region);
     if (count >= fewest)
@@ -116,8 +117,8 @@
 
   for (size_t i = 0; i < state->members.count; i++)
     {
-      const char *store
-          = marjoram_keeper_heard_store (keeper, members[i].slot, PRESENT_MS);
+      const char *store = marjoram_keeper_store_in_slot (
+          keeper, members[i].slot, PRESENT_MS);
 
       if (!store || strcmp (store, members[i].store_id) == 0)
         continue;
@@ -128,7 +129,7 @@
 }
 
 static bool
-find_change (const struct marjoram_keeper_care *repair,
+find_change (const struct marjoram_keeper_repair *repair,
              const marjoram_keeper *keeper, const struct marjoram_state *state,
              marjoram_host_list *hosts, struct marjoram_keeper_change *change)
 {
@@ -139,7 +140,7 @@
     return true;
   spare = find_spare (keeper, state, hosts);
   for (size_t i = 0; spare && i < state->members.count; i++)
-    if (!marjoram_keeper_heard_store (keeper, members[i].slot, FAILED_MS))
+    if (!marjoram_keeper_store_in_slot (keeper, members[i].slot, FAILED_MS))
       {
         set_change (change, members[i].slot, spare);
         return true;
@@ -160,12 +161,12 @@
 
   TAILQ_FOREACH (host, marjoram_host_list_all (hosts), link)
   if (host->beat.keeper && marjoram_host_list_alive (host, now)
-      && !marjoram_keeper_heard_store (keeper, host->beat.name, PRESENT_MS))
+      && !marjoram_keeper_store_in_slot (keeper, host->beat.name, PRESENT_MS))
     marjoram_keeper_probe (keeper, now, host->beat.name);
 }
 
 static int64_t
-rank_delay (const struct marjoram_keeper_care *repair,
+rank_delay (const struct marjoram_keeper_repair *repair,
             const struct marjoram_state *state)
 {
   const struct marjoram_keeper_member *members = state->members.items;
@@ -177,12 +178,12 @@
 }
 
 bool
-marjoram_keeper_repair_tick (marjoram_keeper_care *repair, int64_t now,
+marjoram_keeper_repair_tick (marjoram_keeper_repair *repair, int64_t now,
                              marjoram_keeper *keeper,
                              marjoram_host_list *hosts,
                              struct marjoram_keeper_change *change)
 {
-  const struct marjoram_state *state = marjoram_keeper_chosen (keeper);
+  const struct marjoram_state *state = marjoram_keeper_chosen_state (keeper);
 
   probe_new_keepers (keeper, now, hosts);
   if (!state || state->next_members.count > 0
--- a/src/keeper_care.h
+++ b/src/keeper_repair.h
@@ -8,7 +8,7 @@
 #include "host_list.h"
 #include "keeper.h"
 
-typedef struct marjoram_keeper_care marjoram_keeper_care;
+typedef struct marjoram_keeper_repair marjoram_keeper_repair;
 
 struct marjoram_keeper_change
 {
@@ -19,12 +19,12 @@
 
 /* LOSSES: number of disks that may be lost at once.  The membership has 2 *
    LOSSES + 1 keepers, so that a majority is left.  */
-marjoram_keeper_care *marjoram_keeper_repair_create (const char *slot,
-                                                     size_t losses);
-void marjoram_keeper_repair_destroy (marjoram_keeper_care *repair);
+marjoram_keeper_repair *marjoram_keeper_repair_create (const char *slot,
+                                                       size_t losses);
+void marjoram_keeper_repair_destroy (marjoram_keeper_repair *repair);
 /* Probes keepers among HOSTS that have not been heard from, and returns true
    if CHANGE is to be requested now.  To be called at least every 200 ms.  */
-bool marjoram_keeper_repair_tick (marjoram_keeper_care *repair, int64_t now,
+bool marjoram_keeper_repair_tick (marjoram_keeper_repair *repair, int64_t now,
                                   marjoram_keeper *keeper,
                                   marjoram_host_list *hosts,
                                   struct marjoram_keeper_change *change);
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -163,7 +163,7 @@
 {
   struct marjoram_keeper_role *self = context;
 
-  return marjoram_keeper_chosen (self->keeper);
+  return marjoram_keeper_chosen_state (self->keeper);
 }
 
 static const struct marjoram_registrar_ops registrar_ops = {
@@ -199,7 +199,7 @@
   struct marjoram_keeper_role *self = self_of (role);
 
   if (beat->config_number > 0)
-    marjoram_keeper_heard (self->keeper, beat->config_number);
+    marjoram_keeper_observe_number (self->keeper, beat->config_number);
   if (first)
     marjoram_keeper_send_snapshot (self, host, session, beat);
   marjoram_keeper_announce_state_to (self, host, session, beat);
@@ -257,7 +257,8 @@
 role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
 {
   struct marjoram_keeper_role *self = self_of (role);
-  const struct marjoram_state *state = marjoram_keeper_state (self->keeper);
+  const struct marjoram_state *state
+      = marjoram_keeper_durable_state (self->keeper);
 
   beat->ready = self->stopped_at == 0;
   beat->leaving = self->stopped_at != 0;
@@ -282,7 +283,8 @@
 role_report (struct marjoram_role *role, int64_t now)
 {
   struct marjoram_keeper_role *self = self_of (role);
-  const struct marjoram_state *state = marjoram_keeper_chosen (self->keeper);
+  const struct marjoram_state *state
+      = marjoram_keeper_chosen_state (self->keeper);
   const struct marjoram_file *routes
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
   struct marjoram_names zones = marjoram_agreed_evacuations (state);
--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -1,11 +1,11 @@
 /* Internals of the keeper role: keeper_role.c (event handling, repair,
-   lifecycle) and keeper_tell.c (messages to other hosts).  */
+   lifecycle) and keeper_publish.c (messages to other hosts).  */
 #ifndef MARJORAM_KEEPER_ROLE_PRIVATE_H
 #define MARJORAM_KEEPER_ROLE_PRIVATE_H
 
 #include "crash_list.h"
 #include "disk.h"
-#include "keeper_care.h"
+#include "keeper_repair.h"
 #include "registrar.h"
 #include "repeat_sums.h"
 #include "role.h"
@@ -20,7 +20,7 @@
   marjoram_random *random;
   marjoram_disk *disk;
   marjoram_keeper *keeper;
-  marjoram_keeper_care *repair;
+  marjoram_keeper_repair *repair;
   marjoram_crash_list *crashes; /* sent to hosts that have just started */
   int64_t repair_ticked_at;
   int64_t ticked_at;
@@ -31,7 +31,7 @@
 
 int64_t marjoram_keeper_role_now (const struct marjoram_keeper_role *self);
 
-/* keeper_tell.c */
+/* keeper_publish.c */
 /* Announces a new state to the hosts of this region.  */
 void marjoram_keeper_announce_state (struct marjoram_keeper_role *self);
 /* Sends changes of upstreams to all keepers, and to the hosts in the
--- a/src/keeper_mail.c
+++ b/src/keeper_transport.c
@@ -55,7 +55,7 @@
 may_send (marjoram_keeper *keeper, struct marjoram_keeper_peer *peer,
           const struct marjoram_keeper_message *message)
 {
-  if (marjoram_bytes_size (message->value) <= MARJORAM_KEEPER_SMALL)
+  if (marjoram_bytes_size (message->value) <= MARJORAM_KEEPER_SMALL_MAX)
     return true;
   if (!peer)
     return false;
@@ -81,7 +81,7 @@
     .echo = envelope->echo,
     .ballot = envelope->ballot,
     .accepted = envelope->accepted,
-    .max_encoding = MARJORAM_KEEPER_SAME,
+    .max_encoding = MARJORAM_KEEPER_REFERENCE,
     .accepted_mark = marjoram_value_hash (keeper->acceptor.value),
   };
   struct marjoram_keeper_peer *peer
@@ -103,8 +103,8 @@
 }
 
 void
-marjoram_keeper_post (marjoram_keeper *keeper,
-                      struct marjoram_keeper_envelope *envelope)
+marjoram_keeper_send_envelope (marjoram_keeper *keeper,
+                               struct marjoram_keeper_envelope *envelope)
 {
   if (strcmp (envelope->slot, keeper->slot) == 0)
     {
@@ -123,7 +123,7 @@
 {
   envelope->after = keeper->sequence;
   if (envelope->after <= keeper->durable)
-    marjoram_keeper_post (keeper, envelope);
+    marjoram_keeper_send_envelope (keeper, envelope);
   else
     STAILQ_INSERT_TAIL (&keeper->pending_replies, envelope, link);
 }
@@ -191,7 +191,7 @@
       slot, store_id, kind, NULL, NULL, NULL);
 
   envelope->echo = echo;
-  marjoram_keeper_post (keeper, envelope);
+  marjoram_keeper_send_envelope (keeper, envelope);
 }
 
 void
@@ -241,7 +241,7 @@
                  < peer->state_sent_at + MARJORAM_KEEPER_STATE_RESEND_MS))
     return;
   peer->state_sent_at = keeper->now;
-  marjoram_keeper_post (
+  marjoram_keeper_send_envelope (
       keeper, marjoram_keeper_envelope_create (
                   peer->slot, peer->seen.store_id, MARJORAM_KEEPER_LEARN,
                   &keeper->chosen_ballot, NULL, keeper->chosen));
--- a/test/lib_keeper_net.c
+++ b/test/lib_keeper_net.c
@@ -102,7 +102,7 @@
       sent.accepted_mark = (struct marjoram_value_hash){ 0 };
     }
   packet = marjoram_alloc (sizeof *packet);
-  packet->packed = marjoram_wire_pack (&marjoram_keeper_layout, &sent);
+  packet->packed = marjoram_wire_pack (&marjoram_keeper_message_layout, &sent);
   enqueue_packet (net, &net->connections[node->index][to], packet);
 }
 
@@ -233,12 +233,13 @@
       struct marjoram_keeper_message *message;
 
       dequeue_packet (connection);
-      message = marjoram_wire_unpack (
-          &marjoram_keeper_layout, marjoram_bytes_data (packet->packed),
-          marjoram_bytes_size (packet->packed), NULL);
+      message
+          = marjoram_wire_unpack (&marjoram_keeper_message_layout,
+                                  marjoram_bytes_data (packet->packed),
+                                  marjoram_bytes_size (packet->packed), NULL);
       marjoram_keeper_receive (net->nodes[to].keeper, net->now,
                                net->nodes[from].slot, message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout, message);
       free_packet (packet);
     }
 }
@@ -283,11 +284,12 @@
   for (int i = 0; i < net->options.keepers; i++)
     {
       const struct marjoram_state *state
-          = marjoram_keeper_state (net->nodes[i].keeper);
+          = marjoram_keeper_durable_state (net->nodes[i].keeper);
 
       if (!state || !marjoram_keeper_votes (net->nodes[i].keeper)
           || state->number
-                 != marjoram_keeper_state (net->nodes[0].keeper)->number
+                 != marjoram_keeper_durable_state (net->nodes[0].keeper)
+                        ->number
           || routes_version (state) != net->version)
         return false;
     }
@@ -295,7 +297,7 @@
 }
 
 bool
-keeper_net_agree (struct keeper_net *net, int64_t limit_ms)
+keeper_net_wait_agreement (struct keeper_net *net, int64_t limit_ms)
 {
   int64_t end = net->now + limit_ms;
 
@@ -326,7 +328,7 @@
 const struct marjoram_state *
 keeper_net_state (const struct keeper_net *net, int index)
 {
-  return marjoram_keeper_chosen (net->nodes[index].keeper);
+  return marjoram_keeper_chosen_state (net->nodes[index].keeper);
 }
 
 void
@@ -351,7 +353,7 @@
 }
 
 void
-keeper_net_forget (struct keeper_net *net)
+keeper_net_reset_counters (struct keeper_net *net)
 {
   net->bytes = 0;
   net->peak_queued = 0;
--- a/test/lib_keeper_net.h
+++ b/test/lib_keeper_net.h
@@ -21,7 +21,7 @@
 void keeper_net_run (struct keeper_net *net, int64_t ms);
 /* Runs until all keepers hold the same state, with the last change; false on
    timeout.  */
-bool keeper_net_agree (struct keeper_net *net, int64_t limit_ms);
+bool keeper_net_wait_agreement (struct keeper_net *net, int64_t limit_ms);
 /* Applies TEXT as the next version of the file "routes" at keeper AT and runs
    until it is answered.  Returns the time taken, or -1 if it is not accepted
    within LIMIT_MS.  */
@@ -44,14 +44,14 @@
    only.  */
 void keeper_net_set_earlier_release (struct keeper_net *net, int index);
 
-/* Counts since the last keeper_net_forget: bytes, and messages of more than
-   KEEPER_NET_LARGE_MESSAGES bytes.  */
+/* Counts since the last keeper_net_reset_counters: bytes, and messages of more
+   than KEEPER_NET_LARGE_MESSAGES bytes.  */
 enum
 {
   KEEPER_NET_LARGE = 4096
 };
 
-void keeper_net_forget (struct keeper_net *net);
+void keeper_net_reset_counters (struct keeper_net *net);
 uint64_t keeper_net_bytes (const struct keeper_net *net);
 int keeper_net_large_messages (const struct keeper_net *net, int from, int to);
 /* The maximum number of bytes in flight on one connection.  */
--- a/test/lib_keepers.c
+++ b/test/lib_keepers.c
@@ -140,7 +140,7 @@
 static void
 recycle_event (struct sim *sim, struct event *event)
 {
-  marjoram_wire_destroy (&marjoram_keeper_layout, event->message);
+  marjoram_wire_destroy (&marjoram_keeper_message_layout, event->message);
   event->message = NULL;
   TAILQ_INSERT_HEAD (&sim->spare, event, link);
 }
@@ -154,7 +154,7 @@
     {
       struct event *next = TAILQ_NEXT (event, link);
 
-      marjoram_wire_destroy (&marjoram_keeper_layout, event->message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout, event->message);
       free (event);
       event = next;
     }
@@ -247,7 +247,8 @@
          const struct marjoram_apply_answer *answer)
 {
   struct sim *sim = node->sim;
-  const struct marjoram_state *state = marjoram_keeper_chosen (node->keeper);
+  const struct marjoram_state *state
+      = marjoram_keeper_chosen_state (node->keeper);
   uint64_t floor = sim->read_floor[request % READS_KEPT];
 
   if (answer->outcome != MARJORAM_APPLY_DECIDED)
@@ -509,7 +510,7 @@
 check_rolled_back (struct sim *sim)
 {
   struct node *node = &sim->nodes[sim->rolled_back];
-  const char *trouble = marjoram_keeper_trouble (node->keeper);
+  const char *trouble = marjoram_keeper_no_vote_reason (node->keeper);
 
   if (marjoram_keeper_votes (node->keeper))
     checks_fail (sim->checks, "%s votes with a rolled-back store", node->slot);
@@ -619,7 +620,7 @@
 
   marjoram_keeper_tick (node->keeper, sim->now);
   schedule (sim, TICK_MS, EVENT_TICK, node->index);
-  state = marjoram_keeper_state (node->keeper);
+  state = marjoram_keeper_durable_state (node->keeper);
   if (!state)
     return;
   if (state->number < node->highest_read)
@@ -798,7 +799,7 @@
   for (int i = 0; i < SIM_KEEPERS; i++)
     checks_end (sim->checks, sim->nodes[i].slot,
                 sim->nodes[i].keeper
-                    ? marjoram_keeper_state (sim->nodes[i].keeper)
+                    ? marjoram_keeper_durable_state (sim->nodes[i].keeper)
                     : NULL);
 }
 
--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -3,7 +3,7 @@
 #include "suite.h"
 
 #include "cleanup.h"
-#include "keeper_care.h"
+#include "keeper_repair.h"
 #include "keeper_message.h"
 
 #include <stdio.h>
@@ -32,7 +32,7 @@
   char store[16];
   int stores;
   marjoram_keeper *keeper; /* null while the machine is off */
-  marjoram_keeper_care *repair;
+  marjoram_keeper_repair *repair;
   marjoram_host_list *hosts;
   marjoram_random *random;
   marjoram_bytes *record;
@@ -63,14 +63,14 @@
 {
   const struct node *node = context;
   marjoram_bytes *packed
-      = marjoram_wire_pack (&marjoram_keeper_layout, message);
+      = marjoram_wire_pack (&marjoram_keeper_message_layout, message);
   struct queued_message *queued_message
       = marjoram_alloc (sizeof *queued_message);
 
   queued_message->from = (int)(node - nodes);
   queued_message->to = index_of (slot);
   queued_message->message = marjoram_wire_unpack (
-      &marjoram_keeper_layout, marjoram_bytes_data (packed),
+      &marjoram_keeper_message_layout, marjoram_bytes_data (packed),
       marjoram_bytes_size (packed), NULL);
   marjoram_bytes_release (packed);
   STAILQ_INSERT_TAIL (&message_queue, queued_message, link);
@@ -174,7 +174,8 @@
   while ((queued_message = STAILQ_FIRST (&message_queue)))
     {
       STAILQ_REMOVE_HEAD (&message_queue, link);
-      marjoram_wire_destroy (&marjoram_keeper_layout, queued_message->message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout,
+                             queued_message->message);
       free (queued_message);
     }
   for (int i = 0; i < NODES; i++)
@@ -212,7 +213,8 @@
         marjoram_keeper_receive (nodes[queued_message->to].keeper, now,
                                  nodes[queued_message->from].slot,
                                  queued_message->message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, queued_message->message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout,
+                             queued_message->message);
       free (queued_message);
       write_disks ();
     }
@@ -272,7 +274,7 @@
 is_member (int observer, const char *slot, const char *store)
 {
   const struct marjoram_state *state
-      = marjoram_keeper_chosen (nodes[observer].keeper);
+      = marjoram_keeper_chosen_state (nodes[observer].keeper);
 
   return state && state->next_members.count == 0
          && marjoram_voters_hold (&state->members, slot, store);
@@ -307,7 +309,7 @@
   ck_assert (is_member (0, "k2", "k2-1"));
   for (int i = 0; i < FIRST; i++)
     ck_assert_ptr_nonnull (marjoram_state_file (
-        marjoram_keeper_chosen (nodes[i].keeper), "routes"));
+        marjoram_keeper_chosen_state (nodes[i].keeper), "routes"));
   apply (2, 2);
   ck_assert_int_ge (decided, 1);
 }
@@ -349,7 +351,7 @@
   for (int i = 0; i < NODES; i++)
     {
       const struct marjoram_state *state
-          = marjoram_keeper_chosen (nodes[i].keeper);
+          = marjoram_keeper_chosen_state (nodes[i].keeper);
 
       ck_assert_ptr_nonnull (state);
       ck_assert_ptr_nonnull (marjoram_state_file (state, "routes"));
@@ -365,8 +367,8 @@
   for (int i = 0; i < NODES; i++)
     start (i, i < FIRST, true);
   run (12000);
-  ck_assert_uint_eq (marjoram_keeper_chosen (nodes[0].keeper)->members.count,
-                     3);
+  ck_assert_uint_eq (
+      marjoram_keeper_chosen_state (nodes[0].keeper)->members.count, 3);
 }
 END_TEST
 
--- a/test/test_keeper_net.c
+++ b/test/test_keeper_net.c
@@ -33,7 +33,7 @@
 {
   struct keeper_net *net = keeper_net_create (options);
 
-  ck_assert (keeper_net_agree (net, BOOTSTRAP_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, BOOTSTRAP_LIMIT_MS));
   return net;
 }
 
@@ -66,11 +66,11 @@
   int64_t elapsed_ms;
 
   ck_assert_int_ge (change (net, 0, ROUTES, -1), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   keeper_net_run (net, WAIT_LIMIT_MS);
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   elapsed_ms = change (net, 2, ROUTES, 7);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   printf ("one route of %d: %llu bytes, answered after %lld ms\n", ROUTES,
           (unsigned long long)keeper_net_bytes (net), (long long)elapsed_ms);
   ck_assert_int_ge (elapsed_ms, 0);
@@ -84,17 +84,17 @@
 
 /* Guards against proposers that send whole values to keepers outside the
    previous quorum.  */
-START_TEST (proposers_in_turn_send_what_changed)
+START_TEST (successive_proposers_send_differences)
 {
   struct keeper_net *net = create_bootstrapped (&between_regions);
 
   ck_assert_int_ge (change (net, 0, ROUTES, -1), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   keeper_net_run (net, WAIT_LIMIT_MS);
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   for (int i = 0; i < KEEPERS; i++)
     ck_assert_int_ge (change (net, i, ROUTES, i), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   printf ("%d changes at keepers in turn: %llu bytes\n", KEEPERS,
           (unsigned long long)keeper_net_bytes (net));
   ck_assert_uint_lt (keeper_net_bytes (net), CHANGE_BYTES);
@@ -120,7 +120,7 @@
       ck_assert_int_ge (elapsed_ms, 0);
       ck_assert_int_lt (elapsed_ms, ANSWER_LIMIT_MS);
     }
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   keeper_net_destroy (net);
 }
 END_TEST
@@ -132,7 +132,7 @@
   struct keeper_net *net = create_bootstrapped (&very_slow);
   int64_t elapsed_ms;
 
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   elapsed_ms = change (net, 0, 1400, -1);
   printf ("1400 routes over 40 kB a second: %d and %d copies, at most %llu "
           "bytes in flight, answered after %lld ms\n",
@@ -141,7 +141,7 @@
           (unsigned long long)keeper_net_peak_queued (net),
           (long long)elapsed_ms);
   ck_assert_int_ge (elapsed_ms, 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   /* No second copy follows later.  */
   keeper_net_run (net, WAIT_LIMIT_MS);
   ck_assert_int_eq (keeper_net_large_messages (net, 0, 1), 1);
@@ -156,9 +156,9 @@
 {
   struct keeper_net *net = create_bootstrapped (&slower);
 
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   ck_assert_int_eq (change (net, 0, 1400, -1), -1);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   expect_routes (net, 1, 1400, -1);
   printf ("1400 routes over 4 kB a second: %d and %d copies\n",
           keeper_net_large_messages (net, 0, 1),
@@ -171,17 +171,17 @@
 
 /* Guards against unbounded memory for messages to a stalled keeper whose
    connections stay open.  */
-START_TEST (stalled_keeper_is_kept_one_value)
+START_TEST (stalled_keeper_has_one_value_queued)
 {
   struct keeper_net *net = create_bootstrapped (&between_regions);
   uint64_t size;
 
   ck_assert_int_ge (change (net, 0, ROUTES, -1), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   size = strlen (
       marjoram_state_file (keeper_net_state (net, 0), "routes")->text);
   keeper_net_stall (net, 5, true);
-  keeper_net_forget (net);
+  keeper_net_reset_counters (net);
   for (int i = 0; i < 5; i++)
     {
       ck_assert_int_ge (change (net, 0, ROUTES + 400 * (i + 1), i), 0);
@@ -193,7 +193,7 @@
   ck_assert_uint_lt (keeper_net_peak_queued (net), size);
   ck_assert_int_le (keeper_net_large_messages (net, 0, 5), 1);
   keeper_net_stall (net, 5, false);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   expect_routes (net, 5, ROUTES + 2000, 4);
   keeper_net_destroy (net);
 }
@@ -209,7 +209,7 @@
   ck_assert_int_eq (keeper_net_change (net, 0, text, 400), -1);
   keeper_net_drop_inbound (net, 1);
   keeper_net_drop_inbound (net, 2);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   expect_routes (net, 0, 1400, -1);
   expect_routes (net, 1, 1400, -1);
   ck_assert_int_le (keeper_net_large_messages (net, 0, 1), 2);
@@ -219,20 +219,20 @@
 
 /* Guards against encoding against a value that a keeper returning from a
    partition does not hold: it must get the latest state.  */
-START_TEST (keeper_left_behind_gets_the_newest)
+START_TEST (partitioned_keeper_gets_the_latest_state)
 {
   struct keeper_net *net = create_bootstrapped (&between_regions);
 
   ck_assert_int_ge (change (net, 0, ROUTES, -1), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   keeper_net_partition (net, 4, true);
   for (int i = 0; i < 4; i++)
     ck_assert_int_ge (change (net, i, ROUTES, i), 0);
   keeper_net_partition (net, 4, false);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   expect_routes (net, 4, ROUTES, 3);
   ck_assert_int_ge (change (net, 4, ROUTES, 9), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   for (int i = 0; i < KEEPERS; i++)
     expect_routes (net, i, ROUTES, 9);
   keeper_net_destroy (net);
@@ -247,10 +247,10 @@
 
   for (int i = 0; i < KEEPERS / 2; i++)
     keeper_net_set_earlier_release (net, i);
-  ck_assert (keeper_net_agree (net, BOOTSTRAP_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, BOOTSTRAP_LIMIT_MS));
   ck_assert_int_ge (change (net, 0, 400, -1), 0);
   ck_assert_int_ge (change (net, KEEPERS - 1, 400, 7), 0);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   for (int i = 0; i < KEEPERS; i++)
     expect_routes (net, i, 400, 7);
   keeper_net_destroy (net);
@@ -268,7 +268,7 @@
           (long long)elapsed_ms);
   ck_assert_int_ge (elapsed_ms, 0);
   ck_assert_int_lt (elapsed_ms, ANSWER_LIMIT_MS);
-  ck_assert (keeper_net_agree (net, WAIT_LIMIT_MS));
+  ck_assert (keeper_net_wait_agreement (net, WAIT_LIMIT_MS));
   keeper_net_destroy (net);
 }
 END_TEST
@@ -281,13 +281,13 @@
 
   tcase_set_timeout (c, 120);
   tcase_add_test (c, bytes_of_a_change_among_4200_routes);
-  tcase_add_test (c, proposers_in_turn_send_what_changed);
+  tcase_add_test (c, successive_proposers_send_differences);
   tcase_add_test (c, growth_is_answered_in_time);
   tcase_add_test (c, slow_connection_gets_one_copy);
   tcase_add_test (c, value_slower_than_an_attempt_is_agreed_on);
-  tcase_add_test (c, stalled_keeper_is_kept_one_value);
+  tcase_add_test (c, stalled_keeper_has_one_value_queued);
   tcase_add_test (c, lost_copy_is_sent_again);
-  tcase_add_test (c, keeper_left_behind_gets_the_newest);
+  tcase_add_test (c, partitioned_keeper_gets_the_latest_state);
   tcase_add_test (c, keepers_of_the_earlier_release_get_plain_values);
   tcase_add_test (c, many_routes_at_once_are_answered);
   suite_add_tcase (s, c);
--- a/test/test_register.c
+++ b/test/test_register.c
@@ -239,10 +239,10 @@
   struct net *net = peer->net;
   struct packet packet = { peer->index, slot[1] - '0', NULL };
   marjoram_bytes *packed
-      = marjoram_wire_pack (&marjoram_keeper_layout, message);
+      = marjoram_wire_pack (&marjoram_keeper_message_layout, message);
 
   record_message (net, message);
-  packet.message = marjoram_wire_unpack (&marjoram_keeper_layout,
+  packet.message = marjoram_wire_unpack (&marjoram_keeper_message_layout,
                                          marjoram_bytes_data (packed),
                                          marjoram_bytes_size (packed), NULL);
   marjoram_bytes_release (packed);
@@ -342,7 +342,7 @@
       if (keeper && (!net->filter || net->filter (net, &packet)))
         marjoram_keeper_receive (keeper, net->now,
                                  net->peers[packet.from].slot, packet.message);
-      marjoram_wire_destroy (&marjoram_keeper_layout, packet.message);
+      marjoram_wire_destroy (&marjoram_keeper_message_layout, packet.message);
     }
   net->packet_count = 0;
 }
@@ -376,7 +376,7 @@
       start (net, i);
     }
   run (net, 5000);
-  ck_assert_ptr_nonnull (marjoram_keeper_state (net->peers[3].keeper));
+  ck_assert_ptr_nonnull (marjoram_keeper_durable_state (net->peers[3].keeper));
   return net;
 }
 
@@ -407,7 +407,7 @@
 has_change (struct net *net, int index, const char *id)
 {
   return marjoram_state_change (
-      marjoram_keeper_state (net->peers[index].keeper), id);
+      marjoram_keeper_durable_state (net->peers[index].keeper), id);
 }
 
 static bool
@@ -437,9 +437,10 @@
   ck_assert_int_gt (net->accepts, 1);
   ck_assert (net->first_accept_has_next);
   ck_assert (marjoram_voters_find (
-      &marjoram_keeper_state (net->peers[1].keeper)->members, "k3"));
+      &marjoram_keeper_durable_state (net->peers[1].keeper)->members, "k3"));
   ck_assert_uint_eq (
-      marjoram_keeper_state (net->peers[1].keeper)->next_members.count, 0);
+      marjoram_keeper_durable_state (net->peers[1].keeper)->next_members.count,
+      0);
   destroy_net (net);
 }
 END_TEST
@@ -524,11 +525,12 @@
   stop (net, 3);
   for (int i = 0; i < FIRST; i++)
     start (net, i);
-  marjoram_keeper_heard (net->peers[1].keeper, 7);
+  marjoram_keeper_observe_number (net->peers[1].keeper, 7);
   run (net, 20000);
   for (int i = 0; i < FIRST; i++)
-    ck_assert_ptr_null (marjoram_keeper_state (net->peers[i].keeper));
-  ck_assert_ptr_nonnull (marjoram_keeper_trouble (net->peers[1].keeper));
+    ck_assert_ptr_null (marjoram_keeper_durable_state (net->peers[i].keeper));
+  ck_assert_ptr_nonnull (
+      marjoram_keeper_no_vote_reason (net->peers[1].keeper));
   destroy_net (net);
 }
 END_TEST
