--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -28,7 +28,7 @@
 }
 
 static struct load_result
-play (enum load_way way, double reviews_per_s, double asks_per_s)
+play (enum load_policy way, double reviews_per_s, double chats_per_s)
 {
   struct load_result sum = { 0 };
 
@@ -40,13 +40,13 @@
         .engines = ENGINES,
         .hosts = HOSTS,
         .reviews_per_s = reviews_per_s,
-        .asks_per_s = asks_per_s,
+        .chats_per_s = chats_per_s,
         .sessions = SESSIONS,
         .span_ms = SPAN_MS,
       };
       struct load_result one;
 
-      load_play (&terms, &one);
+      load_run (&terms, &one);
       add (&sum, &one);
     }
   return sum;
@@ -59,26 +59,26 @@
 }
 
 static void
-compare (double reviews_per_s, double asks_per_s)
+compare (double reviews_per_s, double chats_per_s)
 {
   struct load_result ours
-      = play (LOAD_PLACED_COPYING, reviews_per_s, asks_per_s);
+      = play (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
 
   for (int way = 0; way < LOAD_PLACED_COPYING; way++)
     {
       struct load_result theirs
-          = play ((enum load_way)way, reviews_per_s, asks_per_s);
+          = play ((enum load_policy)way, reviews_per_s, chats_per_s);
 
       printf ("metric=placement_in_time_%.0f_reviews value=%.1f unit=%% "
               "baseline=%.1f baseline_name=%s\n",
               reviews_per_s, share (ours.in_time, ours.asked),
               share (theirs.in_time, theirs.asked),
-              load_way_name ((enum load_way)way));
+              load_policy_name ((enum load_policy)way));
       printf ("metric=placement_read_again_%.0f_reviews value=%" PRId64
               " unit=ktokens baseline=%" PRId64 " baseline_name=%s\n",
               reviews_per_s, ours.read_again / THOUSAND,
               theirs.read_again / THOUSAND,
-              load_way_name ((enum load_way)way));
+              load_policy_name ((enum load_policy)way));
     }
 }
 
--- a/src/engine_memory.c
+++ b/src/engine_cache.c
@@ -1,4 +1,4 @@
-#include "engine_memory.h"
+#include "engine_cache.h"
 
 #include "cleanup.h"
 
@@ -13,7 +13,7 @@
   UT_hash_handle hh;
 };
 
-struct marjoram_engine_memory
+struct marjoram_engine_cache
 {
   TAILQ_HEAD (cached_part_list, cached_part)
   by_use; /* most recently used first */
@@ -21,17 +21,17 @@
   int64_t tokens;
 };
 
-marjoram_engine_memory *
-marjoram_engine_memory_create (void)
+marjoram_engine_cache *
+marjoram_engine_cache_create (void)
 {
-  marjoram_engine_memory *cache = marjoram_alloc (sizeof *cache);
+  marjoram_engine_cache *cache = marjoram_alloc (sizeof *cache);
 
   TAILQ_INIT (&cache->by_use);
   return cache;
 }
 
 static struct cached_part *
-find (const marjoram_engine_memory *cache, uint64_t part)
+find (const marjoram_engine_cache *cache, uint64_t part)
 {
   struct cached_part *cached_part;
 
@@ -40,7 +40,7 @@
 }
 
 static void
-evict (marjoram_engine_memory *cache, struct cached_part *cached_part)
+evict (marjoram_engine_cache *cache, struct cached_part *cached_part)
 {
   cache->tokens -= cached_part->tokens;
   TAILQ_REMOVE (&cache->by_use, cached_part, link);
@@ -50,24 +50,24 @@
 }
 
 void
-marjoram_engine_memory_clear (marjoram_engine_memory *cache)
+marjoram_engine_cache_clear (marjoram_engine_cache *cache)
 {
   while (!TAILQ_EMPTY (&cache->by_use))
     evict (cache, TAILQ_FIRST (&cache->by_use));
 }
 
 void
-marjoram_engine_memory_destroy (marjoram_engine_memory *cache)
+marjoram_engine_cache_destroy (marjoram_engine_cache *cache)
 {
   if (!cache)
     return;
-  marjoram_engine_memory_clear (cache);
+  marjoram_engine_cache_clear (cache);
   free (cache);
 }
 
 void
-marjoram_engine_memory_use (marjoram_engine_memory *cache, uint64_t part,
-                            int64_t tokens, int64_t capacity)
+marjoram_engine_cache_use (marjoram_engine_cache *cache, uint64_t part,
+                           int64_t tokens, int64_t capacity)
 {
   struct cached_part *cached_part = find (cache, part);
 
@@ -89,9 +89,9 @@
 }
 
 int64_t
-marjoram_engine_memory_kept (const marjoram_engine_memory *cache,
-                             const struct marjoram_prompt_part *parts,
-                             size_t count)
+marjoram_engine_cache_hit_tokens (const marjoram_engine_cache *cache,
+                                  const struct marjoram_prompt_part *parts,
+                                  size_t count)
 {
   int64_t tokens = 0;
 
--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -182,8 +182,8 @@
 }
 
 void
-marjoram_engine_survey_ask (marjoram_engine_survey *survey, const char *engine,
-                            const char *address)
+marjoram_engine_survey_query (marjoram_engine_survey *survey,
+                              const char *engine, const char *address)
 {
   struct marjoram_http_send send = { .address = address };
   struct query *query;
--- a/src/engine_survey.h
+++ b/src/engine_survey.h
@@ -24,8 +24,8 @@
 void marjoram_engine_survey_destroy (marjoram_engine_survey *survey);
 /* Queries ENGINE at ADDRESS (IP:port) unless it was queried before.  A failed
    query is not repeated; the engine's cache is then taken to be empty.  */
-void marjoram_engine_survey_ask (marjoram_engine_survey *survey,
-                                 const char *engine, const char *address);
+void marjoram_engine_survey_query (marjoram_engine_survey *survey,
+                                   const char *engine, const char *address);
 /* Number of pending queries.  */
 size_t marjoram_engine_survey_pending (const marjoram_engine_survey *survey);
 /* To be called at least every 250 ms.  */
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -89,13 +89,13 @@
   for (size_t i = 0; i < batch->items.count; i++)
     {
       struct marjoram_upstream_news news;
-      enum marjoram_hearing hearing;
+      enum marjoram_registry_result hearing;
 
       if (!marjoram_registry_unpack (&items[i], &news))
         continue;
-      hearing = marjoram_registry_hear (self->registry, now, &news,
-                                        items[i].age_ms);
-      if (hearing == MARJORAM_HEARING_CHANGED)
+      hearing = marjoram_registry_update (self->registry, now, &news,
+                                          items[i].age_ms);
+      if (hearing == MARJORAM_REGISTRY_CHANGED)
         marjoram_event (MARJORAM_EVENT_UPSTREAM,
                         "id=%s state=%d service=%s address=%s zone=%s "
                         "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64
@@ -219,8 +219,9 @@
       take_news (self, host, session, message);
       break;
     case MARJORAM_FRAME_LOADS:
-      marjoram_placement_hear (marjoram_gateway_placement (self->gateway),
-                               marjoram_entry_now (self), host, message);
+      marjoram_placement_apply_report (
+          marjoram_gateway_placement (self->gateway),
+          marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_REPEAT_SUMS:
       marjoram_repeat_budget_apply_sums (
@@ -228,8 +229,8 @@
           message);
       break;
     case MARJORAM_FRAME_LOAD_CHANGES:
-      marjoram_load_collector_hear (self->collector, marjoram_entry_now (self),
-                                    host, message);
+      marjoram_load_collector_apply_report (
+          self->collector, marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_LOAD_SUMS:
       marjoram_entry_take_sums (self, host, message);
--- a/src/entry_loads.c
+++ b/src/entry_loads.c
@@ -77,7 +77,7 @@
                 const struct marjoram_load_report *report)
 {
   if (is_own_name (self, host))
-    marjoram_load_collector_hear (self->collector, now, host, report);
+    marjoram_load_collector_apply_report (self->collector, now, host, report);
   else
     marjoram_host_links_send (self->parts->links, host,
                               MARJORAM_FRAME_LOAD_CHANGES, report);
@@ -128,7 +128,7 @@
   if (now < self->summed_at + SUMS_MS)
     return;
   self->summed_at = now;
-  if (marjoram_load_collector_take (self->collector, now, &sums))
+  if (marjoram_load_collector_take_report (self->collector, now, &sums))
     {
       marjoram_host_links_tell_region (self->parts->links,
                                        MARJORAM_FRAME_LOAD_SUMS, &sums);
@@ -150,8 +150,8 @@
 
       groups[i] = collector && strcmp (collector, host) == 0;
     }
-  marjoram_placement_hear_sums (marjoram_gateway_placement (self->gateway),
-                                now, groups, sums);
+  marjoram_placement_apply_totals (marjoram_gateway_placement (self->gateway),
+                                   now, groups, sums);
 }
 
 /* ---- Which of them.  ---- */
@@ -159,7 +159,7 @@
 static bool
 uses_collectors (struct marjoram_entry *self, int64_t now)
 {
-  const size_t hosts = marjoram_host_list_serving (
+  const size_t hosts = marjoram_host_list_serving_count (
       self->parts->hosts, now, self->parts->settings->region);
 
   if (hosts > DIRECT_MAX)
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -119,8 +119,9 @@
                         1);
   marjoram_event (MARJORAM_EVENT_UPSTREAM, "address=%s state=connection-lost",
                   address);
-  marjoram_placement_lost (marjoram_gateway_placement (self->gateway),
-                           marjoram_entry_now (self), address);
+  marjoram_placement_connection_lost (
+      marjoram_gateway_placement (self->gateway), marjoram_entry_now (self),
+      address);
 }
 
 static void
@@ -171,8 +172,9 @@
   note_leaving (self, &before);
   for (size_t i = 0; i < before.count; i++)
     if (self->table && !marjoram_agreed_is_evacuated (&zones, before.items[i]))
-      marjoram_placement_restored (marjoram_gateway_placement (self->gateway),
-                                   marjoram_entry_now (self), before.items[i]);
+      marjoram_placement_zone_restored (
+          marjoram_gateway_placement (self->gateway),
+          marjoram_entry_now (self), before.items[i]);
   marjoram_names_clear (&before);
 }
 
@@ -371,8 +373,8 @@
 {
   struct marjoram_entry *self = context;
 
-  marjoram_placement_keeps (marjoram_gateway_placement (self->gateway), engine,
-                            parts, count);
+  marjoram_placement_add_cached (marjoram_gateway_placement (self->gateway),
+                                 engine, parts, count);
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
@@ -404,8 +406,8 @@
     return;
   TAILQ_FOREACH (upstream, marjoram_registry_all (self->registry), link)
   if (is_to_be_asked (self, upstream))
-    marjoram_engine_survey_ask (self->survey, upstream->news.id,
-                                upstream->news.address);
+    marjoram_engine_survey_query (self->survey, upstream->news.id,
+                                  upstream->news.address);
 }
 
 static void
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -443,8 +443,8 @@
 should_abandon (marjoram_gateway *gateway,
                 const struct marjoram_exchange *exchange, int64_t now)
 {
-  int64_t data_received_at
-      = marjoram_placement_heard_at (gateway->placement, exchange->attempt);
+  int64_t data_received_at = marjoram_placement_last_received_at (
+      gateway->placement, exchange->attempt);
 
   return !exchange->forwarded
          && input_time (gateway, now) >= data_received_at + UPSTREAM_STALL_MS
@@ -461,7 +461,7 @@
       return;
     }
   marjoram_exchange_drop_attempt (gateway, exchange, now,
-                                  MARJORAM_ATTEMPT_SILENT);
+                                  MARJORAM_ATTEMPT_TIMED_OUT);
   marjoram_exchange_retry (gateway, exchange, now,
                            MARJORAM_REASON_UPSTREAM_SILENT, false);
 }
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -59,7 +59,7 @@
     return "upstreams-used";
   if (!marjoram_repeat_budget_take (
           gateway->budget, now, exchange->service,
-          marjoram_host_list_entries (gateway->options.place.hosts)))
+          marjoram_host_list_entry_count (gateway->options.place.hosts)))
     return "budget-used";
   return NULL;
 }
@@ -170,7 +170,8 @@
 {
   int64_t error;
 
-  marjoram_placement_answering (gateway->placement, now, exchange->attempt);
+  marjoram_placement_response_started (gateway->placement, now,
+                                       exchange->attempt);
   if (exchange->first_event_at)
     return;
   exchange->first_event_at = now;
@@ -199,8 +200,8 @@
       return false;
     }
   if (facts.cold_ms > 0 && *exchange->upstream)
-    marjoram_placement_cold (gateway->placement, now, exchange->upstream,
-                             facts.cold_ms);
+    marjoram_placement_set_cold (gateway->placement, now, exchange->upstream,
+                                 facts.cold_ms);
   exchange->status = status;
   exchange->is_signed = facts.signed_by_upstream;
   exchange->refused = facts.not_run;
@@ -257,7 +258,7 @@
 
   if (!exchange || exchange->refused)
     return;
-  marjoram_placement_heard (gateway->placement, now, attempt);
+  marjoram_placement_data_received (gateway->placement, now, attempt);
   if (!exchange->stream || !is_success (exchange))
     {
       evbuffer_add (exchange->body, data, size);
@@ -308,7 +309,7 @@
 {
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  exchange->wrong_upstream
-                                     ? MARJORAM_ATTEMPT_WRONG
+                                     ? MARJORAM_ATTEMPT_WRONG_UPSTREAM
                                      : MARJORAM_ATTEMPT_REFUSED);
   exchange->runs--;
   marjoram_exchange_retry (gateway, exchange, now,
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -338,7 +338,7 @@
   daemon->metrics = marjoram_metrics_create ();
   daemon->hosts = marjoram_host_list_create ();
   if (settings->role == MARJORAM_ROLE_ENTRY)
-    marjoram_host_list_set_told_valid (daemon->hosts, RELAYED_VALID_MS);
+    marjoram_host_list_set_relayed_valid (daemon->hosts, RELAYED_VALID_MS);
   daemon->asks = marjoram_ask_server_create (daemon->base, &ask_ops, daemon);
   daemon->links = marjoram_host_links_create (
       daemon->base, daemon->clock, settings, new_incarnation (daemon->clock),
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -86,7 +86,7 @@
 host_weight (const struct marjoram_exchange *exchange,
              const struct marjoram_listed_host *host)
 {
-  return marjoram_listed_host_claim (host, exchange->facts.id);
+  return marjoram_listed_host_weight (host, exchange->facts.id);
 }
 
 /* Orders regions by the wait at their least loaded upstream or by the mean
@@ -208,18 +208,18 @@
     return false;
   query.engines = (int)offer.upstreams < chosen->usable ? (int)offer.upstreams
                                                         : chosen->usable;
-  query.here_ms
+  query.local_ms
       = marjoram_placement_backlog (gateway->placement, exchange->service);
-  query.there_ms = (double)offer.backlog_ms;
+  query.remote_ms = (double)offer.backlog_ms;
   query.unread_ms
       = (double)chosen->unread_tokens / chosen->engine_tokens_per_ms;
   query.prompt_ms
       = (double)exchange->facts.prompt_tokens / chosen->engine_tokens_per_ms;
-  query.there_first_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
+  query.remote_first_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
   query.useful_ms = useful_ms;
-  if (!marjoram_spill_wanted (&query))
+  if (!marjoram_spill_selects (&query))
     return false;
   exchange->estimated_wait_ms
-      = query.there_first_ms + (int64_t)query.prompt_ms;
+      = query.remote_first_ms + (int64_t)query.prompt_ms;
   return forward_to (gateway, exchange, now, host->beat.name);
 }
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -50,7 +50,8 @@
 {
   if (!exchange->attempt)
     return;
-  marjoram_placement_ended (gateway->placement, now, exchange->attempt, how);
+  marjoram_placement_attempt_ended (gateway->placement, now, exchange->attempt,
+                                    how);
   HASH_DELETE (by_attempt, gateway->by_attempt, exchange);
   exchange->attempt = 0;
   exchange->idle_deadline = INT64_MAX;
@@ -185,8 +186,8 @@
   exchange->host[0] = '\0';
   exchange->estimated_wait_ms = place->wait_ms;
   marjoram_exchange_start_attempt (gateway, exchange);
-  marjoram_placement_started (gateway->placement, now, exchange->attempt,
-                              exchange->upstream, query);
+  marjoram_placement_attempt_started (
+      gateway->placement, now, exchange->attempt, exchange->upstream, query);
   add_tried (exchange, exchange->upstream);
   exchange->arrivals++;
   exchange->runs++;
@@ -236,8 +237,8 @@
     return;
   refuse (gateway, exchange, now,
           none ? MARJORAM_REASON_NO_UPSTREAM : MARJORAM_REASON_OVERLOAD,
-          marjoram_shortages_refuse (gateway->shortages, now,
-                                     exchange->service, chosen->retry_ms));
+          marjoram_shortages_retry_ms (gateway->shortages, now,
+                                       exchange->service, chosen->retry_ms));
 }
 
 static void
--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -32,8 +32,8 @@
       = marjoram_wait_queue_tokens_before (gateway->queue, service, sort_key);
 
   if (place->tokens_per_ms <= 0)
-    return place->over_ms;
-  return place->over_ms + (int64_t)((double)ahead / place->tokens_per_ms);
+    return place->excess_ms;
+  return place->excess_ms + (int64_t)((double)ahead / place->tokens_per_ms);
 }
 
 static bool
--- a/src/host_beats.c
+++ b/src/host_beats.c
@@ -101,10 +101,12 @@
   links->near_ms = BEAT_MS;
   if (links->settings->role != MARJORAM_ROLE_ENTRY)
     return;
-  hosts = (int64_t)marjoram_host_list_serving (links->hosts, now, region);
+  hosts
+      = (int64_t)marjoram_host_list_serving_count (links->hosts, now, region);
   if (hosts > NEAR_HOSTS)
     links->near_ms = BEAT_MS * hosts / NEAR_HOSTS;
-  marjoram_host_list_set_beat (links->hosts, region, links->near_ms);
+  marjoram_host_list_set_heartbeat_interval (links->hosts, region,
+                                             links->near_ms);
 }
 
 static int64_t
@@ -218,8 +220,8 @@
   if (!beat->name || strcmp (beat->name, host) != 0)
     return;
   beat->age_ms = 0;
-  if (marjoram_host_list_hear (links->hosts, marjoram_host_links_now (links),
-                               beat, true))
+  if (marjoram_host_list_update (links->hosts, marjoram_host_links_now (links),
+                                 beat, true))
     log_host (beat);
 }
 
@@ -317,8 +319,8 @@
   session->number = number;
   beat->age_ms = 0;
   answer_older (links, host, number, beat);
-  if (marjoram_host_list_hear (links->hosts, marjoram_host_links_now (links),
-                               beat, true))
+  if (marjoram_host_list_update (links->hosts, marjoram_host_links_now (links),
+                                 beat, true))
     {
       log_host (beat);
       tell_changed (links, beat);
@@ -352,8 +354,8 @@
   for (size_t i = 0; i < list->items.count; i++)
     if (items[i].name && strcmp (items[i].name, links->settings->ip) == 0)
       outlive (links, &items[i]);
-    else if (marjoram_host_list_hear (links->hosts,
-                                      marjoram_host_links_now (links),
-                                      &items[i], false))
+    else if (marjoram_host_list_update (links->hosts,
+                                        marjoram_host_links_now (links),
+                                        &items[i], false))
       log_host (&items[i]);
 }
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -116,8 +116,8 @@
   if (!link || !link->up)
     return;
   link->up = false;
-  marjoram_host_list_lost (links->hosts, marjoram_host_links_now (links),
-                           host);
+  marjoram_host_list_connection_lost (links->hosts,
+                                      marjoram_host_links_now (links), host);
   marjoram_event (MARJORAM_EVENT_LINK,
                   "host=%s state=lost silent_ms=%" PRId64 " lag_ms=%" PRId64,
                   host, marjoram_host_links_now (links) - link->heard_at,
@@ -236,7 +236,7 @@
   for (size_t i = 0; i < far->count; i++)
     {
       uint64_t claim
-          = marjoram_listed_host_claim (far->hosts[i], links->settings->ip);
+          = marjoram_listed_host_weight (far->hosts[i], links->settings->ip);
       int place = count;
 
       while (place > 0 && claims[place - 1] < claim)
@@ -325,7 +325,7 @@
   if (link->up)
     marjoram_own_lag_add (&links->own_lag, now, &link->lag, link->heard_at);
   marjoram_own_lag_end (&links->own_lag, now);
-  marjoram_host_list_set_late (links->hosts, links->own_lag.ms);
+  marjoram_host_list_set_lag (links->hosts, links->own_lag.ms);
 }
 
 static int64_t
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -78,7 +78,7 @@
 }
 
 void
-marjoram_host_list_set_told_valid (marjoram_host_list *list, int64_t msec)
+marjoram_host_list_set_relayed_valid (marjoram_host_list *list, int64_t msec)
 {
   list->relayed_valid_ms = msec;
 }
@@ -88,7 +88,7 @@
    a cold upstream.  The lag is bounded by its source, so that dead hosts are
    still detected.  */
 void
-marjoram_host_list_set_late (marjoram_host_list *list, int64_t lag_ms)
+marjoram_host_list_set_lag (marjoram_host_list *list, int64_t lag_ms)
 {
   list->lag_ms = lag_ms;
 }
@@ -292,8 +292,8 @@
 }
 
 bool
-marjoram_host_list_hear (marjoram_host_list *list, int64_t now,
-                         const struct marjoram_host_beat *beat, bool direct)
+marjoram_host_list_update (marjoram_host_list *list, int64_t now,
+                           const struct marjoram_host_beat *beat, bool direct)
 {
   int64_t heard_at = now - (int64_t)beat->age_ms;
   struct marjoram_listed_host *host;
@@ -330,8 +330,8 @@
 }
 
 void
-marjoram_host_list_set_beat (marjoram_host_list *list, const char *region,
-                             int64_t beat_ms)
+marjoram_host_list_set_heartbeat_interval (marjoram_host_list *list,
+                                           const char *region, int64_t beat_ms)
 {
   if (!list->region || strcmp (list->region, region) != 0)
     {
@@ -342,8 +342,8 @@
 }
 
 void
-marjoram_host_list_lost (marjoram_host_list *list, int64_t now,
-                         const char *name)
+marjoram_host_list_connection_lost (marjoram_host_list *list, int64_t now,
+                                    const char *name)
 {
   struct marjoram_listed_host *host = find (list, name);
 
@@ -476,8 +476,8 @@
 }
 
 uint64_t
-marjoram_listed_host_claim (const struct marjoram_listed_host *host,
-                            const char *key)
+marjoram_listed_host_weight (const struct marjoram_listed_host *host,
+                             const char *key)
 {
   return XXH3_64bits_withSeed (key, strlen (key), host->name_hash);
 }
@@ -491,7 +491,7 @@
   for (size_t i = 0; i < view->result.count; i++)
     {
       uint64_t weight
-          = marjoram_listed_host_claim (view->result.hosts[i], key);
+          = marjoram_listed_host_weight (view->result.hosts[i], key);
 
       if (best && weight <= highest)
         continue;
@@ -538,14 +538,14 @@
 }
 
 size_t
-marjoram_host_list_serving (marjoram_host_list *list, int64_t now,
-                            const char *region)
+marjoram_host_list_serving_count (marjoram_host_list *list, int64_t now,
+                                  const char *region)
 {
   return region_view (list, now, region)->result.count;
 }
 
 size_t
-marjoram_host_list_entries (marjoram_host_list *list)
+marjoram_host_list_entry_count (marjoram_host_list *list)
 {
   return list->entries;
 }
--- a/src/host_list.h
+++ b/src/host_list.h
@@ -34,22 +34,23 @@
 void marjoram_host_list_destroy (marjoram_host_list *list);
 /* Sets how long relayed heartbeats stay valid, in ms: slightly longer than the
    interval at which all hosts are relayed.  */
-void marjoram_host_list_set_told_valid (marjoram_host_list *list,
-                                        int64_t msec);
+void marjoram_host_list_set_relayed_valid (marjoram_host_list *list,
+                                           int64_t msec);
 /* Sets the heartbeat interval of the entry hosts of REGION.  */
-void marjoram_host_list_set_beat (marjoram_host_list *list, const char *region,
-                                  int64_t beat_ms);
+void marjoram_host_list_set_heartbeat_interval (marjoram_host_list *list,
+                                                const char *region,
+                                                int64_t beat_ms);
 /* The connection to NAME broke: if its heartbeats arrive directly, it counts
    as dead until the next one.  */
-void marjoram_host_list_lost (marjoram_host_list *list, int64_t now,
-                              const char *name);
+void marjoram_host_list_connection_lost (marjoram_host_list *list, int64_t now,
+                                         const char *name);
 /* Sets the receive lag of this host, allowed for in all liveness checks.  */
-void marjoram_host_list_set_late (marjoram_host_list *list, int64_t lag_ms);
+void marjoram_host_list_set_lag (marjoram_host_list *list, int64_t lag_ms);
 /* Processes a heartbeat received from its host (DIRECT) or relayed.  Returns
    whether it changed anything besides the host's liveness.  */
-bool marjoram_host_list_hear (marjoram_host_list *list, int64_t now,
-                              const struct marjoram_host_beat *beat,
-                              bool direct);
+bool marjoram_host_list_update (marjoram_host_list *list, int64_t now,
+                                const struct marjoram_host_beat *beat,
+                                bool direct);
 struct marjoram_listed_hosts *
 marjoram_host_list_all (marjoram_host_list *list);
 /* NULL if NAME is unknown.  */
@@ -99,8 +100,8 @@
 marjoram_host_list_of_region (marjoram_host_list *list, int64_t now,
                               const char *region);
 /* Weight of HOST for KEY in rendezvous hashing.  */
-uint64_t marjoram_listed_host_claim (const struct marjoram_listed_host *host,
-                                     const char *key);
+uint64_t marjoram_listed_host_weight (const struct marjoram_listed_host *host,
+                                      const char *key);
 /* Capacity that HOST's region offers for SERVICE; NULL if none.  */
 const struct marjoram_host_offer *
 marjoram_listed_host_offer (const struct marjoram_listed_host *host,
@@ -111,10 +112,10 @@
                                            int64_t now, const char *region,
                                            const char *key, const char *own);
 /* Number of serving entry hosts of REGION.  */
-size_t marjoram_host_list_serving (marjoram_host_list *list, int64_t now,
-                                   const char *region);
+size_t marjoram_host_list_serving_count (marjoram_host_list *list, int64_t now,
+                                         const char *region);
 /* Number of known entry hosts, alive or not.  */
-size_t marjoram_host_list_entries (marjoram_host_list *list);
+size_t marjoram_host_list_entry_count (marjoram_host_list *list);
 /* Drops hosts that have been silent for long.  */
 void marjoram_host_list_tick (marjoram_host_list *list, int64_t now);
 
--- a/src/keeper_publish.c
+++ b/src/keeper_publish.c
@@ -149,8 +149,8 @@
   struct marjoram_news_batch all;
   struct marjoram_news_batch part;
 
-  marjoram_registrar_all (self->registrar, marjoram_keeper_role_now (self),
-                          &all);
+  marjoram_registrar_snapshot (self->registrar,
+                               marjoram_keeper_role_now (self), &all);
   filter_region (self->parts->settings, beat->region, &all, &part);
   marjoram_host_links_reply (self->parts->links, host, session,
                              MARJORAM_FRAME_NEWS, beat->keeper ? &all : &part);
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -219,7 +219,7 @@
     marjoram_keeper_receive (self->keeper, now, host, message);
   else if (type == MARJORAM_FRAME_NEWS)
     {
-      marjoram_registrar_hear (self->registrar, now, batch);
+      marjoram_registrar_apply_batch (self->registrar, now, batch);
       if (batch->ticket)
         {
           const struct marjoram_news_seen reply = { batch->ticket };
@@ -229,7 +229,7 @@
         }
     }
   else if (type == MARJORAM_FRAME_NEWS_SEEN)
-    marjoram_registrar_seen (self->registrar, seen->ticket);
+    marjoram_registrar_acknowledged (self->registrar, seen->ticket);
   else if (type == MARJORAM_FRAME_CRASHES)
     marjoram_keeper_forward_crashes (self, host, message);
   else if (type == MARJORAM_FRAME_STATE_ASK)
--- a/src/load_collector.c
+++ b/src/load_collector.c
@@ -273,9 +273,9 @@
 }
 
 void
-marjoram_load_collector_hear (marjoram_load_collector *collector, int64_t now,
-                              const char *host,
-                              const struct marjoram_load_report *report)
+marjoram_load_collector_apply_report (
+    marjoram_load_collector *collector, int64_t now, const char *host,
+    const struct marjoram_load_report *report)
 {
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
@@ -372,8 +372,9 @@
 }
 
 bool
-marjoram_load_collector_take (marjoram_load_collector *collector, int64_t now,
-                              struct marjoram_load_report *report)
+marjoram_load_collector_take_report (marjoram_load_collector *collector,
+                                     int64_t now,
+                                     struct marjoram_load_report *report)
 {
   memset (report, 0, sizeof *report);
   expire_reporters (collector, now);
--- a/src/load_collector.h
+++ b/src/load_collector.h
@@ -14,14 +14,14 @@
 void marjoram_load_collector_destroy (marjoram_load_collector *collector);
 /* Applies a report of HOST: its complete load if the report is whole,
    otherwise its changes.  Reports of a silent host expire.  */
-void marjoram_load_collector_hear (marjoram_load_collector *collector,
-                                   int64_t now, const char *host,
-                                   const struct marjoram_load_report *report);
+void marjoram_load_collector_apply_report (
+    marjoram_load_collector *collector, int64_t now, const char *host,
+    const struct marjoram_load_report *report);
 /* Builds a report of the totals changed since the last call, or periodically
    of all totals, and of the parts placed since.  Returns false if there is
    nothing to send.  The caller clears REPORT.  */
-bool marjoram_load_collector_take (marjoram_load_collector *collector,
-                                   int64_t now,
-                                   struct marjoram_load_report *report);
+bool marjoram_load_collector_take_report (marjoram_load_collector *collector,
+                                          int64_t now,
+                                          struct marjoram_load_report *report);
 
 #endif
--- a/src/placement.c
+++ b/src/placement.c
@@ -56,7 +56,7 @@
     return endpoint;
   endpoint = marjoram_alloc (sizeof *endpoint);
   endpoint->id = marjoram_strdup (id);
-  endpoint->cache = marjoram_engine_memory_create ();
+  endpoint->cache = marjoram_engine_cache_create ();
   endpoint->born = MARJORAM_START_UNKNOWN;
   endpoint->group = marjoram_load_group (id);
   TAILQ_INIT (&endpoint->unanswered);
@@ -71,7 +71,7 @@
 {
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, placement->endpoints, endpoint);
-  marjoram_engine_memory_destroy (endpoint->cache);
+  marjoram_engine_cache_destroy (endpoint->cache);
   free (endpoint->id);
   free (endpoint);
 }
@@ -162,7 +162,7 @@
   /* Other hosts' reports may have filled the cache model before the upstream's
      first heartbeat.  */
   if (endpoint->born != MARJORAM_START_UNKNOWN)
-    marjoram_engine_memory_clear (endpoint->cache);
+    marjoram_engine_cache_clear (endpoint->cache);
   endpoint->born = upstream->news.born;
   endpoint->paused_until = 0;
   endpoint->connect_failures = 0;
@@ -197,8 +197,8 @@
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
                                  const struct marjoram_call_facts *facts)
 {
-  int64_t cached = marjoram_engine_memory_kept (endpoint->cache, facts->parts,
-                                                facts->part_count);
+  int64_t cached = marjoram_engine_cache_hit_tokens (
+      endpoint->cache, facts->parts, facts->part_count);
 
   return cached < facts->prompt_tokens ? cached : facts->prompt_tokens;
 }
@@ -229,8 +229,8 @@
 {
   struct marjoram_placed_item *placed = marjoram_alloc (sizeof *placed);
 
-  marjoram_engine_memory_use (endpoint->cache, part->id, part->tokens,
-                              capacity);
+  marjoram_engine_cache_use (endpoint->cache, part->id, part->tokens,
+                             capacity);
   placed->endpoint = endpoint;
   placed->part = *part;
   STAILQ_INSERT_TAIL (&placement->placed, placed, link);
@@ -253,9 +253,9 @@
 }
 
 void
-marjoram_placement_started (marjoram_placement *placement, int64_t now,
-                            uint64_t number, const char *upstream,
-                            const struct marjoram_place_query *query)
+marjoram_placement_attempt_started (marjoram_placement *placement, int64_t now,
+                                    uint64_t number, const char *upstream,
+                                    const struct marjoram_place_query *query)
 {
   struct marjoram_endpoint *endpoint
       = marjoram_endpoint_find (placement, upstream);
@@ -326,8 +326,8 @@
 }
 
 void
-marjoram_placement_answering (marjoram_placement *placement, int64_t now,
-                              uint64_t number)
+marjoram_placement_response_started (marjoram_placement *placement,
+                                     int64_t now, uint64_t number)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
   struct marjoram_service_stats *stats;
@@ -347,8 +347,8 @@
 }
 
 void
-marjoram_placement_heard (marjoram_placement *placement, int64_t now,
-                          uint64_t number)
+marjoram_placement_data_received (marjoram_placement *placement, int64_t now,
+                                  uint64_t number)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
 
@@ -357,7 +357,8 @@
 }
 
 int64_t
-marjoram_placement_heard_at (marjoram_placement *placement, uint64_t number)
+marjoram_placement_last_received_at (marjoram_placement *placement,
+                                     uint64_t number)
 {
   const struct marjoram_placed_attempt *attempt
       = find_attempt (placement, number);
@@ -381,7 +382,7 @@
     case MARJORAM_ATTEMPT_REFUSED:
       pause_endpoint (endpoint, now + FULL_PAUSE_MS);
       break;
-    case MARJORAM_ATTEMPT_WRONG:
+    case MARJORAM_ATTEMPT_WRONG_UPSTREAM:
       endpoint->address_conflict_at = now;
       break;
     case MARJORAM_ATTEMPT_UNREACHED:
@@ -391,7 +392,7 @@
         endpoint->connect_failures++;
       break;
     case MARJORAM_ATTEMPT_BROKEN:
-    case MARJORAM_ATTEMPT_SILENT:
+    case MARJORAM_ATTEMPT_TIMED_OUT:
       if (++endpoint->broken_responses >= BROKEN_IN_ROW)
         endpoint->suspected_until = now + SUSPECT_MS;
       break;
@@ -401,8 +402,9 @@
 }
 
 void
-marjoram_placement_ended (marjoram_placement *placement, int64_t now,
-                          uint64_t number, enum marjoram_attempt_end how)
+marjoram_placement_attempt_ended (marjoram_placement *placement, int64_t now,
+                                  uint64_t number,
+                                  enum marjoram_attempt_end how)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
   struct marjoram_endpoint *endpoint;
@@ -434,8 +436,8 @@
 }
 
 void
-marjoram_placement_lost (marjoram_placement *placement, int64_t now,
-                         const char *address)
+marjoram_placement_connection_lost (marjoram_placement *placement, int64_t now,
+                                    const char *address)
 {
   struct marjoram_registered *upstream;
 
@@ -453,8 +455,8 @@
 }
 
 void
-marjoram_placement_cold (marjoram_placement *placement, int64_t now,
-                         const char *upstream, int64_t cold_ms)
+marjoram_placement_set_cold (marjoram_placement *placement, int64_t now,
+                             const char *upstream, int64_t cold_ms)
 {
   marjoram_endpoint_find (placement, upstream)->cold_until = now + cold_ms;
 }
@@ -462,8 +464,8 @@
 /* Marks the zone's upstreams as disconnected, so that they count as cold only
    until their next heartbeat.  */
 void
-marjoram_placement_restored (marjoram_placement *placement, int64_t now,
-                             const char *zone)
+marjoram_placement_zone_restored (marjoram_placement *placement, int64_t now,
+                                  const char *zone)
 {
   struct marjoram_registered *upstream;
 
@@ -475,16 +477,17 @@
 }
 
 void
-marjoram_placement_keeps (marjoram_placement *placement, const char *upstream,
-                          const struct marjoram_prompt_part *parts,
-                          size_t count)
+marjoram_placement_add_cached (marjoram_placement *placement,
+                               const char *upstream,
+                               const struct marjoram_prompt_part *parts,
+                               size_t count)
 {
   struct marjoram_endpoint *endpoint
       = marjoram_endpoint_find (placement, upstream);
 
   for (size_t i = 0; i < count; i++)
-    marjoram_engine_memory_use (endpoint->cache, parts[i].id, parts[i].tokens,
-                                INT64_MAX);
+    marjoram_engine_cache_use (endpoint->cache, parts[i].id, parts[i].tokens,
+                               INT64_MAX);
 }
 
 static bool
--- a/src/placement.h
+++ b/src/placement.h
@@ -61,8 +61,8 @@
 enum marjoram_place_limit
 {
   MARJORAM_PLACE_LIMIT_NONE,
-  MARJORAM_PLACE_LIMIT_USEFUL, /* response would be too late */
-  MARJORAM_PLACE_LIMIT_BACKLOG /* too many queued prompts */
+  MARJORAM_PLACE_LIMIT_DEADLINE, /* response would be too late */
+  MARJORAM_PLACE_LIMIT_BACKLOG   /* too many queued prompts */
 };
 const char *marjoram_place_limit_name (enum marjoram_place_limit limit);
 
@@ -79,7 +79,7 @@
   /* For an engine: tokens of the prompt to be prefilled, and the time by which
      its backlog exceeds the limit.  */
   int64_t unread_tokens;
-  int64_t over_ms;
+  int64_t excess_ms;
   /* Prefill throughput of this host's share of the usable engines, and of a
      single engine; 0 for a service without engines.  */
   double tokens_per_ms;
@@ -114,59 +114,61 @@
 
 /* Lifecycle of one attempt at UPSTREAM; each attempt is started and ended
    exactly once.  */
-void marjoram_placement_started (marjoram_placement *placement, int64_t now,
-                                 uint64_t attempt, const char *upstream,
-                                 const struct marjoram_place_query *query);
+void
+marjoram_placement_attempt_started (marjoram_placement *placement, int64_t now,
+                                    uint64_t attempt, const char *upstream,
+                                    const struct marjoram_place_query *query);
 /* The first event or the response headers arrived.  */
-void marjoram_placement_answering (marjoram_placement *placement, int64_t now,
-                                   uint64_t attempt);
+void marjoram_placement_response_started (marjoram_placement *placement,
+                                          int64_t now, uint64_t attempt);
 /* Response data arrived.  */
-void marjoram_placement_heard (marjoram_placement *placement, int64_t now,
-                               uint64_t attempt);
+void marjoram_placement_data_received (marjoram_placement *placement,
+                                       int64_t now, uint64_t attempt);
 /* When the upstream of ATTEMPT last sent any data to this host, for whichever
    attempt; 0 if it never did or ATTEMPT is unknown.  */
-int64_t marjoram_placement_heard_at (marjoram_placement *placement,
-                                     uint64_t attempt);
+int64_t marjoram_placement_last_received_at (marjoram_placement *placement,
+                                             uint64_t attempt);
 enum marjoram_attempt_end
 {
   MARJORAM_ATTEMPT_SERVED,
   MARJORAM_ATTEMPT_CANCELLED,
-  MARJORAM_ATTEMPT_REFUSED,   /* at capacity: not executed */
-  MARJORAM_ATTEMPT_WRONG,     /* another upstream owns the address */
-  MARJORAM_ATTEMPT_FAILED,    /* upstream returned an error */
-  MARJORAM_ATTEMPT_UNREACHED, /* no connection: not executed */
-  MARJORAM_ATTEMPT_BROKEN,    /* connection broken: may have been executed */
-  MARJORAM_ATTEMPT_SILENT     /* timed out */
+  MARJORAM_ATTEMPT_REFUSED,        /* at capacity: not executed */
+  MARJORAM_ATTEMPT_WRONG_UPSTREAM, /* another upstream owns the address */
+  MARJORAM_ATTEMPT_FAILED,         /* upstream returned an error */
+  MARJORAM_ATTEMPT_UNREACHED,      /* no connection: not executed */
+  MARJORAM_ATTEMPT_BROKEN,   /* connection broken: may have been executed */
+  MARJORAM_ATTEMPT_TIMED_OUT /* timed out */
 };
-void marjoram_placement_ended (marjoram_placement *placement, int64_t now,
-                               uint64_t attempt,
-                               enum marjoram_attempt_end how);
+void marjoram_placement_attempt_ended (marjoram_placement *placement,
+                                       int64_t now, uint64_t attempt,
+                                       enum marjoram_attempt_end how);
 /* Connections to ADDRESS broke: the upstream may have restarted with a cold
    cache.  */
-void marjoram_placement_lost (marjoram_placement *placement, int64_t now,
-                              const char *address);
+void marjoram_placement_connection_lost (marjoram_placement *placement,
+                                         int64_t now, const char *address);
 /* A response from UPSTREAM reports that it stays cold for COLD_MS.  */
-void marjoram_placement_cold (marjoram_placement *placement, int64_t now,
-                              const char *upstream, int64_t cold_ms);
+void marjoram_placement_set_cold (marjoram_placement *placement, int64_t now,
+                                  const char *upstream, int64_t cold_ms);
 /* The evacuation of ZONE ended: its upstreams are treated as cold until their
    next heartbeat.  */
-void marjoram_placement_restored (marjoram_placement *placement, int64_t now,
-                                  const char *zone);
+void marjoram_placement_zone_restored (marjoram_placement *placement,
+                                       int64_t now, const char *zone);
 
 /* UPSTREAM reports that it has PARTS cached.  */
-void marjoram_placement_keeps (marjoram_placement *placement,
-                               const char *upstream,
-                               const struct marjoram_prompt_part *parts,
-                               size_t count);
+void marjoram_placement_add_cached (marjoram_placement *placement,
+                                    const char *upstream,
+                                    const struct marjoram_prompt_part *parts,
+                                    size_t count);
 
 /* Builds a report for the region's other hosts: all requests running from this
    host, and the prompt parts placed since the last report.  The caller clears
    REPORT.  */
 void marjoram_placement_report (marjoram_placement *placement,
                                 struct marjoram_load_report *report);
-void marjoram_placement_hear (marjoram_placement *placement, int64_t now,
-                              const char *host,
-                              const struct marjoram_load_report *report);
+void
+marjoram_placement_apply_report (marjoram_placement *placement, int64_t now,
+                                 const char *host,
+                                 const struct marjoram_load_report *report);
 /* ---- Reports through collectors, for large fleets (load_collector.h).  ----
  */
 
@@ -185,9 +187,10 @@
     struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS]);
 /* Applies a collector's totals, which include this host's own load.  GROUPS
    are the groups that it collects.  */
-void marjoram_placement_hear_sums (marjoram_placement *placement, int64_t now,
-                                   const bool groups[MARJORAM_LOAD_GROUPS],
-                                   const struct marjoram_load_report *report);
+void
+marjoram_placement_apply_totals (marjoram_placement *placement, int64_t now,
+                                 const bool groups[MARJORAM_LOAD_GROUPS],
+                                 const struct marjoram_load_report *report);
 void marjoram_placement_tick (marjoram_placement *placement, int64_t now);
 
 #endif
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -265,7 +265,7 @@
   if (estimate->idle)
     return MARJORAM_PLACE_LIMIT_NONE;
   if (estimate->wait_ms > (double)query->useful_ms)
-    return MARJORAM_PLACE_LIMIT_USEFUL;
+    return MARJORAM_PLACE_LIMIT_DEADLINE;
   if (estimate->backlog_ms > BACKLOG_MAX_MS)
     return MARJORAM_PLACE_LIMIT_BACKLOG;
   return MARJORAM_PLACE_LIMIT_NONE;
@@ -319,7 +319,7 @@
 select_sample (marjoram_placement *placement, int64_t now,
                const struct marjoram_place_query *query)
 {
-  const double hosts = (double)marjoram_host_list_serving (
+  const double hosts = (double)marjoram_host_list_serving_count (
       placement->options.hosts, now, placement->region);
   const double upstreams = (double)marjoram_registry_service_count (
       placement->options.registry, query->service->name);
@@ -398,8 +398,8 @@
                 const struct marjoram_place_query *query,
                 struct marjoram_place *place)
 {
-  size_t hosts = marjoram_host_list_serving (placement->options.hosts, now,
-                                             placement->region);
+  size_t hosts = marjoram_host_list_serving_count (placement->options.hosts,
+                                                   now, placement->region);
 
   place->engine_tokens_per_ms
       = marjoram_placement_service_stats (placement, query->service->name)
@@ -447,7 +447,7 @@
                        : MARJORAM_PLACE_BUSY;
   place->unread_tokens = chosen->estimate.unread;
   if (chosen->estimate.backlog_ms > BACKLOG_MAX_MS)
-    place->over_ms = (int64_t)chosen->estimate.backlog_ms - BACKLOG_MAX_MS;
+    place->excess_ms = (int64_t)chosen->estimate.backlog_ms - BACKLOG_MAX_MS;
   if (query->service->has_engine)
     set_throughput (placement, now, query, place);
   if (place->outcome == MARJORAM_PLACE_BUSY)
--- a/src/placement_collect.c
+++ b/src/placement_collect.c
@@ -197,9 +197,9 @@
 }
 
 void
-marjoram_placement_hear_sums (marjoram_placement *placement, int64_t now,
-                              const bool groups[MARJORAM_LOAD_GROUPS],
-                              const struct marjoram_load_report *report)
+marjoram_placement_apply_totals (marjoram_placement *placement, int64_t now,
+                                 const bool groups[MARJORAM_LOAD_GROUPS],
+                                 const struct marjoram_load_report *report)
 {
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -4,7 +4,7 @@
 #ifndef MARJORAM_PLACEMENT_PRIVATE_H
 #define MARJORAM_PLACEMENT_PRIVATE_H
 
-#include "engine_memory.h"
+#include "engine_cache.h"
 #include "placement.h"
 
 #include <uthash.h>
@@ -56,7 +56,7 @@
   struct marjoram_endpoint_load reported;
   struct marjoram_endpoint_load previously_reported;
   int64_t reported_at;
-  marjoram_engine_memory *cache;
+  marjoram_engine_cache *cache;
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
   int64_t born;     /* start time of the instance that CACHE models */
   int64_t paused_until;
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -201,14 +201,14 @@
   /* The capacity is unknown until this host has sent a request there.  */
   int64_t capacity = endpoint->capacity > 0 ? endpoint->capacity : INT64_MAX;
 
-  marjoram_engine_memory_use (endpoint->cache, placed->part,
-                              (int64_t)placed->tokens, capacity);
+  marjoram_engine_cache_use (endpoint->cache, placed->part,
+                             (int64_t)placed->tokens, capacity);
 }
 
 void
-marjoram_placement_hear (marjoram_placement *placement, int64_t now,
-                         const char *host,
-                         const struct marjoram_load_report *report)
+marjoram_placement_apply_report (marjoram_placement *placement, int64_t now,
+                                 const char *host,
+                                 const struct marjoram_load_report *report)
 {
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -99,16 +99,16 @@
 
 static void
 log_news (const struct marjoram_upstream_news *news,
-          enum marjoram_hearing hearing)
+          enum marjoram_registry_result hearing)
 {
-  if (hearing == MARJORAM_HEARING_RENEWED)
+  if (hearing == MARJORAM_REGISTRY_RENEWED)
     return;
   marjoram_event (
       MARJORAM_EVENT_UPSTREAM,
       "id=%s state=%s taken=%s service=%s address=%s zone=%s "
       "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64 " ends_ms=%" PRId64,
       news->id, state_names[news->state],
-      hearing == MARJORAM_HEARING_STALE ? "no" : "yes",
+      hearing == MARJORAM_REGISTRY_STALE ? "no" : "yes",
       *news->service ? news->service : "-",
       *news->address ? news->address : "-", *news->zone ? news->zone : "-",
       news->born, news->sequence, news->cold_ms, news->ends_ms);
@@ -186,13 +186,13 @@
 process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
               const struct marjoram_upstream_news *news)
 {
-  enum marjoram_hearing hearing
-      = marjoram_registry_hear (registrar->options.registry, now, news, 0);
+  enum marjoram_registry_result hearing
+      = marjoram_registry_update (registrar->options.registry, now, news, 0);
 
   log_news (news, hearing);
   record_contact (registrar, now, news->id);
   marjoram_metrics_add (registrar->options.metrics,
-                        hearing == MARJORAM_HEARING_STALE
+                        hearing == MARJORAM_REGISTRY_STALE
                             ? MARJORAM_METRIC_NEWS_STALE
                             : MARJORAM_METRIC_NEWS,
                         1);
@@ -201,16 +201,16 @@
       confirm_leave (registrar, now, ask, news->id);
       return;
     }
-  if (hearing == MARJORAM_HEARING_CHANGED)
+  if (hearing == MARJORAM_REGISTRY_CHANGED)
     broadcast_one (registrar, now, news->id, 0);
-  else if (hearing == MARJORAM_HEARING_RENEWED && !registrar->renewals_since)
+  else if (hearing == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
     registrar->renewals_since = now;
   marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
 }
 
 void
-marjoram_registrar_hear (marjoram_registrar *registrar, int64_t now,
-                         const struct marjoram_news_batch *batch)
+marjoram_registrar_apply_batch (marjoram_registrar *registrar, int64_t now,
+                                const struct marjoram_news_batch *batch)
 {
   const struct marjoram_news_item *items = batch->items.items;
 
@@ -219,8 +219,8 @@
       struct marjoram_upstream_news news;
 
       if (marjoram_registry_unpack (&items[i], &news))
-        marjoram_registry_hear (registrar->options.registry, now, &news,
-                                items[i].age_ms);
+        marjoram_registry_update (registrar->options.registry, now, &news,
+                                  items[i].age_ms);
     }
 }
 
@@ -248,8 +248,8 @@
 }
 
 void
-marjoram_registrar_all (marjoram_registrar *registrar, int64_t now,
-                        struct marjoram_news_batch *batch)
+marjoram_registrar_snapshot (marjoram_registrar *registrar, int64_t now,
+                             struct marjoram_news_batch *batch)
 {
   pack_since (registrar, now, INT64_MIN, batch);
 }
@@ -281,7 +281,8 @@
 }
 
 void
-marjoram_registrar_seen (marjoram_registrar *registrar, uint64_t ticket)
+marjoram_registrar_acknowledged (marjoram_registrar *registrar,
+                                 uint64_t ticket)
 {
   struct marjoram_pending_request *pending
       = marjoram_registrar_find_pending (registrar, ticket);
--- a/src/registrar.h
+++ b/src/registrar.h
@@ -53,17 +53,19 @@
                                  const char *target, const char *body,
                                  size_t size);
 /* A host acknowledged the batch TICKET.  */
-void marjoram_registrar_seen (marjoram_registrar *registrar, uint64_t ticket);
+void marjoram_registrar_acknowledged (marjoram_registrar *registrar,
+                                      uint64_t ticket);
 void marjoram_registrar_decided (marjoram_registrar *registrar, int64_t now,
                                  uint64_t request,
                                  const struct marjoram_apply_answer *answer);
 /* Applies a batch from another keeper.  */
-void marjoram_registrar_hear (marjoram_registrar *registrar, int64_t now,
-                              const struct marjoram_news_batch *batch);
+void marjoram_registrar_apply_batch (marjoram_registrar *registrar,
+                                     int64_t now,
+                                     const struct marjoram_news_batch *batch);
 /* Builds a batch of all upstreams, for a newly connected host.  The caller
    releases it with free (items); the items borrow their strings.  */
-void marjoram_registrar_all (marjoram_registrar *registrar, int64_t now,
-                             struct marjoram_news_batch *batch);
+void marjoram_registrar_snapshot (marjoram_registrar *registrar, int64_t now,
+                                  struct marjoram_news_batch *batch);
 /* To be called at least every 50 ms.  */
 void marjoram_registrar_tick (marjoram_registrar *registrar, int64_t now);
 
--- a/src/registry.c
+++ b/src/registry.c
@@ -181,7 +181,7 @@
   return true;
 }
 
-static enum marjoram_hearing
+static enum marjoram_registry_result
 add (marjoram_registry *registry, int64_t now,
      const struct marjoram_upstream_news *news, int64_t age_ms)
 {
@@ -190,29 +190,29 @@
   /* A deregistration of an unknown upstream is recorded too, as delayed
      heartbeats may follow it.  */
   if (news->state != MARJORAM_NEWS_GONE && !claim_address (registry, news))
-    return MARJORAM_HEARING_STALE;
+    return MARJORAM_REGISTRY_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
   upstream->direct_heard_at = INT64_MIN;
   store_news (registry, upstream, now, news, age_ms);
   TAILQ_INSERT_TAIL (&registry->list, upstream, link);
   HASH_ADD_STR (registry->by_id, news.id, upstream);
-  return MARJORAM_HEARING_CHANGED;
+  return MARJORAM_REGISTRY_CHANGED;
 }
 
-static enum marjoram_hearing
+static enum marjoram_registry_result
 leave (struct marjoram_registered *upstream,
        const struct marjoram_upstream_news *news)
 {
   if (upstream->news.state == MARJORAM_NEWS_GONE
       || (news->born != 0 && news->born < upstream->news.born))
-    return MARJORAM_HEARING_STALE;
+    return MARJORAM_REGISTRY_STALE;
   upstream->news.state = MARJORAM_NEWS_GONE;
-  return MARJORAM_HEARING_CHANGED;
+  return MARJORAM_REGISTRY_CHANGED;
 }
 
 /* The state of an instance only moves forward, so that a reordered heartbeat
    does not undo a deregistration.  */
-static enum marjoram_hearing
+static enum marjoram_registry_result
 renew (marjoram_registry *registry, struct marjoram_registered *upstream,
        int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
 {
@@ -222,19 +222,19 @@
 
   if (before == MARJORAM_NEWS_GONE
       || news->sequence <= upstream->news.sequence)
-    return MARJORAM_HEARING_STALE;
+    return MARJORAM_REGISTRY_STALE;
   store_news (registry, upstream, now, news, age_ms);
   if (upstream->news.state < before)
     upstream->news.state = before;
   return upstream->news.state != before || moved || news->cold_ms > 0
-             ? MARJORAM_HEARING_CHANGED
-             : MARJORAM_HEARING_RENEWED;
+             ? MARJORAM_REGISTRY_CHANGED
+             : MARJORAM_REGISTRY_RENEWED;
 }
 
-enum marjoram_hearing
-marjoram_registry_hear (marjoram_registry *registry, int64_t now,
-                        const struct marjoram_upstream_news *news,
-                        int64_t age_ms)
+enum marjoram_registry_result
+marjoram_registry_update (marjoram_registry *registry, int64_t now,
+                          const struct marjoram_upstream_news *news,
+                          int64_t age_ms)
 {
   struct marjoram_registered *upstream
       = marjoram_registry_find (registry, news->id);
@@ -246,13 +246,13 @@
   if (news->state == MARJORAM_NEWS_GONE)
     return leave (upstream, news);
   if (news->born < upstream->news.born)
-    return MARJORAM_HEARING_STALE;
+    return MARJORAM_REGISTRY_STALE;
   if (news->born > upstream->news.born)
     {
       if (!claim_address (registry, news))
-        return MARJORAM_HEARING_STALE;
+        return MARJORAM_REGISTRY_STALE;
       store_news (registry, upstream, now, news, age_ms);
-      return MARJORAM_HEARING_CHANGED;
+      return MARJORAM_REGISTRY_CHANGED;
     }
   return renew (registry, upstream, now, news, age_ms);
 }
--- a/src/registry.h
+++ b/src/registry.h
@@ -32,20 +32,20 @@
 
 TAILQ_HEAD (marjoram_registered_list, marjoram_registered);
 
-enum marjoram_hearing
+enum marjoram_registry_result
 {
-  MARJORAM_HEARING_STALE,   /* outdated, or from an earlier instance */
-  MARJORAM_HEARING_RENEWED, /* liveness only */
-  MARJORAM_HEARING_CHANGED  /* new, or changed state, address or instance */
+  MARJORAM_REGISTRY_STALE,   /* outdated, or from an earlier instance */
+  MARJORAM_REGISTRY_RENEWED, /* liveness only */
+  MARJORAM_REGISTRY_CHANGED  /* new, or changed state, address or instance */
 };
 
 marjoram_registry *marjoram_registry_create (void);
 void marjoram_registry_destroy (marjoram_registry *registry);
 /* Applies NEWS, which a keeper received AGE_MS ago.  */
-enum marjoram_hearing
-marjoram_registry_hear (marjoram_registry *registry, int64_t now,
-                        const struct marjoram_upstream_news *news,
-                        int64_t age_ms);
+enum marjoram_registry_result
+marjoram_registry_update (marjoram_registry *registry, int64_t now,
+                          const struct marjoram_upstream_news *news,
+                          int64_t age_ms);
 /* NULL if ID is unknown.  */
 struct marjoram_registered *
 marjoram_registry_find (const marjoram_registry *registry, const char *id);
--- a/src/shortage.c
+++ b/src/shortage.c
@@ -70,8 +70,8 @@
 /* Assumes that a shortage lasts as long again as it has already.  A shorter
    delay would use up the caller's retry within the same shortage.  */
 int64_t
-marjoram_shortages_refuse (marjoram_shortages *shortages, int64_t now,
-                           const char *service, int64_t at_least_ms)
+marjoram_shortages_retry_ms (marjoram_shortages *shortages, int64_t now,
+                             const char *service, int64_t at_least_ms)
 {
   struct shortage *shortage = find (shortages, now, service);
   int64_t duration_ms;
--- a/src/shortage.h
+++ b/src/shortage.h
@@ -11,7 +11,8 @@
 void marjoram_shortages_destroy (marjoram_shortages *shortages);
 /* Records a rejection of a request for SERVICE at NOW.  Returns the delay in
    ms after which the caller should retry, at least AT_LEAST_MS.  */
-int64_t marjoram_shortages_refuse (marjoram_shortages *shortages, int64_t now,
-                                   const char *service, int64_t at_least_ms);
+int64_t marjoram_shortages_retry_ms (marjoram_shortages *shortages,
+                                     int64_t now, const char *service,
+                                     int64_t at_least_ms);
 
 #endif
--- a/src/spill.c
+++ b/src/spill.c
@@ -21,20 +21,20 @@
 };
 
 bool
-marjoram_spill_wanted (const struct marjoram_spill_query *query)
+marjoram_spill_selects (const struct marjoram_spill_query *query)
 {
-  const double difference = query->here_ms - query->there_ms;
+  const double difference = query->local_ms - query->remote_ms;
   const double noise_ms
       = BACKLOG_DEVIATION_MS / sqrt (query->engines > 0 ? query->engines : 1);
   double share;
 
-  if (query->here_ms < BACKLOG_MIN_MS + noise_ms
+  if (query->local_ms < BACKLOG_MIN_MS + noise_ms
       || difference < DIFFERENCE_MIN_MS + noise_ms
       || query->unread_ms < PROMPT_MIN_MS
-      || (double)query->there_first_ms + query->prompt_ms
+      || (double)query->remote_first_ms + query->prompt_ms
              > (double)query->useful_ms)
     return false;
-  share = DAMPING * difference / (query->here_ms + query->there_ms);
+  share = DAMPING * difference / (query->local_ms + query->remote_ms);
   return (double)XXH3_64bits (query->id, strlen (query->id))
          < share * (double)UINT64_MAX;
 }
--- a/src/spill.h
+++ b/src/spill.h
@@ -10,19 +10,19 @@
 
 struct marjoram_spill_query
 {
-  const char *id;         /* request id */
-  int engines;            /* smaller engine count of the two regions */
-  double here_ms;         /* mean prefill backlog of local engines */
-  double there_ms;        /* the same in the other region */
-  double unread_ms;       /* prefill time of the uncached prompt, locally */
-  double prompt_ms;       /* prefill time of the whole prompt */
-  int64_t there_first_ms; /* time to its prefill there, including transit */
-  int64_t useful_ms;      /* time left for the first event */
+  const char *id;          /* request id */
+  int engines;             /* smaller engine count of the two regions */
+  double local_ms;         /* mean prefill backlog of local engines */
+  double remote_ms;        /* the same in the other region */
+  double unread_ms;        /* prefill time of the uncached prompt, locally */
+  double prompt_ms;        /* prefill time of the whole prompt */
+  int64_t remote_first_ms; /* time to its prefill there, including transit */
+  int64_t useful_ms;       /* time left for the first event */
 };
 
 /* Selects a share of long prompts that grows with the difference in backlog,
    so that the hosts jointly balance the regions without moving the entire load
    at once.  */
-bool marjoram_spill_wanted (const struct marjoram_spill_query *query);
+bool marjoram_spill_selects (const struct marjoram_spill_query *query);
 
 #endif
--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -203,7 +203,7 @@
   snprintf (news.service, sizeof news.service, "%s", service);
   snprintf (news.address, sizeof news.address, "%s", address);
   snprintf (news.zone, sizeof news.zone, "z1");
-  marjoram_registry_hear (f->registry, 0, &news, 0);
+  marjoram_registry_update (f->registry, 0, &news, 0);
 }
 
 static void
@@ -220,7 +220,7 @@
                                      .sequence = 1,
                                      .offers = { offers, 2 } };
 
-  marjoram_host_list_hear (f->hosts, 0, &beat, true);
+  marjoram_host_list_update (f->hosts, 0, &beat, true);
 }
 
 void
@@ -297,7 +297,7 @@
 
   news.born = born;
   news.sequence = 1;
-  marjoram_registry_hear (f->registry, now, &news, 0);
+  marjoram_registry_update (f->registry, now, &news, 0);
 }
 
 void
@@ -308,7 +308,7 @@
 
   news.state = MARJORAM_NEWS_LEAVING;
   news.sequence++;
-  marjoram_registry_hear (f->registry, now, &news, 0);
+  marjoram_registry_update (f->registry, now, &news, 0);
 }
 
 static uint64_t
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -1,7 +1,7 @@
 #include "lib_load.h"
 
 #include "cleanup.h"
-#include "engine_memory.h"
+#include "engine_cache.h"
 #include "placement.h"
 #include "random.h"
 
@@ -65,7 +65,7 @@
 struct sim_engine
 {
   char id[16];
-  marjoram_engine_memory *cache;
+  marjoram_engine_cache *cache;
   TAILQ_HEAD (, job) jobs; /* in prefill order */
   int running;
   double step_until; /* end of the current step, ms */
@@ -93,9 +93,9 @@
 };
 
 const char *
-load_way_name (enum load_way way)
+load_policy_name (enum load_policy way)
 {
-  static const char *const names[LOAD_WAY_COUNT]
+  static const char *const names[LOAD_POLICY_COUNT]
       = { "round-robin", "least-in-flight", "placed", "placed-copying" };
 
   return names[way];
@@ -131,7 +131,7 @@
       snprintf (news.service, sizeof news.service, "lm");
       snprintf (news.address, sizeof news.address, "10.0.0.%d:80", i + 1);
       snprintf (news.zone, sizeof news.zone, "z");
-      marjoram_registry_hear (load->registry, now, &news, 0);
+      marjoram_registry_update (load->registry, now, &news, 0);
     }
 }
 
@@ -157,7 +157,7 @@
       struct sim_engine *engine = &load->engines[i];
 
       snprintf (engine->id, sizeof engine->id, "e%d", i);
-      engine->cache = marjoram_engine_memory_create ();
+      engine->cache = marjoram_engine_cache_create ();
       TAILQ_INIT (&engine->jobs);
     }
   for (int i = 0; i < load->terms->hosts; i++)
@@ -187,7 +187,7 @@
           /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
           free (job);
         }
-      marjoram_engine_memory_destroy (engine->cache);
+      marjoram_engine_cache_destroy (engine->cache);
     }
   for (int i = 0; i < load->terms->hosts; i++)
     marjoram_placement_destroy (load->placements[i]);
@@ -242,8 +242,8 @@
 static int64_t
 cached_tokens (const struct sim_engine *engine, const struct job *job)
 {
-  return marjoram_engine_memory_kept (engine->cache, job->facts.parts,
-                                      job->facts.part_count);
+  return marjoram_engine_cache_hit_tokens (engine->cache, job->facts.parts,
+                                           job->facts.part_count);
 }
 
 static void
@@ -260,8 +260,8 @@
   job->unread = (double)(job->facts.prompt_tokens - cached)
                 + (double)(cached - own) * READ_PER_MS / COPIED_PER_MS;
   for (size_t i = job->facts.part_count; i > 0; i--)
-    marjoram_engine_memory_use (engine->cache, job->facts.parts[i - 1].id,
-                                job->facts.parts[i - 1].tokens, CAPACITY);
+    marjoram_engine_cache_use (engine->cache, job->facts.parts[i - 1].id,
+                               job->facts.parts[i - 1].tokens, CAPACITY);
   TAILQ_INSERT_TAIL (&engine->jobs, job, link);
   engine->running++;
 }
@@ -271,8 +271,8 @@
          int64_t now)
 {
   if (load->terms->way >= LOAD_PLACED)
-    marjoram_placement_ended (load->placements[job->host], now, job->number,
-                              MARJORAM_ATTEMPT_SERVED);
+    marjoram_placement_attempt_ended (load->placements[job->host], now,
+                                      job->number, MARJORAM_ATTEMPT_SERVED);
   TAILQ_REMOVE (&engine->jobs, job, link);
   engine->running--;
   free (job);
@@ -285,8 +285,8 @@
   job->event_at = now;
   job->paused = now - job->asked_at > job->objective_ms;
   if (load->terms->way >= LOAD_PLACED)
-    marjoram_placement_answering (load->placements[job->host], now,
-                                  job->number);
+    marjoram_placement_response_started (load->placements[job->host], now,
+                                         job->number);
 }
 
 static void
@@ -444,8 +444,8 @@
     }
   query.expected_ms = place.wait_ms;
   query.copied_tokens = place.copied_tokens;
-  marjoram_placement_started (placement, now, job->number,
-                              place.upstream->news.id, &query);
+  marjoram_placement_attempt_started (placement, now, job->number,
+                                      place.upstream->news.id, &query);
   start_job (load, find_engine (load, place.upstream),
              find_engine (load, place.copy_from), job);
 }
@@ -477,13 +477,14 @@
       marjoram_placement_report (load->placements[from], &report);
       for (int to = 0; to < load->terms->hosts; to++)
         if (to != from)
-          marjoram_placement_hear (load->placements[to], now, name, &report);
+          marjoram_placement_apply_report (load->placements[to], now, name,
+                                           &report);
       marjoram_wire_clear (&marjoram_load_report_layout, &report);
     }
 }
 
 void
-load_play (const struct load_terms *terms, struct load_result *result)
+load_run (const struct load_terms *terms, struct load_result *result)
 {
   struct load *load = marjoram_alloc (sizeof *load);
 
@@ -499,7 +500,7 @@
           exchange_reports (load, now);
         }
       generate_request (load, now, terms->reviews_per_s, true);
-      generate_request (load, now, terms->asks_per_s, false);
+      generate_request (load, now, terms->chats_per_s, false);
       for (int i = 0; i < terms->engines; i++)
         run_engine (load, &load->engines[i], now);
     }
--- a/test/lib_load.h
+++ b/test/lib_load.h
@@ -7,25 +7,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum load_way
+enum load_policy
 {
   LOAD_ROUND_ROBIN,
   LOAD_LEAST_IN_FLIGHT,
   LOAD_PLACED,         /* by the placement module, without copies */
   LOAD_PLACED_COPYING, /* with copies of prompts cached by other engines */
-  LOAD_WAY_COUNT
+  LOAD_POLICY_COUNT
 };
 
 struct load_terms
 {
-  enum load_way way;
+  enum load_policy way;
   uint64_t seed;
   int engines;
   int hosts;
   double reviews_per_s; /* 9,190 tokens, 6,300 of them shared */
   double
-      asks_per_s; /* 826 tokens, 198 of them shared, urgent, long responses */
-  int sessions;   /* sessions that share most of a review's prompt */
+      chats_per_s; /* 826 tokens, 198 of them shared, urgent, long responses */
+  int sessions;    /* sessions that share most of a review's prompt */
   int64_t span_ms;
 };
 
@@ -40,7 +40,7 @@
   int64_t copied;     /* tokens */
 };
 
-const char *load_way_name (enum load_way way);
-void load_play (const struct load_terms *terms, struct load_result *result);
+const char *load_policy_name (enum load_policy way);
+void load_run (const struct load_terms *terms, struct load_result *result);
 
 #endif
--- a/test/test_engine_survey.c
+++ b/test/test_engine_survey.c
@@ -135,12 +135,12 @@
 
 /* Guards against repeated prefill of cached parts after all hosts have
    restarted.  */
-START_TEST (engine_tells_what_it_keeps)
+START_TEST (cached_parts_are_reported)
 {
   answer = "{\"epoch\":1,\"next\":9,\"held\":[[\"\",\"5c1e07a2\",800,\"m\"],"
            "[\"\",\"91bd3f06\",410,\"m\"]]}";
-  marjoram_engine_survey_ask (survey, "e1", address);
-  marjoram_engine_survey_ask (survey, "e1", address);
+  marjoram_engine_survey_query (survey, "e1", address);
+  marjoram_engine_survey_query (survey, "e1", address);
   run_until (is_reported);
   ck_assert_int_eq (query_count, 1);
   ck_assert_uint_eq (reported_count, 2);
@@ -150,32 +150,32 @@
 END_TEST
 
 /* Guards against malformed entries that invalidate the whole response.  */
-START_TEST (malformed_answers_say_nothing)
+START_TEST (malformed_entries_are_skipped)
 {
   answer = "{\"held\":[[\"\",\"zz\",800,\"m\"],7,[\"\",\"1f\",\"x\"],"
            "[\"\",\"1f\",0],[\"\",\"2f\",5,\"m\"]]}";
-  marjoram_engine_survey_ask (survey, "e1", address);
+  marjoram_engine_survey_query (survey, "e1", address);
   run_until (is_reported);
   ck_assert_uint_eq (reported_count, 1);
   ck_assert_uint_eq (first_reported.id, 0x2f);
 }
 END_TEST
 
-START_TEST (answer_without_a_list_says_nothing)
+START_TEST (response_without_list_is_ignored)
 {
   answer = "[]";
-  marjoram_engine_survey_ask (survey, "e1", address);
+  marjoram_engine_survey_query (survey, "e1", address);
   run_until (is_over);
   ck_assert_int_eq (reported, 0);
 }
 END_TEST
 
 /* Guards against a query that stays pending when the engine is unreachable. */
-START_TEST (unreachable_engine_is_left_alone)
+START_TEST (unreachable_engine_ends_query)
 {
   marjoram_http_server_destroy (engine);
   engine = NULL;
-  marjoram_engine_survey_ask (survey, "e1", address);
+  marjoram_engine_survey_query (survey, "e1", address);
   run_until (is_over);
   ck_assert_int_eq (reported, 0);
 }
@@ -188,10 +188,10 @@
   TCase *c = tcase_create ("engine_survey");
 
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_test (c, engine_tells_what_it_keeps);
-  tcase_add_test (c, malformed_answers_say_nothing);
-  tcase_add_test (c, answer_without_a_list_says_nothing);
-  tcase_add_test (c, unreachable_engine_is_left_alone);
+  tcase_add_test (c, cached_parts_are_reported);
+  tcase_add_test (c, malformed_entries_are_skipped);
+  tcase_add_test (c, response_without_list_is_ignored);
+  tcase_add_test (c, unreachable_engine_ends_query);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -75,7 +75,7 @@
   news.sequence = fleet->now + 1;
   news.slots = 64;
   news.ends_ms = -1;
-  marjoram_registry_hear (fleet->registry, fleet->now, &news, 0);
+  marjoram_registry_update (fleet->registry, fleet->now, &news, 0);
 }
 
 static void
@@ -92,7 +92,7 @@
           .sequence = (uint64_t)fleet->now + 1 };
 
   snprintf (name, sizeof name, "h-%d", number);
-  marjoram_host_list_hear (fleet->list, fleet->now, &beat, true);
+  marjoram_host_list_update (fleet->list, fleet->now, &beat, true);
 }
 
 static void
@@ -121,14 +121,15 @@
 apply_to_placement (struct fleet *fleet, const char *host,
                     const struct marjoram_load_report *report)
 {
-  marjoram_placement_hear (fleet->placement, fleet->now, host, report);
+  marjoram_placement_apply_report (fleet->placement, fleet->now, host, report);
 }
 
 static void
 apply_to_collector (struct fleet *fleet, const char *host,
                     const struct marjoram_load_report *report)
 {
-  marjoram_load_collector_hear (fleet->collector, fleet->now, host, report);
+  marjoram_load_collector_apply_report (fleet->collector, fleet->now, host,
+                                        report);
 }
 
 static void
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -45,7 +45,7 @@
   struct marjoram_host_beat made
       = beat (name, zone, region, (uint64_t)now + 1);
 
-  marjoram_host_list_hear (list, now, &made, true);
+  marjoram_host_list_update (list, now, &made, true);
 }
 
 static bool
@@ -79,7 +79,7 @@
 END_TEST
 
 /* Guards against lookups that return a host two seconds after its death.  */
-START_TEST (dead_host_is_left_out_in_time)
+START_TEST (dead_host_is_omitted_in_time)
 {
   receive_beat (0, "h1", "z1", "r1");
   receive_beat (0, "h2", "z1", "r1");
@@ -91,14 +91,14 @@
 END_TEST
 
 /* Guards against lookups that return a host which is shutting down.  */
-START_TEST (leaving_host_is_left_out_at_once)
+START_TEST (leaving_host_is_omitted_at_once)
 {
   struct marjoram_host_beat made = beat ("h1", "z1", "r1", 2);
 
   receive_beat (0, "h1", "z1", "r1");
   made.ready = false;
   made.leaving = true;
-  ck_assert (marjoram_host_list_hear (list, 10, &made, true));
+  ck_assert (marjoram_host_list_update (list, 10, &made, true));
   ck_assert_uint_eq (look_up (20, "z1", "r1"), 0);
 }
 END_TEST
@@ -111,13 +111,13 @@
 
   old.leaving = true;
   new.incarnation = 2;
-  marjoram_host_list_hear (list, 0, &new, true);
-  ck_assert (!marjoram_host_list_hear (list, 10, &old, false));
+  marjoram_host_list_update (list, 0, &new, true);
+  ck_assert (!marjoram_host_list_update (list, 10, &old, false));
   ck_assert_uint_eq (look_up (20, "z1", "r1"), 1);
 }
 END_TEST
 
-START_TEST (one_owner_among_the_living_of_a_region)
+START_TEST (one_owner_among_live_hosts_of_a_region)
 {
   const char *owner;
 
@@ -141,22 +141,22 @@
   receive_beat (0, "h1", "z1", "r1");
   receive_beat (0, "h2", "z1", "r1");
   marjoram_host_list_tick (list, 5000);
-  ck_assert_uint_eq (marjoram_host_list_entries (list), 2);
+  ck_assert_uint_eq (marjoram_host_list_entry_count (list), 2);
   marjoram_host_list_tick (list, 90000);
-  ck_assert_uint_eq (marjoram_host_list_entries (list), 0);
+  ck_assert_uint_eq (marjoram_host_list_entry_count (list), 0);
 }
 END_TEST
 
 /* Guards against taking all other hosts for dead while this host receives
    late.  */
-START_TEST (late_host_takes_nobody_for_dead)
+START_TEST (lagging_host_takes_no_host_for_dead)
 {
   receive_beat (0, "h1", "z1", "r1");
   receive_beat (2000, "h2", "z1", "r1");
-  marjoram_host_list_set_late (list, 1500);
+  marjoram_host_list_set_lag (list, 1500);
   ck_assert_uint_eq (look_up (2000, "z1", "r1"), 2);
   ck_assert_uint_eq (look_up (2900, "z1", "r1"), 1);
-  marjoram_host_list_set_late (list, 0);
+  marjoram_host_list_set_lag (list, 0);
   ck_assert_uint_eq (look_up (2000, "z1", "r1"), 1);
 }
 END_TEST
@@ -182,7 +182,7 @@
               struct marjoram_host_beat made = beat (names[i], "z", "r", 1);
 
               if (i != own)
-                marjoram_host_list_hear (others, 0, &made, true);
+                marjoram_host_list_update (others, 0, &made, true);
             }
           owners[own] = names[0];
           for (int i = 0; i < 3; i++)
@@ -204,23 +204,23 @@
 {
   char *region = marjoram_strdup ("za");
 
-  marjoram_host_list_set_beat (list, region, 900);
+  marjoram_host_list_set_heartbeat_interval (list, region, 900);
   free (region);
   region = marjoram_strdup ("xx");
   receive_beat (0, "h", "z1", "za");
-  ck_assert_uint_eq (marjoram_host_list_serving (list, 3000, "za"), 1);
-  ck_assert_uint_eq (marjoram_host_list_serving (list, 4000, "za"), 0);
+  ck_assert_uint_eq (marjoram_host_list_serving_count (list, 3000, "za"), 1);
+  ck_assert_uint_eq (marjoram_host_list_serving_count (list, 4000, "za"), 0);
   free (region);
 }
 END_TEST
 
-START_TEST (a_broken_connection_counts_as_death_until_the_next_beat)
+START_TEST (disconnected_host_is_dead_until_heartbeat)
 {
   receive_beat (0, "h", "z1", "za");
-  marjoram_host_list_lost (list, 100, "h");
-  ck_assert_uint_eq (marjoram_host_list_serving (list, 100, "za"), 0);
+  marjoram_host_list_connection_lost (list, 100, "h");
+  ck_assert_uint_eq (marjoram_host_list_serving_count (list, 100, "za"), 0);
   receive_beat (300, "h", "z1", "za");
-  ck_assert_uint_eq (marjoram_host_list_serving (list, 300, "za"), 1);
+  ck_assert_uint_eq (marjoram_host_list_serving_count (list, 300, "za"), 1);
 }
 END_TEST
 
@@ -232,15 +232,15 @@
 
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, own_zone_first_then_region_then_home);
-  tcase_add_test (c, dead_host_is_left_out_in_time);
-  tcase_add_test (c, leaving_host_is_left_out_at_once);
+  tcase_add_test (c, dead_host_is_omitted_in_time);
+  tcase_add_test (c, leaving_host_is_omitted_at_once);
   tcase_add_test (c, older_beats_are_ignored);
-  tcase_add_test (c, one_owner_among_the_living_of_a_region);
+  tcase_add_test (c, one_owner_among_live_hosts_of_a_region);
   tcase_add_test (c, dead_entries_count_for_a_while);
-  tcase_add_test (c, late_host_takes_nobody_for_dead);
+  tcase_add_test (c, lagging_host_takes_no_host_for_dead);
   tcase_add_test (c, region_outlives_the_settings);
   tcase_add_test (c, all_hosts_agree_on_an_owner_with_themselves);
-  tcase_add_test (c, a_broken_connection_counts_as_death_until_the_next_beat);
+  tcase_add_test (c, disconnected_host_is_dead_until_heartbeat);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -234,7 +234,7 @@
                                          .sequence = (uint64_t)now };
 
       if (nodes[i].keeper)
-        marjoram_host_list_hear (hosts, now, &beat, true);
+        marjoram_host_list_update (hosts, now, &beat, true);
     }
 }
 
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -31,7 +31,7 @@
   const struct marjoram_load_report report
       = { { &item, 1 }, { &part, running > 0 ? 1 : 0 }, whole };
 
-  marjoram_load_collector_hear (collector, now, host, &report);
+  marjoram_load_collector_apply_report (collector, now, host, &report);
 }
 
 /* Running requests reported for UPSTREAM at NOW; -1 if it is not in the
@@ -43,7 +43,7 @@
   const struct marjoram_load_item *items;
   int64_t running = -1;
 
-  marjoram_load_collector_take (collector, now, &report);
+  marjoram_load_collector_take_report (collector, now, &report);
   items = report.items.items;
   for (size_t i = 0; i < report.items.count; i++)
     if (strcmp (items[i].upstream, upstream) == 0)
@@ -52,7 +52,7 @@
   return running;
 }
 
-START_TEST (sums_follow_changes)
+START_TEST (totals_follow_changes)
 {
   report_load (1000, "a", "u", 2, false);
   report_load (1000, "b", "u", 3, false);
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST (a_whole_report_ends_what_it_leaves_out)
+START_TEST (whole_report_clears_omitted_load)
 {
   report_load (1000, "a", "u", 2, false);
   report_load (1000, "a", "v", 3, true);
@@ -78,7 +78,7 @@
 END_TEST
 
 /* Guards against counting the load of a dead host for good.  */
-START_TEST (a_silent_host_is_taken_off)
+START_TEST (load_of_silent_host_expires)
 {
   report_load (1000, "a", "u", 2, false);
   report_load (2000, "b", "u", 1, false);
@@ -88,7 +88,7 @@
 END_TEST
 
 /* Guards against lasting errors at a host that missed some reports.  */
-START_TEST (all_sums_are_told_now_and_then)
+START_TEST (all_totals_are_sent_periodically)
 {
   report_load (1000, "a", "u", 2, false);
   ck_assert_int_eq (reported_running (1100, "u"), 2);
@@ -144,7 +144,7 @@
 
   pair->registry = marjoram_registry_create ();
   pair->list = marjoram_host_list_create ();
-  marjoram_registry_hear (pair->registry, 1000, &news, 0);
+  marjoram_registry_update (pair->registry, 1000, &news, 0);
   pair->service.name = (char *)"lm";
   pair->service.has_engine = true;
   pair->service.engine.slots = 64;
@@ -190,8 +190,8 @@
 {
   const struct marjoram_place_query query = query_of (pair);
 
-  marjoram_placement_started (pair->placements[host], now, ++pair->attempts,
-                              "u", &query);
+  marjoram_placement_attempt_started (pair->placements[host], now,
+                                      ++pair->attempts, "u", &query);
 }
 
 /* Backlog of the engine as HOST sees it.  */
@@ -215,8 +215,8 @@
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
       if (reports[i].items.count > 0)
-        marjoram_load_collector_hear (collector, now, host == 0 ? "a" : "b",
-                                      &reports[i]);
+        marjoram_load_collector_apply_report (
+            collector, now, host == 0 ? "a" : "b", &reports[i]);
       marjoram_wire_clear (&marjoram_load_report_layout, &reports[i]);
     }
 }
@@ -226,14 +226,14 @@
 {
   struct marjoram_load_report sums;
 
-  if (marjoram_load_collector_take (collector, now, &sums))
+  if (marjoram_load_collector_take_report (collector, now, &sums))
     for (int i = 0; i < 2; i++)
-      marjoram_placement_hear_sums (pair->placements[i], now, all_groups,
-                                    &sums);
+      marjoram_placement_apply_totals (pair->placements[i], now, all_groups,
+                                       &sums);
   marjoram_wire_clear (&marjoram_load_report_layout, &sums);
 }
 
-START_TEST (loads_reach_the_other_host_and_count_once_at_their_own)
+START_TEST (load_is_shared_and_not_counted_twice)
 {
   struct pair *pair = pair_create ();
   int64_t own;
@@ -251,7 +251,7 @@
 
 /* Guards against subtracting a request from totals that do not include it
    yet.  */
-START_TEST (a_request_just_sent_is_not_taken_off)
+START_TEST (request_just_sent_is_not_subtracted)
 {
   struct pair *pair = pair_create ();
   int64_t one;
@@ -272,7 +272,7 @@
 END_TEST
 
 /* Guards against using the totals of a dead collector.  */
-START_TEST (sums_of_a_silent_collector_are_forgotten)
+START_TEST (totals_of_silent_collector_expire)
 {
   struct pair *pair = pair_create ();
 
@@ -292,13 +292,13 @@
   TCase *c = tcase_create ("load_collector");
 
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_test (c, sums_follow_changes);
-  tcase_add_test (c, a_whole_report_ends_what_it_leaves_out);
-  tcase_add_test (c, a_silent_host_is_taken_off);
-  tcase_add_test (c, all_sums_are_told_now_and_then);
-  tcase_add_test (c, loads_reach_the_other_host_and_count_once_at_their_own);
-  tcase_add_test (c, a_request_just_sent_is_not_taken_off);
-  tcase_add_test (c, sums_of_a_silent_collector_are_forgotten);
+  tcase_add_test (c, totals_follow_changes);
+  tcase_add_test (c, whole_report_clears_omitted_load);
+  tcase_add_test (c, load_of_silent_host_expires);
+  tcase_add_test (c, all_totals_are_sent_periodically);
+  tcase_add_test (c, load_is_shared_and_not_counted_twice);
+  tcase_add_test (c, request_just_sent_is_not_subtracted);
+  tcase_add_test (c, totals_of_silent_collector_expire);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_own_lag.c
+++ b/test/test_own_lag.c
@@ -94,7 +94,7 @@
     }
 }
 
-START_TEST (host_that_hears_well_has_no_lag)
+START_TEST (no_lag_without_delays)
 {
   ck_assert_int_eq (own.ms, 0);
   advance (QUIET_MS, ROUND_TRIP_MS, false);
@@ -104,7 +104,7 @@
 
 /* Guards against taking live peers for dead while this host's link is
    saturated, and against a lag that outlasts the congestion.  */
-START_TEST (full_link_makes_all_late)
+START_TEST (saturated_link_is_lag)
 {
   const int64_t known_ms = 2000 - BEAT_MS - TICK_MS;
 
@@ -135,7 +135,7 @@
 
 /* Guards against taking peers for silent whose data still waits in socket
    buffers after a stall of the event loop.  */
-START_TEST (stalled_loop_makes_all_late)
+START_TEST (stalled_loop_is_lag)
 {
   advance (QUIET_MS - QUIET_MS % BEAT_MS + TICK_MS, ROUND_TRIP_MS, false);
   ck_assert_int_gt (peers[0].pending, 0);
@@ -147,7 +147,7 @@
 END_TEST
 
 /* Guards against missing a stall during which no heartbeat was pending.  */
-START_TEST (stalled_loop_is_late_between_beats)
+START_TEST (stall_between_heartbeats_is_lag)
 {
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   while (now % BEAT_MS != BEAT_MS / 2)
@@ -160,7 +160,7 @@
 END_TEST
 
 /* Guards against attributing the delay of dead or slow peers to this host.  */
-START_TEST (late_peers_dont_make_the_host_late)
+START_TEST (slow_peers_are_not_lag)
 {
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   peers[0].dead = true;
@@ -172,7 +172,7 @@
 
 /* Guards against treating a partition as lag, which would keep dead
    connections open.  */
-START_TEST (cut_off_host_is_not_late)
+START_TEST (partition_is_not_lag)
 {
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   advance (1500, QUIET_MS, false);
@@ -182,7 +182,7 @@
 
 /* Guards against deriving a lag from a single connection, whose peer may be
    the slow one.  */
-START_TEST (single_link_tells_nothing)
+START_TEST (single_link_is_ignored)
 {
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   marjoram_link_lag_start (&peers[1].lag);
@@ -196,7 +196,7 @@
 END_TEST
 
 /* Guards against a new connection without a measurement ending the lag.  */
-START_TEST (new_link_hides_no_lag)
+START_TEST (new_link_does_not_hide_lag)
 {
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   advance (2000, QUIET_MS, true);
@@ -223,15 +223,15 @@
   TCase *tests = tcase_create ("own_lag");
 
   tcase_add_checked_fixture (tests, setup, NULL);
-  tcase_add_test (tests, host_that_hears_well_has_no_lag);
-  tcase_add_test (tests, full_link_makes_all_late);
+  tcase_add_test (tests, no_lag_without_delays);
+  tcase_add_test (tests, saturated_link_is_lag);
   tcase_add_test (tests, lag_is_held_until_others_recover);
-  tcase_add_test (tests, stalled_loop_makes_all_late);
-  tcase_add_test (tests, stalled_loop_is_late_between_beats);
-  tcase_add_test (tests, late_peers_dont_make_the_host_late);
-  tcase_add_test (tests, cut_off_host_is_not_late);
-  tcase_add_test (tests, single_link_tells_nothing);
-  tcase_add_test (tests, new_link_hides_no_lag);
+  tcase_add_test (tests, stalled_loop_is_lag);
+  tcase_add_test (tests, stall_between_heartbeats_is_lag);
+  tcase_add_test (tests, slow_peers_are_not_lag);
+  tcase_add_test (tests, partition_is_not_lag);
+  tcase_add_test (tests, single_link_is_ignored);
+  tcase_add_test (tests, new_link_does_not_hide_lag);
   tcase_add_test (tests, lag_is_bounded);
   suite_add_tcase (all, tests);
   return all;
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -64,7 +64,7 @@
                                      .incarnation = 1,
                                      .sequence = (uint64_t)now + 1 };
 
-  marjoram_host_list_hear (hosts, now, &beat, true);
+  marjoram_host_list_update (hosts, now, &beat, true);
 }
 
 static void
@@ -100,7 +100,7 @@
   snprintf (news.service, sizeof news.service, "%s", service);
   snprintf (news.address, sizeof news.address, "10.0.0.%s:80", id);
   snprintf (news.zone, sizeof news.zone, "%s", zone);
-  marjoram_registry_hear (registry, now, &news, 0);
+  marjoram_registry_update (registry, now, &news, 0);
 }
 
 static void
@@ -146,14 +146,14 @@
   started.expected_ms = chosen.wait_ms;
   started.copied_tokens = chosen.copied_tokens;
   if (chosen.outcome == MARJORAM_PLACE_FOUND)
-    marjoram_placement_started (placement, now, ++next_attempt,
-                                chosen.upstream->news.id, &started);
+    marjoram_placement_attempt_started (placement, now, ++next_attempt,
+                                        chosen.upstream->news.id, &started);
   return chosen;
 }
 
 /* Guards against prefill on other engines of a part that an engine reported as
    cached.  */
-START_TEST (prompt_goes_where_an_engine_says_it_is_kept)
+START_TEST (prompt_goes_to_engine_reporting_it_cached)
 {
   const struct marjoram_prompt_part kept = { 7, 4000 };
   struct marjoram_call_facts facts = prompt (7, 4000, 100, 500);
@@ -162,14 +162,14 @@
   receive_heartbeat (0, "1");
   receive_heartbeat (0, "2");
   receive_heartbeat (0, "3");
-  marjoram_placement_keeps (placement, "2", &kept, 1);
+  marjoram_placement_add_cached (placement, "2", &kept, 1);
   ck_assert_str_eq (choose_and_start (10, &query).upstream->news.id, "2");
-  marjoram_placement_keeps (placement, "3", &kept, 1);
+  marjoram_placement_add_cached (placement, "3", &kept, 1);
   ck_assert_int_lt (choose_and_start (20, &query).wait_ms, 40);
 }
 END_TEST
 
-START_TEST (prompt_goes_where_its_part_is_kept)
+START_TEST (prompt_goes_to_engine_caching_its_part)
 {
   struct marjoram_call_facts first = prompt (7, 4000, 100, 500);
   struct marjoram_place_query query = make_query (&first, 1);
@@ -179,8 +179,9 @@
     receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   snprintf (where, sizeof where, "%s",
             choose_and_start (0, &query).upstream->news.id);
-  marjoram_placement_answering (placement, 100, 1);
-  marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_response_started (placement, 100, 1);
+  marjoram_placement_attempt_ended (placement, 200, 1,
+                                    MARJORAM_ATTEMPT_SERVED);
   for (uint64_t i = 0; i < 5; i++)
     {
       struct marjoram_call_facts next = prompt (7, 4000, 200 + i, 500);
@@ -190,15 +191,15 @@
       chosen = choose_and_start (300 + (int64_t)i * 200, &query);
       ck_assert_str_eq (chosen.upstream->news.id, where);
       ck_assert_int_lt (chosen.wait_ms, 20);
-      marjoram_placement_ended (placement, 400 + (int64_t)i * 200,
-                                next_attempt, MARJORAM_ATTEMPT_SERVED);
+      marjoram_placement_attempt_ended (placement, 400 + (int64_t)i * 200,
+                                        next_attempt, MARJORAM_ATTEMPT_SERVED);
     }
 }
 END_TEST
 
 /* Guards against prefill of a prompt that can be copied from a busy engine of
    the same zone, and against copies between zones.  */
-START_TEST (kept_prompt_is_copied_from_a_busy_neighbour)
+START_TEST (cached_prompt_is_copied_from_busy_engine)
 {
   struct marjoram_service_rule copying = engine;
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
@@ -211,8 +212,9 @@
   query.service = &copying;
   receive_heartbeat (0, "1");
   ck_assert_ptr_null (choose_and_start (0, &query).copy_from);
-  marjoram_placement_answering (placement, 150, 1);
-  marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_response_started (placement, 150, 1);
+  marjoram_placement_attempt_ended (placement, 200, 1,
+                                    MARJORAM_ATTEMPT_SERVED);
   query.facts = &other;
   choose_and_start (300, &query);
   receive_heartbeat (300, "2");
@@ -234,7 +236,7 @@
 
 /* Guards against a copy from an engine that may have restarted with an empty
    cache.  */
-START_TEST (nothing_is_copied_from_a_lost_engine)
+START_TEST (nothing_is_copied_after_connection_loss)
 {
   struct marjoram_service_rule copying = engine;
   struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
@@ -245,9 +247,10 @@
   query.service = &copying;
   receive_heartbeat (10, "1");
   choose_and_start (10, &query);
-  marjoram_placement_ended (placement, 200, 1, MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_attempt_ended (placement, 200, 1,
+                                    MARJORAM_ATTEMPT_SERVED);
   receive_heartbeat (300, "2");
-  marjoram_placement_lost (placement, 400, "10.0.0.1:80");
+  marjoram_placement_connection_lost (placement, 400, "10.0.0.1:80");
   query.tried[query.tried_count++] = "1";
   chosen = choose_and_start (410, &query);
   ck_assert_str_eq (chosen.upstream->news.id, "2");
@@ -257,7 +260,7 @@
 
 /* Guards against queueing all prompts that share a part on the engine that
    caches it while others are idle.  */
-START_TEST (a_hot_part_does_not_pile_up)
+START_TEST (shared_part_is_spread_over_idle_engines)
 {
   int at[5] = { 0 };
 
@@ -302,7 +305,7 @@
 
 /* Guards against rejecting urgent requests because of queued lower-priority
    prompts.  */
-START_TEST (urgent_requests_pass_the_queue)
+START_TEST (urgent_requests_bypass_the_queue)
 {
   struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
   struct marjoram_place_query query;
@@ -323,7 +326,7 @@
 
 /* Guards against overloading a cold upstream when several hosts send to it,
    one of them partitioned from the others.  */
-START_TEST (cold_upstream_is_fed_by_one_host)
+START_TEST (cold_upstream_gets_requests_from_one_host)
 {
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
   int sent = 0;
@@ -344,9 +347,10 @@
         if (chosen.outcome != MARJORAM_PLACE_FOUND)
           continue;
         sent++;
-        marjoram_placement_started (by, now, ++next_attempt, "1", &query);
-        marjoram_placement_ended (by, now, next_attempt,
-                                  MARJORAM_ATTEMPT_SERVED);
+        marjoram_placement_attempt_started (by, now, ++next_attempt, "1",
+                                            &query);
+        marjoram_placement_attempt_ended (by, now, next_attempt,
+                                          MARJORAM_ATTEMPT_SERVED);
       }
   ck_assert_int_ge (sent, 1);
   ck_assert_int_le (sent, 2);
@@ -357,12 +361,12 @@
 
 /* Guards against sending at full rate to an upstream that restarted cold,
    before its next heartbeat.  */
-START_TEST (broken_connections_mean_cold_until_news)
+START_TEST (disconnected_upstream_is_cold_until_heartbeat)
 {
   int sent = 0;
 
   receive_heartbeat (0, "1");
-  marjoram_placement_lost (placement, 100, "10.0.0.1:80");
+  marjoram_placement_connection_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
       struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
@@ -371,8 +375,8 @@
       if (choose_and_start (now, &query).outcome != MARJORAM_PLACE_FOUND)
         continue;
       sent++;
-      marjoram_placement_ended (placement, now, next_attempt,
-                                MARJORAM_ATTEMPT_SERVED);
+      marjoram_placement_attempt_ended (placement, now, next_attempt,
+                                        MARJORAM_ATTEMPT_SERVED);
     }
   ck_assert_int_le (sent, 2);
   receive_host_beat (1200, "h1");
@@ -391,7 +395,7 @@
 
 /* Guards against sending at full rate to a restored zone that may be cold, and
    against throttling it after its next heartbeat.  */
-START_TEST (restored_zone_is_cold_until_it_is_heard)
+START_TEST (restored_zone_is_cold_until_heartbeat)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
@@ -400,7 +404,7 @@
   evacuated = "za";
   ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
   evacuated = NULL;
-  marjoram_placement_restored (placement, 10, "za");
+  marjoram_placement_zone_restored (placement, 10, "za");
   ck_assert_int_eq (choose_and_start (20, &query).outcome,
                     MARJORAM_PLACE_FOUND);
   ck_assert_int_eq (choose_and_start (40, &query).outcome,
@@ -410,7 +414,7 @@
                     MARJORAM_PLACE_FOUND);
   ck_assert_int_eq (choose_and_start (420, &query).outcome,
                     MARJORAM_PLACE_FOUND);
-  marjoram_placement_restored (placement, 500, "za");
+  marjoram_placement_zone_restored (placement, 500, "za");
   receive_upstream (900, "lm", "1", "za", 2000, 901);
   ck_assert_int_eq (choose_and_start (1000, &query).outcome,
                     MARJORAM_PLACE_FOUND);
@@ -432,20 +436,23 @@
   receive_heartbeat (0, "2");
   chosen = choose_and_start (0, &query);
   snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
-  marjoram_placement_answering (placement, 110, 1);
-  marjoram_placement_ended (placement, 120, 1, MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_response_started (placement, 110, 1);
+  marjoram_placement_attempt_ended (placement, 120, 1,
+                                    MARJORAM_ATTEMPT_SERVED);
   /* It caches the part, so the next request is sent there and waits.  */
   ck_assert_str_eq (choose_and_start (200, &query).upstream->news.id, slow);
   ck_assert_str_ne (choose_and_start (1200, &query).upstream->news.id, slow);
-  marjoram_placement_answering (placement, 1300, 3);
-  marjoram_placement_ended (placement, 1400, 3, MARJORAM_ATTEMPT_SERVED);
-  marjoram_placement_answering (placement, 2200, 2);
-  marjoram_placement_ended (placement, 2300, 2, MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_response_started (placement, 1300, 3);
+  marjoram_placement_attempt_ended (placement, 1400, 3,
+                                    MARJORAM_ATTEMPT_SERVED);
+  marjoram_placement_response_started (placement, 2200, 2);
+  marjoram_placement_attempt_ended (placement, 2300, 2,
+                                    MARJORAM_ATTEMPT_SERVED);
   ck_assert_str_ne (choose_and_start (2400, &query).upstream->news.id, slow);
 }
 END_TEST
 
-START_TEST (only_the_own_region)
+START_TEST (only_the_local_region_is_used)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
@@ -455,23 +462,23 @@
 }
 END_TEST
 
-START_TEST (unreached_and_wrong_ones_are_left_alone)
+START_TEST (unreachable_and_replaced_upstreams_are_skipped)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
   choose_and_start (0, &query);
-  marjoram_placement_ended (placement, 10, next_attempt,
-                            MARJORAM_ATTEMPT_UNREACHED);
+  marjoram_placement_attempt_ended (placement, 10, next_attempt,
+                                    MARJORAM_ATTEMPT_UNREACHED);
   ck_assert_int_eq (choose_and_start (20, &query).outcome,
                     MARJORAM_PLACE_NONE);
   ck_assert_int_eq (choose_and_start (400, &query).outcome,
                     MARJORAM_PLACE_FOUND);
   /* Another upstream owns its address: only its own heartbeat makes it usable
      again.  */
-  marjoram_placement_ended (placement, 410, next_attempt,
-                            MARJORAM_ATTEMPT_WRONG);
+  marjoram_placement_attempt_ended (placement, 410, next_attempt,
+                                    MARJORAM_ATTEMPT_WRONG_UPSTREAM);
   ck_assert_int_eq (choose_and_start (5000, &query).outcome,
                     MARJORAM_PLACE_NONE);
   receive_heartbeat (5100, "1");
@@ -482,7 +489,7 @@
 
 /* Guards against rejecting requests when the only upstream is suspected, and
    against preferring it to a healthy one.  */
-START_TEST (doubted_upstream_is_better_than_none)
+START_TEST (suspected_upstream_is_used_as_last_resort)
 {
   struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
@@ -492,8 +499,8 @@
     {
       ck_assert_int_eq (choose_and_start (i, &query).outcome,
                         MARJORAM_PLACE_FOUND);
-      marjoram_placement_ended (placement, i, next_attempt,
-                                MARJORAM_ATTEMPT_BROKEN);
+      marjoram_placement_attempt_ended (placement, i, next_attempt,
+                                        MARJORAM_ATTEMPT_BROKEN);
     }
   receive_heartbeat (10, "2");
   for (int i = 0; i < 4; i++)
@@ -504,7 +511,7 @@
 
 /* Guards against rejecting all requests for good after a period of slow
    responses: estimates improve only through new requests.  */
-START_TEST (slow_answers_do_not_close_a_service_for_good)
+START_TEST (slow_responses_do_not_block_a_service)
 {
   const struct marjoram_call_facts small = prompt (7, 10, 8, 10);
   struct marjoram_place_query queries[2] = { make_query (&small, 1) };
@@ -521,10 +528,10 @@
         receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
         ck_assert_int_eq (choose_and_start (i * 3000, &patient).outcome,
                           MARJORAM_PLACE_FOUND);
-        marjoram_placement_answering (placement, i * 3000 + 2900,
-                                      next_attempt);
-        marjoram_placement_ended (placement, i * 3000 + 2900, next_attempt,
-                                  MARJORAM_ATTEMPT_SERVED);
+        marjoram_placement_response_started (placement, i * 3000 + 2900,
+                                             next_attempt);
+        marjoram_placement_attempt_ended (
+            placement, i * 3000 + 2900, next_attempt, MARJORAM_ATTEMPT_SERVED);
       }
   for (int kind = 0; kind < 2; kind++)
     {
@@ -556,7 +563,7 @@
 
 /* Guards against ignoring the load that other hosts report, and against
    counting it after they fall silent.  */
-START_TEST (other_hosts_loads_count)
+START_TEST (load_of_other_hosts_counts)
 {
   marjoram_placement *other = create ("h2");
   struct marjoram_load_report report;
@@ -567,7 +574,7 @@
   receive_heartbeat (0, "1");
   choose_and_start (0, &query);
   marjoram_placement_report (placement, &report);
-  marjoram_placement_hear (other, 10, "h1", &report);
+  marjoram_placement_apply_report (other, 10, "h1", &report);
   marjoram_wire_clear (&marjoram_load_report_layout, &report);
   marjoram_placement_choose (other, 20, &query, &chosen);
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_BUSY);
@@ -586,23 +593,23 @@
   TCase *c = tcase_create ("placement");
 
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_test (c, prompt_goes_where_an_engine_says_it_is_kept);
-  tcase_add_test (c, prompt_goes_where_its_part_is_kept);
-  tcase_add_test (c, kept_prompt_is_copied_from_a_busy_neighbour);
-  tcase_add_test (c, nothing_is_copied_from_a_lost_engine);
-  tcase_add_test (c, a_hot_part_does_not_pile_up);
+  tcase_add_test (c, prompt_goes_to_engine_reporting_it_cached);
+  tcase_add_test (c, prompt_goes_to_engine_caching_its_part);
+  tcase_add_test (c, cached_prompt_is_copied_from_busy_engine);
+  tcase_add_test (c, nothing_is_copied_after_connection_loss);
+  tcase_add_test (c, shared_part_is_spread_over_idle_engines);
   tcase_add_test (c, queue_of_prompts_is_bounded);
-  tcase_add_test (c, urgent_requests_pass_the_queue);
-  tcase_add_test (c, cold_upstream_is_fed_by_one_host);
-  tcase_add_test (c, broken_connections_mean_cold_until_news);
-  tcase_add_test (c, restored_zone_is_cold_until_it_is_heard);
+  tcase_add_test (c, urgent_requests_bypass_the_queue);
+  tcase_add_test (c, cold_upstream_gets_requests_from_one_host);
+  tcase_add_test (c, disconnected_upstream_is_cold_until_heartbeat);
+  tcase_add_test (c, restored_zone_is_cold_until_heartbeat);
   tcase_add_test (c, slow_engine_is_avoided);
-  tcase_add_test (c, only_the_own_region);
-  tcase_add_test (c, unreached_and_wrong_ones_are_left_alone);
-  tcase_add_test (c, doubted_upstream_is_better_than_none);
-  tcase_add_test (c, slow_answers_do_not_close_a_service_for_good);
+  tcase_add_test (c, only_the_local_region_is_used);
+  tcase_add_test (c, unreachable_and_replaced_upstreams_are_skipped);
+  tcase_add_test (c, suspected_upstream_is_used_as_last_resort);
+  tcase_add_test (c, slow_responses_do_not_block_a_service);
   tcase_add_test (c, plain_requests_go_to_the_least_loaded);
-  tcase_add_test (c, other_hosts_loads_count);
+  tcase_add_test (c, load_of_other_hosts_counts);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_placement_load.c
+++ b/test/test_placement_load.c
@@ -12,19 +12,19 @@
   .engines = 4,
   .hosts = 4,
   .reviews_per_s = 20,
-  .asks_per_s = 30,
+  .chats_per_s = 30,
   .sessions = 83,
   .span_ms = 60000,
 };
 
 static struct load_result
-run_policy (enum load_way way)
+run_policy (enum load_policy way)
 {
   struct load_terms terms = heavy;
   struct load_result result;
 
   terms.way = way;
-  load_play (&terms, &result);
+  load_run (&terms, &result);
   return result;
 }
 
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -187,7 +187,7 @@
   marjoram_registrar_decided (registrar, now, request, &what);
 }
 
-START_TEST (heartbeat_is_taken_and_told)
+START_TEST (heartbeat_is_stored_and_broadcast)
 {
   beat (0, "ready", 1);
   ck_assert_int_eq (status, 200);
@@ -204,7 +204,7 @@
 
 /* Guards against forwarding renewals received from other keepers, which would
    multiply the traffic to each host.  */
-START_TEST (renewals_of_other_keepers_are_not_passed_on)
+START_TEST (renewals_of_other_keepers_are_not_forwarded)
 {
   struct marjoram_news_item item = { .id = (char *)"far",
                                      .service = (char *)"app",
@@ -216,7 +216,7 @@
 
   beat (0, "ready", 1);
   beat (1000, "ready", 2);
-  marjoram_registrar_hear (registrar, 1050, &batch);
+  marjoram_registrar_apply_batch (registrar, 1050, &batch);
   marjoram_registrar_tick (registrar, 3100);
   ck_assert_int_eq (renewals, 1);
   ck_assert_uint_eq (renewed_count, 1);
@@ -224,7 +224,7 @@
 }
 END_TEST
 
-START_TEST (malformed_news_name_nobody)
+START_TEST (malformed_heartbeats_are_rejected)
 {
   ask (0, "POST", "/-/instances/u1/heartbeat", "{\"service\":1}");
   ck_assert_int_eq (status, 400);
@@ -247,9 +247,9 @@
   beat (0, "ready", 1);
   beat (100, "draining", 2);
   ck_assert_int_eq (status, NONE);
-  marjoram_registrar_seen (registrar, ticket);
+  marjoram_registrar_acknowledged (registrar, ticket);
   ck_assert_int_eq (status, NONE);
-  marjoram_registrar_seen (registrar, ticket);
+  marjoram_registrar_acknowledged (registrar, ticket);
   ck_assert_int_eq (status, 200);
 }
 END_TEST
@@ -263,7 +263,7 @@
   ck_assert_int_eq (status, NONE);
   marjoram_registrar_tick (registrar, 750);
   ck_assert_int_eq (status, 200);
-  marjoram_registrar_seen (registrar, ticket);
+  marjoram_registrar_acknowledged (registrar, ticket);
 }
 END_TEST
 
@@ -279,7 +279,7 @@
 
 /* Guards against resent or outdated configurations replacing the current
    one.  */
-START_TEST (versions_not_above_the_held_change_nothing)
+START_TEST (outdated_versions_change_nothing)
 {
   ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   complete_request (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
@@ -337,7 +337,7 @@
 END_TEST
 
 /* Guards against one of two concurrent evacuations being lost.  */
-START_TEST (evacuations_race)
+START_TEST (concurrent_evacuations_both_apply)
 {
   struct marjoram_names zones;
 
@@ -383,7 +383,7 @@
 
   ask (0, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 503);
-  marjoram_host_list_hear (hosts, 0, &host, true);
+  marjoram_host_list_update (hosts, 0, &host, true);
   ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 200);
   ck_assert_str_eq (body, "{\"addresses\":[\"10.0.0.1:80\"],\"ttl_s\":2}");
@@ -394,7 +394,7 @@
 
 /* Guards against lookups that return hosts outside the home regions of most
    routes while the caller's region restarts.  */
-START_TEST (lookup_without_own_region_names_homes)
+START_TEST (lookup_without_own_region_returns_home_regions)
 {
   static const char routes[]
       = "{\"version\":1,\"routes\":["
@@ -424,7 +424,7 @@
                                          .incarnation = 1,
                                          .sequence = 1 };
 
-      marjoram_host_list_hear (hosts, 0, &host, true);
+      marjoram_host_list_update (hosts, 0, &host, true);
     }
   ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_str_eq (body, "{\"addresses\":[\"10.0.0.2\"],\"ttl_s\":2}");
@@ -433,7 +433,7 @@
 
 /* Guards against lookups that return a host outside the home regions when no
    home region serves.  */
-START_TEST (lookup_names_nobody_outside_the_homes)
+START_TEST (lookup_returns_no_host_outside_home_regions)
 {
   static const char routes[]
       = "{\"version\":1,\"routes\":["
@@ -455,7 +455,7 @@
 
   ask (0, "POST", "/-/config/replace", routes);
   complete_request (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
-  marjoram_host_list_hear (hosts, 0, &host, true);
+  marjoram_host_list_update (hosts, 0, &host, true);
   ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 503);
   ask (10, "GET", "/-/resolve?name=b&region=r1&zone=za", "");
@@ -470,20 +470,20 @@
   TCase *c = tcase_create ("registrar");
 
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_test (c, heartbeat_is_taken_and_told);
-  tcase_add_test (c, renewals_of_other_keepers_are_not_passed_on);
-  tcase_add_test (c, malformed_news_name_nobody);
+  tcase_add_test (c, heartbeat_is_stored_and_broadcast);
+  tcase_add_test (c, renewals_of_other_keepers_are_not_forwarded);
+  tcase_add_test (c, malformed_heartbeats_are_rejected);
   tcase_add_test (c, leave_is_confirmed_before_it_is_answered);
   tcase_add_test (c, leave_does_not_wait_for_a_frozen_host);
   tcase_add_test (c, configuration_is_answered_once_it_is_decided);
-  tcase_add_test (c, versions_not_above_the_held_change_nothing);
+  tcase_add_test (c, outdated_versions_change_nothing);
   tcase_add_test (c, faulty_configuration_is_refused);
   tcase_add_test (c, undecided_order_is_unavailable);
   tcase_add_test (c, read_needs_a_majority);
-  tcase_add_test (c, evacuations_race);
+  tcase_add_test (c, concurrent_evacuations_both_apply);
   tcase_add_test (c, lookups);
-  tcase_add_test (c, lookup_without_own_region_names_homes);
-  tcase_add_test (c, lookup_names_nobody_outside_the_homes);
+  tcase_add_test (c, lookup_without_own_region_returns_home_regions);
+  tcase_add_test (c, lookup_returns_no_host_outside_home_regions);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -37,13 +37,13 @@
   return made;
 }
 
-static enum marjoram_hearing
+static enum marjoram_registry_result
 receive_heartbeat (int64_t now, const char *id, int64_t born, int64_t sequence,
                    enum marjoram_news_state state)
 {
   struct marjoram_upstream_news made = news (id, born, sequence, state);
 
-  return marjoram_registry_hear (registry, now, &made, 0);
+  return marjoram_registry_update (registry, now, &made, 0);
 }
 
 static bool
@@ -56,9 +56,9 @@
 START_TEST (heartbeats_renew)
 {
   ck_assert_int_eq (receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_CHANGED);
+                    MARJORAM_REGISTRY_CHANGED);
   ck_assert_int_eq (receive_heartbeat (1200, "a", 1, 2, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_RENEWED);
+                    MARJORAM_REGISTRY_RENEWED);
   ck_assert (usable ("a", 1300));
 }
 END_TEST
@@ -70,7 +70,7 @@
   receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
   receive_heartbeat (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
   ck_assert_int_eq (receive_heartbeat (200, "a", 1, 2, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_STALE);
+                    MARJORAM_REGISTRY_STALE);
   ck_assert (!usable ("a", 300));
   receive_heartbeat (300, "a", 1, 4, MARJORAM_NEWS_READY);
   ck_assert (!usable ("a", 400));
@@ -79,68 +79,68 @@
 
 /* Guards against a delayed heartbeat that brings back a deregistered
    upstream.  */
-START_TEST (gone_stays_gone)
+START_TEST (deregistered_upstream_stays_gone)
 {
   receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
   ck_assert_int_eq (receive_heartbeat (100, "a", 0, 0, MARJORAM_NEWS_GONE),
-                    MARJORAM_HEARING_CHANGED);
+                    MARJORAM_REGISTRY_CHANGED);
   ck_assert_int_eq (receive_heartbeat (4000, "a", 1, 9, MARJORAM_NEWS_READY),
-                    MARJORAM_HEARING_STALE);
+                    MARJORAM_REGISTRY_STALE);
   ck_assert (!usable ("a", 4100));
 }
 END_TEST
 
 /* Guards against ignoring a restarted upstream, or accepting a heartbeat of
    its earlier instance.  */
-START_TEST (same_id_starts_again)
+START_TEST (restart_with_same_id_is_accepted)
 {
   receive_heartbeat (0, "a", 1000, 50, MARJORAM_NEWS_READY);
   ck_assert_int_eq (
       receive_heartbeat (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
-      MARJORAM_HEARING_CHANGED);
+      MARJORAM_REGISTRY_CHANGED);
   ck_assert_int_eq (
       receive_heartbeat (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
-      MARJORAM_HEARING_STALE);
+      MARJORAM_REGISTRY_STALE);
   ck_assert (usable ("a", 5200));
 }
 END_TEST
 
 /* Guards against requests sent to the wrong service after an address has been
    reused.  */
-START_TEST (address_goes_to_the_later_start)
+START_TEST (latest_instance_owns_address)
 {
   receive_heartbeat (0, "old", 1000, 5, MARJORAM_NEWS_READY);
   receive_heartbeat (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
   ck_assert (!usable ("old", 4100));
   ck_assert_int_eq (
       receive_heartbeat (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
-      MARJORAM_HEARING_STALE);
+      MARJORAM_REGISTRY_STALE);
   ck_assert (usable ("new", 5000));
 }
 END_TEST
 
 /* Guards against losing all upstreams when no keeper is reachable.  */
-START_TEST (silence_counts_only_beside_others)
+START_TEST (silence_counts_relative_to_others)
 {
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
   receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  marjoram_registry_hear (registry, 0, &other, 0);
+  marjoram_registry_update (registry, 0, &other, 0);
   ck_assert (usable ("a", 20000));
   other.sequence = 2;
-  marjoram_registry_hear (registry, 20000, &other, 0);
+  marjoram_registry_update (registry, 20000, &other, 0);
   ck_assert (!usable ("a", 20000));
   ck_assert (usable ("b", 20000));
 }
 END_TEST
 
-START_TEST (one_that_will_end_gets_nothing_new)
+START_TEST (ending_upstream_is_not_usable)
 {
   struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_LEAVING);
 
   made.ends_ms = 2000;
-  marjoram_registry_hear (registry, 0, &made, 0);
+  marjoram_registry_update (registry, 0, &made, 0);
   ck_assert (!usable ("a", 10));
   ck_assert_int_eq (marjoram_registry_find (registry, "a")->ends_at, 2000);
 }
@@ -148,7 +148,7 @@
 
 /* Guards against durations that shift when packed and unpacked on hosts with
    different clocks.  */
-START_TEST (spans_survive_the_way)
+START_TEST (durations_survive_transfer)
 {
   struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_READY);
   struct marjoram_upstream_news read;
@@ -156,23 +156,23 @@
   marjoram_registry *other = marjoram_registry_create ();
 
   made.cold_ms = 3000;
-  marjoram_registry_hear (registry, 1000, &made, 0);
+  marjoram_registry_update (registry, 1000, &made, 0);
   marjoram_registry_pack (marjoram_registry_find (registry, "a"), 2000, &item);
   ck_assert (marjoram_registry_unpack (&item, &read));
-  marjoram_registry_hear (other, 500000, &read, item.age_ms);
+  marjoram_registry_update (other, 500000, &read, item.age_ms);
   ck_assert_int_eq (marjoram_registry_find (other, "a")->cold_until, 502000);
   ck_assert_int_eq (marjoram_registry_find (other, "a")->heard_at, 499000);
   marjoram_registry_destroy (other);
 }
 END_TEST
 
-START_TEST (what_is_long_gone_is_forgotten)
+START_TEST (old_records_are_dropped)
 {
   struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
   receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_GONE);
-  marjoram_registry_hear (registry, 90000, &other, 0);
+  marjoram_registry_update (registry, 90000, &other, 0);
   marjoram_registry_tick (registry, 90000);
   ck_assert_ptr_null (marjoram_registry_find (registry, "a"));
   ck_assert_ptr_nonnull (marjoram_registry_find (registry, "b"));
@@ -188,13 +188,13 @@
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, heartbeats_renew);
   tcase_add_test (c, late_heartbeat_does_not_undo_leaving);
-  tcase_add_test (c, gone_stays_gone);
-  tcase_add_test (c, same_id_starts_again);
-  tcase_add_test (c, address_goes_to_the_later_start);
-  tcase_add_test (c, silence_counts_only_beside_others);
-  tcase_add_test (c, one_that_will_end_gets_nothing_new);
-  tcase_add_test (c, spans_survive_the_way);
-  tcase_add_test (c, what_is_long_gone_is_forgotten);
+  tcase_add_test (c, deregistered_upstream_stays_gone);
+  tcase_add_test (c, restart_with_same_id_is_accepted);
+  tcase_add_test (c, latest_instance_owns_address);
+  tcase_add_test (c, silence_counts_relative_to_others);
+  tcase_add_test (c, ending_upstream_is_not_usable);
+  tcase_add_test (c, durations_survive_transfer);
+  tcase_add_test (c, old_records_are_dropped);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_spill.c
+++ b/test/test_spill.c
@@ -12,11 +12,11 @@
 {
   return (struct marjoram_spill_query){ .id = id,
                                         .engines = 64,
-                                        .here_ms = 90,
-                                        .there_ms = 10,
+                                        .local_ms = 90,
+                                        .remote_ms = 10,
                                         .unread_ms = 70,
                                         .prompt_ms = 200,
-                                        .there_first_ms = 130,
+                                        .remote_first_ms = 130,
                                         .useful_ms = 1000 };
 }
 
@@ -30,7 +30,7 @@
   for (int i = 0; i < 1000; i++)
     {
       snprintf (id, sizeof id, "%d", i);
-      spilled += marjoram_spill_wanted (&query);
+      spilled += marjoram_spill_selects (&query);
     }
   return spilled;
 }
@@ -41,27 +41,27 @@
 
   ck_assert_int_ge (count_spilled (query), 350);
   ck_assert_int_le (count_spilled (query), 450);
-  query.there_ms = 60;
+  query.remote_ms = 60;
   ck_assert_int_ge (count_spilled (query), 50);
   ck_assert_int_le (count_spilled (query), 150);
 }
 END_TEST
 
-START_TEST (a_calm_region_keeps_its_requests)
+START_TEST (lightly_loaded_region_keeps_its_requests)
 {
   struct marjoram_spill_query query = busy ("");
 
-  query.here_ms = 30;
-  query.there_ms = 0;
+  query.local_ms = 30;
+  query.remote_ms = 0;
   ck_assert_int_eq (count_spilled (query), 0);
 }
 END_TEST
 
-START_TEST (the_mean_of_few_engines_is_not_trusted)
+START_TEST (noisy_mean_of_few_engines_is_ignored)
 {
   struct marjoram_spill_query query = busy ("");
 
-  query.here_ms = 80;
+  query.local_ms = 80;
   ck_assert_int_gt (count_spilled (query), 0);
   query.engines = 2;
   ck_assert_int_eq (count_spilled (query), 0);
@@ -78,7 +78,7 @@
 END_TEST
 
 /* Guards against moving a request that would be late in the other region.  */
-START_TEST (what_would_be_late_there_stays)
+START_TEST (request_late_in_other_region_stays)
 {
   struct marjoram_spill_query query = busy ("");
 
@@ -132,15 +132,15 @@
   const struct marjoram_spill_query query
       = { .id = id,
           .engines = ENGINES,
-          .here_ms = regions[0].mean_ms,
-          .there_ms = regions[1].reported_ms,
+          .local_ms = regions[0].mean_ms,
+          .remote_ms = regions[1].reported_ms,
           .unread_ms = PROMPT_MS,
           .prompt_ms = 2.0 * PROMPT_MS,
-          .there_first_ms = 130,
+          .remote_first_ms = 130,
           .useful_ms = 1000 };
 
   snprintf (id, sizeof id, "%d", number);
-  if (spills && marjoram_spill_wanted (&query))
+  if (spills && marjoram_spill_selects (&query))
     place (&regions[1], random, 2.0 * PROMPT_MS);
   else
     place (&regions[0], random, PROMPT_MS);
@@ -209,7 +209,7 @@
 
 /* Guards against pauses in responses of a busy region while another one is
    idle.  */
-START_TEST (answers_keep_their_pace_while_another_region_is_idle)
+START_TEST (spill_reduces_pauses_while_other_region_is_idle)
 {
   double stay = simulate (false);
   double spill = simulate (true);
@@ -227,11 +227,11 @@
   TCase *c = tcase_create ("spill");
 
   tcase_add_test (c, the_share_grows_with_the_difference);
-  tcase_add_test (c, a_calm_region_keeps_its_requests);
-  tcase_add_test (c, the_mean_of_few_engines_is_not_trusted);
+  tcase_add_test (c, lightly_loaded_region_keeps_its_requests);
+  tcase_add_test (c, noisy_mean_of_few_engines_is_ignored);
   tcase_add_test (c, short_prompts_stay);
-  tcase_add_test (c, what_would_be_late_there_stays);
-  tcase_add_test (c, answers_keep_their_pace_while_another_region_is_idle);
+  tcase_add_test (c, request_late_in_other_region_stays);
+  tcase_add_test (c, spill_reduces_pauses_while_other_region_is_idle);
   suite_add_tcase (s, c);
   return s;
 }
