--- a/src/state.c
+++ b/src/state.c
@@ -80,10 +80,10 @@
     for (size_t j = 0; j < layout->field_count; j++)
       if (layout->fields[j].kind == MARJORAM_FIELD_STRING)
         {
-          char **place = (char **)((char *)copy.items + i * layout->size
+          char **entry = (char **)((char *)copy.items + i * layout->size
                                    + layout->fields[j].offset);
 
-          *place = copy_string (*place);
+          *entry = copy_string (*entry);
         }
   return copy;
 }
@@ -154,17 +154,17 @@
 marjoram_state_set_file (struct marjoram_state *state,
                          const struct marjoram_file *file)
 {
-  struct marjoram_file *place
+  struct marjoram_file *entry
       = (struct marjoram_file *)marjoram_state_file (state, file->name);
   struct marjoram_file copy
       = { marjoram_strdup (file->name), file->version,
           copy_string (file->digest), copy_string (file->text) };
 
-  if (place)
-    marjoram_wire_clear (&marjoram_file_layout, place);
+  if (entry)
+    marjoram_wire_clear (&marjoram_file_layout, entry);
   else
-    place = append (&state->files, sizeof *place);
-  *place = copy;
+    entry = append (&state->files, sizeof *entry);
+  *entry = copy;
 }
 
 void
@@ -172,7 +172,7 @@
                            const struct marjoram_change *change)
 {
   struct marjoram_change *changes = state->changes.items;
-  struct marjoram_change *place;
+  struct marjoram_change *entry;
 
   if (state->changes.count == MARJORAM_CHANGES_KEPT)
     {
@@ -181,15 +181,15 @@
                (MARJORAM_CHANGES_KEPT - 1) * sizeof *changes);
       state->changes.count--;
     }
-  place = append (&state->changes, sizeof *place);
-  *place = *change;
-  place->id = copy_string (change->id);
-  place->file = copy_string (change->file);
-  place->digest = copy_string (change->digest);
+  entry = append (&state->changes, sizeof *entry);
+  *entry = *change;
+  entry->id = copy_string (change->id);
+  entry->file = copy_string (change->file);
+  entry->digest = copy_string (change->digest);
 }
 
 void
-marjoram_state_forget_changes (struct marjoram_state *state)
+marjoram_state_clear_changes (struct marjoram_state *state)
 {
   struct marjoram_change *changes = state->changes.items;
 
@@ -203,10 +203,10 @@
 marjoram_voters_add (struct marjoram_array *members, const char *slot,
                      const char *store_id)
 {
-  struct marjoram_keeper_member *place = append (members, sizeof *place);
+  struct marjoram_keeper_member *entry = append (members, sizeof *entry);
 
-  place->slot = marjoram_strdup (slot);
-  place->store_id = marjoram_strdup (store_id);
+  entry->slot = marjoram_strdup (slot);
+  entry->store_id = marjoram_strdup (store_id);
 }
 
 struct marjoram_keeper_member *
@@ -255,11 +255,11 @@
 char *
 marjoram_digest (const void *data, size_t size)
 {
-  static const uint8_t nothing[1];
+  static const uint8_t empty[1];
   unsigned char hash[crypto_hash_sha256_BYTES];
   char *text = marjoram_alloc (DIGEST_MAX + 1);
 
-  crypto_hash_sha256 (hash, data ? data : nothing, size);
+  crypto_hash_sha256 (hash, data ? data : empty, size);
   sodium_bin2hex (text, DIGEST_MAX + 1, hash, sizeof hash);
   return text;
 }
--- a/src/state.h
+++ b/src/state.h
@@ -1,5 +1,6 @@
-/* The agreed state: the operators' files with their versions, the results of
-   recent changes, and the keepers.  It is one value that is replaced whole. */
+/* The replicated state: the configuration files with their versions, the
+   results of recent changes, and the keepers, which are the consensus members.
+   It is replaced as a single value.  */
 #ifndef MARJORAM_STATE_H
 #define MARJORAM_STATE_H
 
@@ -13,15 +14,15 @@
   MARJORAM_FILE_TEXT_MAX = 4 * 1024 * 1024,
   MARJORAM_FILES_MAX = 64,
   MARJORAM_KEEPERS_MAX = 7,
-  /* A change id is remembered for this many later changes.  */
+  /* Results of changes that are kept to answer a retransmitted change.  */
   MARJORAM_CHANGES_KEPT = 1024
 };
 
-/* One operators' file, applied as a whole.  */
+/* A configuration file; an update replaces the complete text.  */
 struct marjoram_file
 {
   char *name;
-  uint64_t version; /* the operators' own number */
+  uint64_t version; /* assigned by the operator */
   char *digest;     /* SHA-256 of the text, in hex */
   char *text;
 };
@@ -29,25 +30,25 @@
 enum marjoram_change_result
 {
   MARJORAM_CHANGE_ACCEPTED,
-  MARJORAM_CHANGE_SAME,     /* equal version and digest were in force */
-  MARJORAM_CHANGE_CONFLICT, /* equal version, another digest holds */
-  MARJORAM_CHANGE_STALE,    /* a higher version holds */
-  MARJORAM_CHANGE_INVALID   /* the file, with the others, is faulty */
+  MARJORAM_CHANGE_SAME,     /* same version and digest already active */
+  MARJORAM_CHANGE_CONFLICT, /* same version active with another digest */
+  MARJORAM_CHANGE_STALE,    /* a higher version is active */
+  MARJORAM_CHANGE_INVALID   /* the resulting configuration is invalid */
 };
 
-/* What became of one change, kept to answer a resend of its id.  */
+/* The result of a change, kept to answer a retransmission of its id.  */
 struct marjoram_change
 {
   char *id;
   char *file;
   uint64_t result; /* enum marjoram_change_result */
-  uint64_t number; /* the state's number that holds it */
+  uint64_t number; /* of the state that recorded it */
   uint64_t version;
-  char *digest; /* the digest that holds after the change */
+  char *digest; /* of the file that is active after the change */
 };
 
-/* A keeper: its slot's name, and the id made once for its store, so that an
-   emptied disk is not taken for the member that it was.  */
+/* A keeper: its slot name, and the random id of its store, which distinguishes
+   the member from a replacement in the same slot with an empty disk.  */
 struct marjoram_keeper_member
 {
   char *slot;
@@ -56,52 +57,53 @@
 
 struct marjoram_state
 {
-  uint64_t number;               /* grows by one with each change */
+  uint64_t number;               /* incremented by each change */
   struct marjoram_array files;   /* of struct marjoram_file */
   struct marjoram_array changes; /* of struct marjoram_change, oldest first */
   struct marjoram_array members; /* of struct marjoram_keeper_member */
-  struct marjoram_array next_members; /* not empty during a change of them */
+  struct marjoram_array
+      next_members; /* empty unless members are being changed */
 };
 
 extern const struct marjoram_layout marjoram_file_layout;
 extern const struct marjoram_layout marjoram_state_layout;
 
-/* A deep copy, or an empty state if SOURCE is null.  */
+/* Returns a deep copy, or an empty state if SOURCE is null.  */
 struct marjoram_state *
 marjoram_state_copy (const struct marjoram_state *source);
 void marjoram_state_destroy (struct marjoram_state *state);
-/* Null if there is none.  */
+/* Returns null if the state has no file NAME.  */
 const struct marjoram_file *
 marjoram_state_file (const struct marjoram_state *state, const char *name);
-/* The kept result of the change ID; null if there is none.  */
+/* Returns the recorded result of the change ID, or null.  */
 const struct marjoram_change *
 marjoram_state_change (const struct marjoram_state *state, const char *id);
-/* Puts a copy of FILE in place of the one of its name, if any.  */
+/* Adds a copy of FILE, replacing the file of the same name, if any.  */
 void marjoram_state_set_file (struct marjoram_state *state,
                               const struct marjoram_file *file);
-/* Adds a copy of CHANGE; the oldest is dropped once there are
-   MARJORAM_CHANGES_KEPT.  */
+/* Adds a copy of CHANGE, discarding the oldest one if there are
+   MARJORAM_CHANGES_KEPT already.  */
 void marjoram_state_add_change (struct marjoram_state *state,
                                 const struct marjoram_change *change);
-/* Drops the results of changes, which only keepers need.  */
-void marjoram_state_forget_changes (struct marjoram_state *state);
+/* Discards the results of changes, which only keepers need.  */
+void marjoram_state_clear_changes (struct marjoram_state *state);
 /* For use with marjoram_auto ().  */
 void marjoram_state_cleanup (struct marjoram_state **state);
 
-/* Lists of struct marjoram_keeper_member, at most one for a slot.  */
+/* Lists of struct marjoram_keeper_member with at most one per slot.  */
 void marjoram_voters_add (struct marjoram_array *members, const char *slot,
                           const char *store_id);
-/* Null if there is none.  */
+/* Returns null if SLOT is not a member.  */
 struct marjoram_keeper_member *
 marjoram_voters_find (const struct marjoram_array *members, const char *slot);
-/* Whether SLOT is a member with just this store.  */
+/* Returns whether SLOT is a member with the store STORE_ID.  */
 bool marjoram_voters_hold (const struct marjoram_array *members,
                            const char *slot, const char *store_id);
 void marjoram_voters_copy (struct marjoram_array *target,
                            const struct marjoram_array *source);
 void marjoram_voters_clear (struct marjoram_array *members);
 
-/* SHA-256 in hex, malloc'd.  */
+/* Returns the SHA-256 hash in hex; the caller frees it.  */
 char *marjoram_digest (const void *data, size_t size);
 
 #endif
