--- a/src/state_giver.h
+++ b/src/state_giver.h
@@ -1,7 +1,7 @@
-/* How the agreed state is given to a host, by a keeper or by another host of
-   its zone: the host asks for the newest state piece by piece, compressed
-   against the one that it holds.  The giver keeps nothing of a host, so that a
-   host may go on with any other.  Pure decisions.  */
+/* The sending side of the state transfer, on keepers and on the other hosts of
+   a zone.  A host requests the newest state piece by piece, compressed against
+   the state that it has.  No data is kept per host, so that a transfer can
+   resume with another sender.  Does no I/O.  */
 #ifndef MARJORAM_STATE_GIVER_H
 #define MARJORAM_STATE_GIVER_H
 
@@ -12,14 +12,14 @@
 
 marjoram_state_giver *marjoram_state_giver_create (void);
 void marjoram_state_giver_destroy (marjoram_state_giver *giver);
-/* STATE is the newest one; a lower or equal number changes nothing.  */
+/* Adds STATE.  Ignored unless its number is higher than the current one.  */
 void marjoram_state_giver_set (marjoram_state_giver *giver,
                                const struct marjoram_state *state);
-/* 0 before any.  */
+/* Returns the number of the newest state, 0 if there is none.  */
 uint64_t marjoram_state_giver_number (const marjoram_state_giver *giver);
-/* Fills PIECE, to be cleared with its layout, with what ASK wants; or, if the
-   state that it names is held no more, with the first piece of the newest.
-   False if there is none.  */
+/* Fills PIECE with the requested piece or, if the requested state is no longer
+   available, with the first piece of the newest one.  The caller clears PIECE
+   with marjoram_wire_clear.  Returns false if there is no state.  */
 bool marjoram_state_giver_answer (marjoram_state_giver *giver,
                                   const struct marjoram_state_ask *ask,
                                   struct marjoram_state_piece *piece);
