--- a/src/state_packed.h
+++ b/src/state_packed.h
@@ -1,5 +1,5 @@
-/* The agreed state as bytes, as it goes to hosts, with a digest that tells
-   these bytes from any others under the same number.  */
+/* The replicated state as serialized for hosts, with a digest that
+   distinguishes different states with the same number.  */
 #ifndef MARJORAM_STATE_PACKED_H
 #define MARJORAM_STATE_PACKED_H
 
@@ -9,14 +9,14 @@
 {
   uint64_t number;       /* 0: none */
   uint64_t digest;       /* of the bytes */
-  marjoram_bytes *bytes; /* marjoram_state_layout, without kept changes */
+  marjoram_bytes *bytes; /* marjoram_state_layout, without changes */
 };
 
-/* To be cleared.  */
+/* The caller clears the result.  */
 struct marjoram_packed_state
 marjoram_packed_state_make (const struct marjoram_state *state);
-/* The same from bytes that came; takes them over.  NUMBER 0 if they can't be
-   read.  STATE, to be destroyed, is set to what they hold.  */
+/* Deserializes BYTES, whose reference is consumed, into STATE, which the
+   caller destroys.  On failure STATE is null and the result's number 0.  */
 struct marjoram_packed_state
 marjoram_packed_state_read (marjoram_bytes *bytes,
                             struct marjoram_state **state,
