--- a/src/spread.h
+++ b/src/spread.h
@@ -1,7 +1,7 @@
-/* How the agreed state reaches every host: hosts compare numbers with each
-   heartbeat, and one that has the lower number asks one of the others for what
-   it lacks, piece by piece (see state_fetch.h).  A number never goes down.
-   Pure decisions.  */
+/* Distributes the replicated state to all hosts by gossip.  Heartbeats carry
+   the number of the sender's state, and a host with a lower number fetches the
+   state from its peer (see state_fetch.h).  The number of a host never
+   decreases.  Does no I/O.  */
 #ifndef MARJORAM_SPREAD_H
 #define MARJORAM_SPREAD_H
 
@@ -16,14 +16,14 @@
                     const struct marjoram_state_ask *ask);
   void (*send_piece) (void *context, const char *slot,
                       const struct marjoram_state_piece *piece);
-  /* STATE is taken; its number is higher than that of any before.  */
+  /* STATE is in effect; its number is higher than that of any before.  */
   void (*adopted) (void *context, const struct marjoram_state *state);
 };
 
 struct marjoram_spread_options
 {
-  const char *const *
-      keepers; /* slots, as the settings name them: until a state names them */
+  /* Slots from the settings, used until a state lists the keepers.  */
+  const char *const *keepers;
   size_t keeper_count;
 };
 
@@ -33,7 +33,7 @@
                         int64_t now);
 void marjoram_spread_destroy (marjoram_spread *spread);
 
-/* The host in SLOT said that it has NUMBER in force, 0 for none.  */
+/* The host in SLOT announced the number of its state, 0 for none.  */
 void marjoram_spread_heard (marjoram_spread *spread, int64_t now,
                             const char *slot, uint64_t number);
 void marjoram_spread_receive_ask (marjoram_spread *spread, int64_t now,
@@ -42,22 +42,20 @@
 void marjoram_spread_receive_piece (marjoram_spread *spread, int64_t now,
                                     const char *slot,
                                     const struct marjoram_state_piece *piece);
-/* A session with the host in SLOT broke, and what was under way over it is
-   lost.  */
+/* The session with the host in SLOT ended, and messages in flight are lost. */
 void marjoram_spread_lost (marjoram_spread *spread, int64_t now,
                            const char *slot);
-/* The keeper on this host knows STATE to be chosen.  */
+/* The keeper on this host learned that STATE was chosen.  */
 void marjoram_spread_local (marjoram_spread *spread, int64_t now,
                             const struct marjoram_state *state);
-/* At least every 50 ms.  */
+/* To be called at least every 50 ms.  */
 void marjoram_spread_tick (marjoram_spread *spread, int64_t now);
 
-/* Whether this host may serve by what it has: it has heard a majority of the
-   keepers, or it has waited for them long enough to count itself as cut off;
-   and it lacks nothing that it has heard of, unless nobody gave that for a
-   longer while.  Stays true once it is.  */
+/* Returns whether this host may serve requests with its state.  It needs
+   announcements from a majority of the keepers, and the newest state that was
+   announced; a timeout applies to each condition.  Stays true once it is.  */
 bool marjoram_spread_ready (const marjoram_spread *spread);
-/* Null before any.  */
+/* Returns null if there is none yet.  */
 const struct marjoram_state *
 marjoram_spread_state (const marjoram_spread *spread);
 
