--- a/src/disk.h
+++ b/src/disk.h
@@ -1,6 +1,6 @@
-/* The disk task: a thread that owns a store, so that a sync that takes seconds
-   stalls no caller.  Requests go in by a queue; completions come back on the
-   event loop, in the order of the requests.  */
+/* The disk task: a thread that owns a store, so that slow syncs don't block
+   the event loop.  Requests are queued, and their completions are reported on
+   the event loop in the same order.  */
 #ifndef MARJORAM_DISK_H
 #define MARJORAM_DISK_H
 
@@ -13,24 +13,24 @@
 
 struct marjoram_disk_ops
 {
-  /* On the event loop; OK says that the record is durable.  */
+  /* Runs on the event loop.  OK: the record is durable.  */
   void (*written) (void *context, uint64_t ticket, bool ok);
 };
 
-/* Opens the store in FOLDER before it returns; fails as marjoram_store_open
+/* Opens the store in FOLDER synchronously; fails as marjoram_store_open
    does.  */
 marjoram_disk *marjoram_disk_create (struct event_base *base,
                                      const char *folder,
                                      const struct marjoram_disk_ops *ops,
                                      void *context,
                                      struct marjoram_error *err);
-/* Finishes the writes that were asked for, without reporting them.  */
+/* Completes the queued writes without reporting them.  */
 void marjoram_disk_destroy (marjoram_disk *disk);
 const char *marjoram_disk_id (const marjoram_disk *disk);
 uint64_t marjoram_disk_incarnation (const marjoram_disk *disk);
-/* The record as it was on opening, null if none; the caller releases it.  */
+/* Returns the record at opening, or null; the caller releases it.  */
 marjoram_bytes *marjoram_disk_read (const marjoram_disk *disk);
-/* Takes over the caller's reference to RECORD.  */
+/* Consumes the caller's reference to RECORD.  */
 void marjoram_disk_write (marjoram_disk *disk, uint64_t ticket,
                           marjoram_bytes *record);
 
