--- a/src/state_fetch.c
+++ b/src/state_fetch.c
@@ -8,20 +8,20 @@
 
 enum
 {
-  /* A host asks a keeper of another region only if none of its own has said in
-     this time that it holds the state; it is told again with each beat.  */
-  FAR_MS = 300,
-  /* A piece is waited for so many times as long as the one before took.  */
-  PATIENCE = 4,
-  /* After so many asks without a piece the wait is doubled.  Till then it is
-     taken that a message was lost; if the link is full, each ask costs a piece
-     more.  */
-  ASKS_MAX = 3,
-  /* Most rest after a piece: a slow answer of a busy keeper isn't the link's
-     fault.  */
-  REST_MAX_MS = 200,
-  /* Of a state as it is packed, larger than all files together may be.  */
-  STATE_MAX = MARJORAM_FRAME_MAX
+  /* Time for keepers of the host's own region to announce a state before it
+     is requested from another region; announcements repeat with heartbeats. */
+  REMOTE_DELAY_MS = 300,
+  /* Timeout for a piece, as a multiple of the time that the last one took.  */
+  TIMEOUT_FACTOR = 4,
+  /* Unanswered requests for a piece after which the timeout doubles.  Fewer
+     are attributed to message loss; on a congested link each further request
+     adds another copy of the piece.  */
+  ASKS_BEFORE_BACKOFF = 3,
+  /* Upper limit of the pause after a piece, since a slow response can also be
+     due to a busy keeper.  */
+  PAUSE_MAX_MS = 200,
+  /* Serialized size, above the limit for all files together.  */
+  STATE_SIZE_MAX = MARJORAM_FRAME_MAX
 };
 
 struct marjoram_state_fetch
@@ -29,23 +29,23 @@
   const struct marjoram_state_fetch_ops *ops;
   void *context;
   struct marjoram_state_fetch_options options;
-  struct marjoram_packed_state held;
-  bool whole; /* the difference could not be read: ask for all of it */
-
-  uint64_t offered;    /* the highest number that a keeper told of */
-  int64_t offered_at;  /* when that was first heard */
-  char *keeper;        /* that is asked; null: none */
-  uint64_t number;     /* that it was asked for */
-  uint64_t base;       /* against which the pieces are compressed */
-  uint64_t size;       /* of all pieces; 0 before the first */
-  struct evbuffer *in; /* the pieces that came */
+  struct marjoram_packed_state current;
+  bool full; /* request a full transfer: the last one failed */
+
+  uint64_t announced;        /* the highest number announced */
+  int64_t announced_at;      /* when that was first announced */
+  char *keeper;              /* source of the transfer; null: none */
+  uint64_t number;           /* of the requested state */
+  uint64_t base;             /* of the pieces' delta; 0: none */
+  uint64_t size;             /* of all pieces together; 0 before the first */
+  struct evbuffer *received; /* the received pieces */
   int pieces;
   int64_t started_at;
-  int64_t wanted_at; /* when the next piece was first asked for */
+  int64_t first_asked_at; /* first request for the next piece */
   int64_t asked_at;
-  int64_t patience_ms; /* within which a piece is to come */
-  int asks;            /* for the next piece */
-  int64_t ask_at;      /* when the next piece is to be asked for; 0: it is */
+  int64_t timeout_ms; /* timeout for a piece */
+  int asks;           /* requests for the next piece */
+  int64_t ask_at;     /* when to request the next piece; 0: already done */
 };
 
 marjoram_state_fetch *
@@ -58,13 +58,13 @@
   fetch->ops = ops;
   fetch->context = context;
   fetch->options = *options;
-  fetch->patience_ms = options->stalled_ms;
-  fetch->in = evbuffer_new ();
+  fetch->timeout_ms = options->stalled_ms;
+  fetch->received = evbuffer_new ();
   return fetch;
 }
 
 static void
-stop (marjoram_state_fetch *fetch)
+stop_transfer (marjoram_state_fetch *fetch)
 {
   free (fetch->keeper);
   fetch->keeper = NULL;
@@ -76,60 +76,60 @@
 {
   if (!fetch)
     return;
-  stop (fetch);
-  marjoram_packed_state_clear (&fetch->held);
-  evbuffer_free (fetch->in);
+  stop_transfer (fetch);
+  marjoram_packed_state_clear (&fetch->current);
+  evbuffer_free (fetch->received);
   free (fetch);
 }
 
 static void
 ask (marjoram_state_fetch *fetch, int64_t now)
 {
-  const bool whole = fetch->whole || fetch->held.number == 0;
+  const bool full = fetch->full || fetch->current.number == 0;
   const struct marjoram_state_ask message
       = { .number = fetch->number,
-          .base = whole ? 0 : fetch->held.number,
-          .base_digest = whole ? 0 : fetch->held.digest,
-          .offset = evbuffer_get_length (fetch->in) };
+          .base = full ? 0 : fetch->current.number,
+          .base_digest = full ? 0 : fetch->current.digest,
+          .offset = evbuffer_get_length (fetch->received) };
 
   if (fetch->asks++ == 0)
-    fetch->wanted_at = now;
+    fetch->first_asked_at = now;
   fetch->asked_at = now;
   fetch->ask_at = 0;
   fetch->ops->ask (fetch->context, fetch->keeper, &message);
 }
 
 static void
-begin (marjoram_state_fetch *fetch, uint64_t number)
+reset_transfer (marjoram_state_fetch *fetch, uint64_t number)
 {
-  evbuffer_drain (fetch->in, evbuffer_get_length (fetch->in));
+  evbuffer_drain (fetch->received, evbuffer_get_length (fetch->received));
   fetch->number = number;
   fetch->size = 0;
   fetch->pieces = 0;
 }
 
-/* Another keeper goes on where the one before it stopped.  Begun anew after
-   each break, a large state would never come over a link that breaks now and
-   then, and fill it.  */
+/* Resumes an incomplete transfer with another keeper.  Restarting after each
+   disconnection would keep a large state from ever completing over an unstable
+   link.  */
 static void
-start (marjoram_state_fetch *fetch, int64_t now, const char *keeper,
-       uint64_t number)
+start_transfer (marjoram_state_fetch *fetch, int64_t now, const char *keeper,
+                uint64_t number)
 {
-  const bool goes_on
-      = evbuffer_get_length (fetch->in) > 0 && number >= fetch->number;
+  const bool resumes
+      = evbuffer_get_length (fetch->received) > 0 && number >= fetch->number;
 
-  stop (fetch);
+  stop_transfer (fetch);
   fetch->keeper = marjoram_strdup (keeper);
-  if (!goes_on)
+  if (!resumes)
     {
       fetch->started_at = now;
-      begin (fetch, number);
+      reset_transfer (fetch, number);
     }
   ask (fetch, now);
 }
 
 static void
-set_patience (marjoram_state_fetch *fetch, int64_t ms)
+set_timeout (marjoram_state_fetch *fetch, int64_t ms)
 {
   const struct marjoram_state_fetch_options *options = &fetch->options;
 
@@ -137,36 +137,38 @@
     ms = options->stalled_ms;
   if (ms > options->stalled_max_ms)
     ms = options->stalled_max_ms;
-  fetch->patience_ms = ms;
+  fetch->timeout_ms = ms;
 }
 
 static bool
-is_under_way (const marjoram_state_fetch *fetch, int64_t now)
+is_active (const marjoram_state_fetch *fetch, int64_t now)
 {
   return fetch->keeper
-         && (fetch->ask_at > 0 || now < fetch->asked_at + fetch->patience_ms);
+         && (fetch->ask_at > 0 || now < fetch->asked_at + fetch->timeout_ms);
 }
 
 void
 marjoram_state_fetch_heard (marjoram_state_fetch *fetch, int64_t now,
-                            const char *keeper, bool near, uint64_t number)
+                            const char *keeper, bool same_region,
+                            uint64_t number)
 {
-  if (number <= fetch->held.number)
+  if (number <= fetch->current.number)
     return;
-  if (number > fetch->offered)
+  if (number > fetch->announced)
     {
-      fetch->offered = number;
-      fetch->offered_at = now;
+      fetch->announced = number;
+      fetch->announced_at = now;
     }
-  if (is_under_way (fetch, now) || (!near && now < fetch->offered_at + FAR_MS))
+  if (is_active (fetch, now)
+      || (!same_region && now < fetch->announced_at + REMOTE_DELAY_MS))
     return;
-  if (fetch->asks >= ASKS_MAX)
-    set_patience (fetch, 2 * fetch->patience_ms);
-  start (fetch, now, keeper, number);
+  if (fetch->asks >= ASKS_BEFORE_BACKOFF)
+    set_timeout (fetch, 2 * fetch->timeout_ms);
+  start_transfer (fetch, now, keeper, number);
 }
 
 static struct marjoram_fetch_facts
-facts_of (const marjoram_state_fetch *fetch, int64_t now)
+stats_of (const marjoram_state_fetch *fetch, int64_t now)
 {
   const struct marjoram_fetch_facts facts
       = { fetch->keeper, fetch->base, fetch->size, fetch->pieces,
@@ -175,36 +177,38 @@
   return facts;
 }
 
-/* Never a lower number, which another host may have sent as a higher one.  */
+/* Rejects a state whose own number is not higher, whatever number its pieces
+   were sent under.  */
 static bool
-may_take (const struct marjoram_state_fetch *fetch,
-          const struct marjoram_state *state, struct marjoram_error *err)
+is_acceptable (const struct marjoram_state_fetch *fetch,
+               const struct marjoram_state *state, struct marjoram_error *err)
 {
-  if (state->number <= fetch->held.number)
+  if (state->number <= fetch->current.number)
     return marjoram_error_set (
         err, MARJORAM_ERROR_CORRUPT,
-        "state %llu came as %llu; if this goes on, restart the host that gave "
-        "it",
+        "state %llu was sent as state %llu; if this persists, restart the "
+        "sending host",
         (unsigned long long)state->number, (unsigned long long)fetch->number);
   return !fetch->ops->valid || fetch->ops->valid (fetch->context, state, err);
 }
 
-/* The state in the pieces that came; null with ERR set if it can't be
-   taken.  */
+/* Returns the state in the received pieces, or null with ERR set if it is
+   unreadable or was rejected.  */
 static struct marjoram_state *
 unpack (marjoram_state_fetch *fetch, struct marjoram_packed_state *packed,
         struct marjoram_error *err)
 {
-  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *in
-      = marjoram_bytes_create (evbuffer_pullup (fetch->in, -1),
-                               evbuffer_get_length (fetch->in));
+  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *received
+      = marjoram_bytes_create (evbuffer_pullup (fetch->received, -1),
+                               evbuffer_get_length (fetch->received));
   marjoram_bytes *bytes = marjoram_decompress (
-      in, fetch->base > 0 ? fetch->held.bytes : NULL, STATE_MAX, err);
+      received, fetch->base > 0 ? fetch->current.bytes : NULL, STATE_SIZE_MAX,
+      err);
   struct marjoram_state *state = NULL;
 
   if (bytes)
     *packed = marjoram_packed_state_read (bytes, &state, err);
-  if (!state || may_take (fetch, state, err))
+  if (!state || is_acceptable (fetch, state, err))
     return state;
   marjoram_packed_state_clear (packed);
   marjoram_state_destroy (state);
@@ -214,75 +218,78 @@
 static void
 finish (marjoram_state_fetch *fetch, int64_t now)
 {
-  struct marjoram_fetch_facts facts = facts_of (fetch, now);
+  struct marjoram_fetch_facts facts = stats_of (fetch, now);
   struct marjoram_packed_state packed = { 0 };
   struct marjoram_error err = { 0 };
   struct marjoram_state *state = unpack (fetch, &packed, &err);
 
-  evbuffer_drain (fetch->in, evbuffer_get_length (fetch->in));
-  fetch->patience_ms = fetch->options.stalled_ms;
+  evbuffer_drain (fetch->received, evbuffer_get_length (fetch->received));
+  fetch->timeout_ms = fetch->options.stalled_ms;
   if (!state)
     {
-      fetch->whole = true;
+      fetch->full = true;
       fetch->ops->failed (fetch->context, &facts, &err);
-      stop (fetch);
+      stop_transfer (fetch);
       return;
     }
-  marjoram_packed_state_clear (&fetch->held);
-  fetch->held = packed;
-  fetch->whole = false;
+  marjoram_packed_state_clear (&fetch->current);
+  fetch->current = packed;
+  fetch->full = false;
   fetch->ops->fetched (fetch->context, state, &facts);
   marjoram_state_destroy (state);
-  stop (fetch);
+  stop_transfer (fetch);
 }
 
 static bool
-goes_together (const struct marjoram_state_fetch *fetch,
-               const struct marjoram_state_piece *piece)
+is_same_encoding (const struct marjoram_state_fetch *fetch,
+                  const struct marjoram_state_piece *piece)
 {
   return piece->size == fetch->size && piece->base == fetch->base;
 }
 
-/* Whether PIECE is the one that was asked for.  The first one may be of a
-   higher state, if the keeper no longer holds the one that was named.  */
+/* Returns whether PIECE is the requested one.  The first piece may be of a
+   newer state, if the keeper no longer has the requested one.  */
 static bool
 is_next (marjoram_state_fetch *fetch, const struct marjoram_state_piece *piece)
 {
   if (piece->offset == 0 && piece->number > fetch->number)
-    begin (fetch, piece->number);
+    reset_transfer (fetch, piece->number);
   return piece->number == fetch->number
-         && piece->offset == evbuffer_get_length (fetch->in)
-         && marjoram_bytes_size (piece->bytes) > 0 && piece->size <= STATE_MAX
-         && (fetch->size == 0 || goes_together (fetch, piece))
-         && (piece->base == 0 || piece->base == fetch->held.number);
+         && piece->offset == evbuffer_get_length (fetch->received)
+         && marjoram_bytes_size (piece->bytes) > 0
+         && piece->size <= STATE_SIZE_MAX
+         && (fetch->size == 0 || is_same_encoding (fetch, piece))
+         && (piece->base == 0 || piece->base == fetch->current.number);
 }
 
-/* Whether the keeper goes on with another pack than the one before it: it may
-   lack the base, or be of another make.  */
+/* Returns whether PIECE belongs to another encoding of the state than the
+   pieces before it: the keeper may lack the base or run another release.  */
 static bool
-is_of_another_pack (const struct marjoram_state_fetch *fetch,
-                    const struct marjoram_state_piece *piece)
+is_other_encoding (const struct marjoram_state_fetch *fetch,
+                   const struct marjoram_state_piece *piece)
 {
   return fetch->size > 0 && piece->number == fetch->number
-         && piece->offset == evbuffer_get_length (fetch->in)
-         && !goes_together (fetch, piece);
+         && piece->offset == evbuffer_get_length (fetch->received)
+         && !is_same_encoding (fetch, piece);
 }
 
-/* A host without any state serves nobody, and does not rest.  */
+/* A host without any state can't serve requests and so doesn't pause.  */
 static void
-rest (marjoram_state_fetch *fetch, int64_t now)
+schedule_next (marjoram_state_fetch *fetch, int64_t now)
 {
-  int64_t took = now - fetch->wanted_at;
+  int64_t elapsed_ms = now - fetch->first_asked_at;
 
-  if (fetch->held.number == 0)
+  if (fetch->current.number == 0)
     {
       ask (fetch, now);
       return;
     }
-  fetch->ask_at = now + (took < REST_MAX_MS ? took : REST_MAX_MS);
+  fetch->ask_at
+      = now + (elapsed_ms < PAUSE_MAX_MS ? elapsed_ms : PAUSE_MAX_MS);
 }
 
-/* One that was late and then asked for of another keeper is as good.  */
+/* A late piece is accepted from any keeper, also if it was requested again
+   from another one.  */
 void
 marjoram_state_fetch_piece (marjoram_state_fetch *fetch, int64_t now,
                             const char *keeper,
@@ -290,9 +297,9 @@
 {
   if (!fetch->keeper || fetch->ask_at > 0)
     return;
-  if (strcmp (fetch->keeper, keeper) == 0 && is_of_another_pack (fetch, piece))
+  if (strcmp (fetch->keeper, keeper) == 0 && is_other_encoding (fetch, piece))
     {
-      begin (fetch, fetch->number);
+      reset_transfer (fetch, fetch->number);
       ask (fetch, now);
       return;
     }
@@ -301,30 +308,31 @@
   fetch->base = piece->base;
   fetch->size = piece->size;
   fetch->pieces++;
-  set_patience (fetch, PATIENCE * (now - fetch->wanted_at));
+  set_timeout (fetch, TIMEOUT_FACTOR * (now - fetch->first_asked_at));
   fetch->asks = 0;
-  evbuffer_add (fetch->in, marjoram_bytes_data (piece->bytes),
+  evbuffer_add (fetch->received, marjoram_bytes_data (piece->bytes),
                 marjoram_bytes_size (piece->bytes));
-  if (evbuffer_get_length (fetch->in) >= fetch->size)
+  if (evbuffer_get_length (fetch->received) >= fetch->size)
     finish (fetch, now);
   else
-    rest (fetch, now);
+    schedule_next (fetch, now);
 }
 
-/* A difference from the state that was held before can't be read any more.  */
+/* Discards the received pieces: a delta against the former state can't be
+   decoded any more.  */
 void
 marjoram_state_fetch_hold (marjoram_state_fetch *fetch, int64_t now,
                            const struct marjoram_state *state)
 {
-  if (state->number <= fetch->held.number)
+  if (state->number <= fetch->current.number)
     return;
-  marjoram_packed_state_clear (&fetch->held);
-  fetch->held = marjoram_packed_state_make (state);
-  fetch->whole = false;
-  begin (fetch, fetch->number);
+  marjoram_packed_state_clear (&fetch->current);
+  fetch->current = marjoram_packed_state_make (state);
+  fetch->full = false;
+  reset_transfer (fetch, fetch->number);
   fetch->asks = 0;
   if (fetch->number <= state->number)
-    stop (fetch);
+    stop_transfer (fetch);
   else if (fetch->keeper)
     ask (fetch, now);
 }
@@ -334,7 +342,7 @@
 {
   if (fetch->keeper && strcmp (fetch->keeper, keeper) == 0)
     {
-      stop (fetch);
+      stop_transfer (fetch);
       fetch->asks = 0;
     }
 }
