--- a/src/state_giver.c
+++ b/src/state_giver.c
@@ -7,27 +7,28 @@
 
 enum
 {
-  /* States held as bases: a host that missed more gets the newest whole.  */
+  /* States kept as bases for deltas; a host with an older one gets a full
+     transfer.  */
   STATES_MAX = 4,
-  /* Of these together, beside the newest: a keeper's memory is small.  */
+  /* Total size of the kept states except the newest, to bound memory.  */
   STATE_BYTES_MAX = 6 * 1024 * 1024,
-  /* Compressed ones, each for the hosts that hold one base.  */
-  PACKS_MAX = 4
+  /* Cached compressed states, each against one base.  */
+  ENCODINGS_MAX = 4
 };
 
-struct pack
+struct encoding
 {
   uint64_t number;
   uint64_t base;        /* 0: none */
-  uint64_t base_digest; /* as asked, of a base that is not held too */
-  bool against_base;
+  uint64_t base_digest; /* as requested, also if the base is unknown */
+  bool is_delta;
   marjoram_bytes *bytes;
 };
 
 struct marjoram_state_giver
 {
   struct marjoram_packed_state states[STATES_MAX]; /* newest first */
-  struct pack packs[PACKS_MAX];                    /* the last made first */
+  struct encoding encodings[ENCODINGS_MAX];        /* newest first */
 };
 
 marjoram_state_giver *
@@ -43,8 +44,8 @@
     return;
   for (int i = 0; i < STATES_MAX; i++)
     marjoram_packed_state_clear (&giver->states[i]);
-  for (int i = 0; i < PACKS_MAX; i++)
-    marjoram_bytes_release (giver->packs[i].bytes);
+  for (int i = 0; i < ENCODINGS_MAX; i++)
+    marjoram_bytes_release (giver->encodings[i].bytes);
   free (giver);
 }
 
@@ -55,7 +56,7 @@
 }
 
 static void
-drop_over_limit (marjoram_state_giver *giver)
+evict_over_limit (marjoram_state_giver *giver)
 {
   size_t size = 0;
 
@@ -77,10 +78,10 @@
   memmove (giver->states + 1, giver->states,
            (STATES_MAX - 1) * sizeof *giver->states);
   giver->states[0] = marjoram_packed_state_make (state);
-  drop_over_limit (giver);
+  evict_over_limit (giver);
 }
 
-/* Null if it is not held.  */
+/* Returns null if it is not available.  */
 static const struct marjoram_packed_state *
 find_state (const marjoram_state_giver *giver, uint64_t number)
 {
@@ -90,8 +91,8 @@
   return NULL;
 }
 
-/* Two states can have one number only where a store was lost beyond repair;
-   the digest keeps a host of one from taking the other's difference.  */
+/* Different states have the same number only after unrecoverable loss of
+   stores; comparing digests avoids a delta against the wrong one.  */
 static const struct marjoram_packed_state *
 find_base (const marjoram_state_giver *giver,
            const struct marjoram_state_ask *ask)
@@ -101,50 +102,53 @@
   return base && base->digest == ask->base_digest ? base : NULL;
 }
 
-static struct pack *
-find_pack (marjoram_state_giver *giver, uint64_t number,
-           const struct marjoram_state_ask *ask)
+static struct encoding *
+find_encoding (marjoram_state_giver *giver, uint64_t number,
+               const struct marjoram_state_ask *ask)
 {
-  for (int i = 0; i < PACKS_MAX; i++)
-    if (giver->packs[i].bytes && giver->packs[i].number == number
-        && giver->packs[i].base == ask->base
-        && giver->packs[i].base_digest == ask->base_digest)
-      return &giver->packs[i];
+  for (int i = 0; i < ENCODINGS_MAX; i++)
+    if (giver->encodings[i].bytes && giver->encodings[i].number == number
+        && giver->encodings[i].base == ask->base
+        && giver->encodings[i].base_digest == ask->base_digest)
+      return &giver->encodings[i];
   return NULL;
 }
 
-static struct pack *
-make_pack (marjoram_state_giver *giver,
-           const struct marjoram_packed_state *state,
-           const struct marjoram_state_ask *ask)
+static struct encoding *
+add_encoding (marjoram_state_giver *giver,
+              const struct marjoram_packed_state *state,
+              const struct marjoram_state_ask *ask)
 {
   const struct marjoram_packed_state *base = find_base (giver, ask);
-  struct pack *pack = &giver->packs[0];
-
-  marjoram_bytes_release (giver->packs[PACKS_MAX - 1].bytes);
-  memmove (giver->packs + 1, giver->packs, (PACKS_MAX - 1) * sizeof *pack);
-  pack->number = state->number;
-  pack->base = ask->base;
-  pack->base_digest = ask->base_digest;
-  pack->against_base = base != NULL;
-  pack->bytes = marjoram_compress (state->bytes, base ? base->bytes : NULL);
-  return pack;
+  struct encoding *encoding = &giver->encodings[0];
+
+  marjoram_bytes_release (giver->encodings[ENCODINGS_MAX - 1].bytes);
+  memmove (giver->encodings + 1, giver->encodings,
+           (ENCODINGS_MAX - 1) * sizeof *encoding);
+  encoding->number = state->number;
+  encoding->base = ask->base;
+  encoding->base_digest = ask->base_digest;
+  encoding->is_delta = base != NULL;
+  encoding->bytes
+      = marjoram_compress (state->bytes, base ? base->bytes : NULL);
+  return encoding;
 }
 
 static void
-cut_piece (const struct pack *pack, uint64_t offset,
-           struct marjoram_state_piece *piece)
+make_piece (const struct encoding *encoding, uint64_t offset,
+            struct marjoram_state_piece *piece)
 {
-  uint64_t size = marjoram_bytes_size (pack->bytes);
-  uint64_t left = offset < size ? size - offset : 0;
+  uint64_t size = marjoram_bytes_size (encoding->bytes);
+  uint64_t remaining = offset < size ? size - offset : 0;
 
-  piece->number = pack->number;
-  piece->base = pack->against_base ? pack->base : 0;
+  piece->number = encoding->number;
+  piece->base = encoding->is_delta ? encoding->base : 0;
   piece->size = size;
   piece->offset = offset;
   piece->bytes = marjoram_bytes_create (
-      marjoram_bytes_data (pack->bytes) + (left > 0 ? offset : 0),
-      left < MARJORAM_STATE_PIECE_MAX ? left : MARJORAM_STATE_PIECE_MAX);
+      marjoram_bytes_data (encoding->bytes) + (remaining > 0 ? offset : 0),
+      remaining < MARJORAM_STATE_PIECE_MAX ? remaining
+                                           : MARJORAM_STATE_PIECE_MAX);
 }
 
 bool
@@ -154,15 +158,15 @@
 {
   const struct marjoram_packed_state *state = find_state (giver, ask->number);
   uint64_t offset = state ? ask->offset : 0;
-  struct pack *pack;
+  struct encoding *encoding;
 
   if (!state)
     state = &giver->states[0];
   if (state->number == 0)
     return false;
-  pack = find_pack (giver, state->number, ask);
-  if (!pack)
-    pack = make_pack (giver, state, ask);
-  cut_piece (pack, offset, piece);
+  encoding = find_encoding (giver, state->number, ask);
+  if (!encoding)
+    encoding = add_encoding (giver, state, ask);
+  make_piece (encoding, offset, piece);
   return true;
 }
