--- a/src/state_packed.c
+++ b/src/state_packed.c
@@ -18,12 +18,12 @@
 struct marjoram_packed_state
 marjoram_packed_state_make (const struct marjoram_state *state)
 {
-  struct marjoram_state told = *state;
+  struct marjoram_state sent = *state;
 
   /* Only keepers need the results of changes.  */
-  told.changes = (struct marjoram_array){ NULL, 0 };
+  sent.changes = (struct marjoram_array){ NULL, 0 };
   return make (state->number,
-               marjoram_wire_pack (&marjoram_state_layout, &told));
+               marjoram_wire_pack (&marjoram_state_layout, &sent));
 }
 
 struct marjoram_packed_state
