--- a/src/store.c
+++ b/src/store.c
@@ -25,15 +25,15 @@
 
 static const char store_kind[] = "marjoram store 1";
 static const char store_name[] = "store";
-static const char fresh_name[] = "store.new";
-/* Says that a store was made here, should the store itself be deleted.  */
+static const char temp_name[] = "store.new";
+/* Marks the folder as used, to detect a deleted store file.  */
 static const char marker_name[] = "in-use";
-static const char repair[]
-    = "this keeper's copy can't be trusted: move the folder away, start the "
-      "keeper empty and admit it with \"marjoramctl replace-keeper SLOT "
-      "SLOT\"";
+static const char repair_hint[]
+    = "the data of this keeper is unusable: move the folder away, start the "
+      "keeper with an empty one and admit it with \"marjoramctl "
+      "replace-keeper SLOT SLOT\"";
 
-/* The file: a checksum over the packed content, then the content.  */
+/* The file format; the checksum is that of the serialized content.  */
 struct envelope
 {
   char *kind;
@@ -86,21 +86,21 @@
 #define auto_file marjoram_auto (close_file)
 
 static bool
-io_error (const marjoram_store *store, const char *what, const char *name,
+io_error (const marjoram_store *store, const char *action, const char *name,
           struct marjoram_error *err)
 {
   return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                             "can't %s %s/%s: %s; check the disk and its "
+                             "can't %s %s/%s: %s; check the disk and its free "
                              "space, then restart this keeper",
-                             what, store->folder, name, strerror (errno));
+                             action, store->folder, name, strerror (errno));
 }
 
 static bool
-corrupt (const marjoram_store *store, const char *name, const char *fault,
+corrupt (const marjoram_store *store, const char *name, const char *problem,
          struct marjoram_error *err)
 {
   return marjoram_error_set (err, MARJORAM_ERROR_CORRUPT, "%s/%s %s; %s",
-                             store->folder, name, fault, repair);
+                             store->folder, name, problem, repair_hint);
 }
 
 static marjoram_bytes *
@@ -115,7 +115,7 @@
 }
 
 static bool
-equal (const marjoram_bytes *a, const marjoram_bytes *b)
+bytes_equal (const marjoram_bytes *a, const marjoram_bytes *b)
 {
   size_t size = marjoram_bytes_size (a);
 
@@ -141,25 +141,25 @@
   return true;
 }
 
-/* A crash at any step leaves either the whole earlier file or the whole new
-   one under the name: the new one is synced before it takes the name, and the
-   folder after.  */
+/* Replaces the store atomically: the new file is synced before the rename, and
+   the folder after it, so that a crash leaves either the old or the new
+   record.  */
 static bool
 replace_file (marjoram_store *store, const marjoram_bytes *data,
               struct marjoram_error *err)
 {
-  auto_file int fd = openat (store->folder_fd, fresh_name,
+  auto_file int fd = openat (store->folder_fd, temp_name,
                              O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
 
   if (fd < 0)
-    return io_error (store, "create", fresh_name, err);
+    return io_error (store, "create", temp_name, err);
   if (!write_all (fd, marjoram_bytes_data (data), marjoram_bytes_size (data)))
-    return io_error (store, "write", fresh_name, err);
+    return io_error (store, "write", temp_name, err);
   if (fdatasync (fd) != 0)
-    return io_error (store, "sync", fresh_name, err);
-  if (renameat (store->folder_fd, fresh_name, store->folder_fd, store_name)
+    return io_error (store, "sync", temp_name, err);
+  if (renameat (store->folder_fd, temp_name, store->folder_fd, store_name)
       != 0)
-    return io_error (store, "rename", fresh_name, err);
+    return io_error (store, "rename", temp_name, err);
   if (fsync (store->folder_fd) != 0)
     return io_error (store, "sync the folder of", store_name, err);
   return true;
@@ -194,7 +194,7 @@
     }
   if (status.st_size > ENVELOPE_MAX)
     {
-      corrupt (store, store_name, "is larger than any record", err);
+      corrupt (store, store_name, "is over the size limit", err);
       return NULL;
     }
   data = marjoram_alloc ((size_t)status.st_size);
@@ -217,7 +217,7 @@
 }
 
 static bool
-open_envelope (marjoram_store *store, const struct envelope *envelope,
+read_envelope (marjoram_store *store, const struct envelope *envelope,
                struct marjoram_error *err)
 {
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *sum
@@ -225,16 +225,16 @@
   struct content *content;
 
   if (!envelope->kind || strcmp (envelope->kind, store_kind) != 0)
-    return corrupt (store, store_name, "is not a store of this release", err);
-  if (!equal (sum, envelope->checksum))
-    return corrupt (store, store_name, "fails its checksum", err);
+    return corrupt (store, store_name, "has an unknown format", err);
+  if (!bytes_equal (sum, envelope->checksum))
+    return corrupt (store, store_name, "has a wrong checksum", err);
   content = marjoram_wire_unpack (
       &content_layout, marjoram_bytes_data (envelope->content),
       marjoram_bytes_size (envelope->content), NULL);
   if (!content || !content->store_id)
     {
       marjoram_wire_destroy (&content_layout, content);
-      return corrupt (store, store_name, "can't be read", err);
+      return corrupt (store, store_name, "has malformed content", err);
     }
   store->content = *content;
   free (content);
@@ -255,14 +255,14 @@
       = marjoram_wire_unpack (&envelope_layout, marjoram_bytes_data (data),
                               marjoram_bytes_size (data), NULL);
   if (!envelope)
-    return corrupt (store, store_name, "is torn or damaged", err);
-  ok = open_envelope (store, envelope, err);
+    return corrupt (store, store_name, "is truncated or damaged", err);
+  ok = read_envelope (store, envelope, err);
   marjoram_wire_destroy (&envelope_layout, envelope);
   return ok;
 }
 
 static bool
-exists (const marjoram_store *store, const char *name)
+file_exists (const marjoram_store *store, const char *name)
 {
   return faccessat (store->folder_fd, name, F_OK, 0) == 0;
 }
@@ -278,10 +278,10 @@
                   sizeof random);
 }
 
-/* A store that vanished while its marker stayed was not empty: to make a new
-   one would let a keeper forget what it has promised.  */
+/* Refuses to create a store where the marker shows that there was one: the
+   keeper would forget its promises.  */
 static bool
-load_or_make (marjoram_store *store, struct marjoram_error *err)
+load_or_create (marjoram_store *store, struct marjoram_error *err)
 {
   auto_file int fd
       = openat (store->folder_fd, store_name, O_RDONLY | O_CLOEXEC);
@@ -290,14 +290,14 @@
     return load (store, fd, err);
   if (errno != ENOENT)
     return io_error (store, "open", store_name, err);
-  if (exists (store, marker_name))
-    return corrupt (store, store_name, "is missing from a folder in use", err);
+  if (file_exists (store, marker_name))
+    return corrupt (store, store_name, "is missing from a used folder", err);
   make_store_id (store);
   return true;
 }
 
-/* The upper half counts openings; the lower one is random, so that two lives
-   which start from the same restored copy still differ.  */
+/* The upper half counts openings; the lower half is random, so that two runs
+   started from copies of the same folder differ.  */
 static uint64_t
 next_incarnation (uint64_t last)
 {
@@ -306,7 +306,7 @@
 }
 
 static bool
-make_marker (marjoram_store *store, struct marjoram_error *err)
+create_marker (marjoram_store *store, struct marjoram_error *err)
 {
   auto_file int fd = openat (store->folder_fd, marker_name,
                              O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
@@ -325,35 +325,35 @@
       = openat (store->folder_fd, "..", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
 
   if (fd < 0 || fsync (fd) != 0)
-    return io_error (store, "sync the folder above", "", err);
+    return io_error (store, "sync the parent folder of", "", err);
   return true;
 }
 
 static bool
 open_folder (marjoram_store *store, struct marjoram_error *err)
 {
-  bool made = mkdir (store->folder, 0700) == 0;
+  bool created = mkdir (store->folder, 0700) == 0;
 
-  if (!made && errno != EEXIST)
-    return io_error (store, "make", "", err);
+  if (!created && errno != EEXIST)
+    return io_error (store, "create", "", err);
   store->folder_fd = open (store->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (store->folder_fd < 0)
     return io_error (store, "open", "", err);
   if (flock (store->folder_fd, LOCK_EX | LOCK_NB) != 0)
     return marjoram_error_set (err, MARJORAM_ERROR_REFUSED,
-                               "%s is in use by another process; give each "
-                               "keeper a data folder of its own",
+                               "%s is in use by another process; configure a "
+                               "separate data folder for each keeper",
                                store->folder);
-  return !made || sync_parent (store, err);
+  return !created || sync_parent (store, err);
 }
 
 static bool
-start (marjoram_store *store, struct marjoram_error *err)
+open_store (marjoram_store *store, struct marjoram_error *err)
 {
-  if (!open_folder (store, err) || !load_or_make (store, err))
+  if (!open_folder (store, err) || !load_or_create (store, err))
     return false;
   store->content.incarnation = next_incarnation (store->content.incarnation);
-  return save (store, &store->content, err) && make_marker (store, err);
+  return save (store, &store->content, err) && create_marker (store, err);
 }
 
 marjoram_store *
@@ -363,7 +363,7 @@
 
   store->folder = marjoram_strdup (folder);
   store->folder_fd = -1;
-  if (!start (store, err))
+  if (!open_store (store, err))
     {
       marjoram_store_close (store);
       return NULL;
@@ -409,8 +409,8 @@
 
   if (marjoram_bytes_size (record) > RECORD_MAX)
     return marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
-                               "a record of %zu bytes is over the limit; make "
-                               "the operators' files smaller",
+                               "record of %zu bytes exceeds the limit; reduce "
+                               "the configuration files",
                                marjoram_bytes_size (record));
   next.record = (marjoram_bytes *)record;
   if (!save (store, &next, err))
