--- a/src/spread.c
+++ b/src/spread.c
@@ -10,26 +10,25 @@
 
 enum
 {
-  /* A host that is cut off at its start serves by the highest state that it
-     has found after this time.  */
-  START_WAIT_MS = 3000,
-  /* It waits longer for a state that it has heard of: whoever told of it may
-     be gone, but usually others have it.  */
-  HEARD_WAIT_MS = 10000,
-  /* Within which a piece of the state is to come at first; and at most.  */
-  STALLED_MS = 500,
-  STALLED_MAX_MS = 4000,
-  /* After a state that can't be taken; doubled each time, up to the second, so
-     that a host at fault doesn't fill the link with it.  */
-  REFUSED_WAIT_MS = 500,
-  REFUSED_WAIT_MAX_MS = 8000
+  /* Time after the start to wait for a majority of the keepers.  */
+  MAJORITY_WAIT_MS = 3000,
+  /* Time after the start to wait for the newest announced state; longer, since
+     it is usually still available from another host if its announcer fails. */
+  NEWEST_WAIT_MS = 10000,
+  /* Initial and highest timeout for a piece of the state.  */
+  PIECE_TIMEOUT_MS = 500,
+  PIECE_TIMEOUT_MAX_MS = 4000,
+  /* Delay after a rejected state; doubles with each, up to the second, so that
+     a faulty host doesn't congest the link.  */
+  RETRY_DELAY_MS = 500,
+  RETRY_DELAY_MAX_MS = 8000
 };
 
-/* A host that was heard since this one's start.  */
-struct heard
+/* A host that has announced its state since this one's start.  */
+struct peer
 {
   UT_hash_handle hh;
-  uint64_t number; /* that it told last; 0: its link broke since */
+  uint64_t number; /* last announced; 0 after a disconnection */
   char slot[MARJORAM_NAME_MAX + 1];
 };
 
@@ -38,17 +37,17 @@
   const struct marjoram_spread_ops *ops;
   void *context;
   struct marjoram_state *state;
-  char **keepers; /* of the settings */
+  char **keepers; /* from the settings */
   size_t keeper_count;
-  struct heard *heard;
-  uint64_t highest_heard;
-  struct heard *teller; /* whom to ask; null: nobody */
+  struct peer *peers;
+  uint64_t highest_announced;
+  struct peer *source; /* peer to fetch from; null: none */
   marjoram_state_fetch *fetch;
   marjoram_state_giver *giver;
   int64_t now; /* of the event in progress */
   int64_t started;
-  int64_t refused_until; /* nobody is asked before */
-  int64_t refused_wait_ms;
+  int64_t retry_at; /* no request is sent before */
+  int64_t retry_delay_ms;
   bool ready;
 };
 
@@ -58,33 +57,33 @@
   return spread->state ? spread->state->number : 0;
 }
 
-static struct heard *
-find_heard (const marjoram_spread *spread, const char *slot)
+static struct peer *
+find_peer (const marjoram_spread *spread, const char *slot)
 {
-  struct heard *heard;
+  struct peer *peer;
 
-  HASH_FIND_STR (spread->heard, slot, heard);
-  return heard;
+  HASH_FIND_STR (spread->peers, slot, peer);
+  return peer;
 }
 
-/* Null if SLOT is no name.  */
-static struct heard *
-note_heard (marjoram_spread *spread, const char *slot)
+/* Returns null if SLOT is too long.  */
+static struct peer *
+find_or_add_peer (marjoram_spread *spread, const char *slot)
 {
-  struct heard *heard = find_heard (spread, slot);
-
-  if (heard || strlen (slot) > MARJORAM_NAME_MAX)
-    return heard;
-  heard = marjoram_alloc (sizeof *heard);
-  memcpy (heard->slot, slot, strlen (slot) + 1);
-  HASH_ADD_STR (spread->heard, slot, heard);
-  return heard;
+  struct peer *peer = find_peer (spread, slot);
+
+  if (peer || strlen (slot) > MARJORAM_NAME_MAX)
+    return peer;
+  peer = marjoram_alloc (sizeof *peer);
+  memcpy (peer->slot, slot, strlen (slot) + 1);
+  HASH_ADD_STR (spread->peers, slot, peer);
+  return peer;
 }
 
-/* The keepers are those of the state, or, before any, of the settings, which
-   may name some that were replaced long ago.  */
+/* Counts the keepers that the state lists, or without a state those in the
+   settings, which may be outdated.  */
 static bool
-heard_majority (const marjoram_spread *spread)
+has_majority (const marjoram_spread *spread)
 {
   const struct marjoram_keeper_member *members;
   size_t count = 0;
@@ -93,24 +92,25 @@
     {
       members = spread->state->members.items;
       for (size_t i = 0; i < spread->state->members.count; i++)
-        count += find_heard (spread, members[i].slot) != NULL;
+        count += find_peer (spread, members[i].slot) != NULL;
       return 2 * count > spread->state->members.count;
     }
   for (size_t i = 0; i < spread->keeper_count; i++)
-    count += find_heard (spread, spread->keepers[i]) != NULL;
+    count += find_peer (spread, spread->keepers[i]) != NULL;
   return 2 * count > spread->keeper_count;
 }
 
 static void
-check_ready (marjoram_spread *spread, int64_t now)
+update_ready (marjoram_spread *spread, int64_t now)
 {
   int64_t waited = now - spread->started;
 
   if (spread->ready || !spread->state)
     return;
-  if (own_number (spread) < spread->highest_heard && waited < HEARD_WAIT_MS)
+  if (own_number (spread) < spread->highest_announced
+      && waited < NEWEST_WAIT_MS)
     return;
-  spread->ready = waited >= START_WAIT_MS || heard_majority (spread);
+  spread->ready = waited >= MAJORITY_WAIT_MS || has_majority (spread);
 }
 
 /* ---- Fetching.  ---- */
@@ -124,10 +124,10 @@
   spread->ops->send_ask (spread->context, slot, ask);
 }
 
-/* Every text is checked against its digest.  */
+/* Verifies the digest of each file.  */
 static bool
-is_whole (void *context, const struct marjoram_state *state,
-          struct marjoram_error *err)
+has_valid_digests (void *context, const struct marjoram_state *state,
+                   struct marjoram_error *err)
 {
   const struct marjoram_file *file = state->files.items;
 
@@ -140,68 +140,69 @@
         digest = marjoram_digest (file[i].text, strlen (file[i].text));
       if (!digest || strcmp (digest, file[i].digest) != 0)
         return marjoram_error_set (err, MARJORAM_ERROR_CORRUPT,
-                                   "file %s of state %llu is not whole; if "
-                                   "this goes on, restart the host that gave "
-                                   "it",
-                                   file[i].name ? file[i].name
-                                                : "without name",
+                                   "file %s of state %llu doesn't match its "
+                                   "digest; if this persists, restart the "
+                                   "sending host",
+                                   file[i].name ? file[i].name : "(unnamed)",
                                    (unsigned long long)state->number);
     }
   return true;
 }
 
 static void
-take (marjoram_spread *spread, struct marjoram_state *state)
+adopt (marjoram_spread *spread, struct marjoram_state *state)
 {
   marjoram_state_destroy (spread->state);
   spread->state = state;
   marjoram_state_giver_set (spread->giver, state);
   marjoram_state_fetch_hold (spread->fetch, spread->now, state);
   spread->ops->adopted (spread->context, state);
-  check_ready (spread, spread->now);
+  update_ready (spread, spread->now);
 }
 
 static void
-take_fetched (void *context, const struct marjoram_state *state,
-              const struct marjoram_fetch_facts *facts)
+on_fetched (void *context, const struct marjoram_state *state,
+            const struct marjoram_fetch_facts *facts)
 {
   marjoram_spread *spread = context;
 
   marjoram_log (MARJORAM_LOG_INFO,
-                "state %llu came from %s: %zu bytes in %d pieces, %lld ms, "
-                "against state %llu",
+                "fetched state %llu from %s: %zu bytes in %d pieces, %lld ms, "
+                "base state %llu",
                 (unsigned long long)state->number, facts->keeper, facts->bytes,
                 facts->pieces, (long long)facts->ms,
                 (unsigned long long)facts->base);
-  spread->refused_wait_ms = REFUSED_WAIT_MS;
-  take (spread, marjoram_state_copy (state));
+  spread->retry_delay_ms = RETRY_DELAY_MS;
+  adopt (spread, marjoram_state_copy (state));
 }
 
 static void
-refuse (void *context, const struct marjoram_fetch_facts *facts,
-        const struct marjoram_error *err)
+on_fetch_failed (void *context, const struct marjoram_fetch_facts *facts,
+                 const struct marjoram_error *err)
 {
   marjoram_spread *spread = context;
 
   marjoram_log (MARJORAM_LOG_WARNING,
-                "a state from %s is not taken (%s); asking again in %lld ms",
+                "rejected state from %s (%s); next request in %lld ms",
                 facts->keeper, err->message,
-                (long long)spread->refused_wait_ms);
-  spread->refused_until = spread->now + spread->refused_wait_ms;
-  spread->refused_wait_ms *= 2;
-  if (spread->refused_wait_ms > REFUSED_WAIT_MAX_MS)
-    spread->refused_wait_ms = REFUSED_WAIT_MAX_MS;
+                (long long)spread->retry_delay_ms);
+  spread->retry_at = spread->now + spread->retry_delay_ms;
+  spread->retry_delay_ms *= 2;
+  if (spread->retry_delay_ms > RETRY_DELAY_MAX_MS)
+    spread->retry_delay_ms = RETRY_DELAY_MAX_MS;
 }
 
-static const struct marjoram_state_fetch_ops fetch_ops = {
-  .ask = send_ask, .valid = is_whole, .fetched = take_fetched, .failed = refuse
-};
+static const struct marjoram_state_fetch_ops fetch_ops
+    = { .ask = send_ask,
+        .valid = has_valid_digests,
+        .fetched = on_fetched,
+        .failed = on_fetch_failed };
 
-/* SLOT can be asked for the state NUMBER.  */
+/* Fetches the state NUMBER from SLOT if it is newer.  */
 static void
-offer (marjoram_spread *spread, const char *slot, uint64_t number)
+fetch_from (marjoram_spread *spread, const char *slot, uint64_t number)
 {
-  if (number > own_number (spread) && spread->now >= spread->refused_until)
+  if (number > own_number (spread) && spread->now >= spread->retry_at)
     marjoram_state_fetch_heard (spread->fetch, spread->now, slot, true,
                                 number);
 }
@@ -210,48 +211,47 @@
 marjoram_spread_heard (marjoram_spread *spread, int64_t now, const char *slot,
                        uint64_t number)
 {
-  struct heard *heard = note_heard (spread, slot);
+  struct peer *peer = find_or_add_peer (spread, slot);
 
   spread->now = now;
-  if (!heard)
+  if (!peer)
     return;
-  heard->number = number;
-  if (number >= spread->highest_heard)
+  peer->number = number;
+  if (number >= spread->highest_announced)
     {
-      spread->highest_heard = number;
-      spread->teller = heard;
+      spread->highest_announced = number;
+      spread->source = peer;
     }
-  offer (spread, slot, number);
-  check_ready (spread, now);
+  fetch_from (spread, slot, number);
+  update_ready (spread, now);
 }
 
-/* Of those that can be asked, one that told of the highest number; null if
-   there is none.  */
-static struct heard *
-best_teller (const marjoram_spread *spread)
+/* Returns a connected peer with the highest number; null if there is none.  */
+static struct peer *
+best_source (const marjoram_spread *spread)
 {
-  struct heard *best = NULL;
+  struct peer *best = NULL;
 
-  for (struct heard *heard = spread->heard; heard; heard = heard->hh.next)
-    if (heard->number > (best ? best->number : 0))
-      best = heard;
+  for (struct peer *peer = spread->peers; peer; peer = peer->hh.next)
+    if (peer->number > (best ? best->number : 0))
+      best = peer;
   return best;
 }
 
 void
 marjoram_spread_lost (marjoram_spread *spread, int64_t now, const char *slot)
 {
-  struct heard *heard = find_heard (spread, slot);
+  struct peer *peer = find_peer (spread, slot);
 
   spread->now = now;
-  if (!heard)
+  if (!peer)
     return;
-  heard->number = 0;
+  peer->number = 0;
   marjoram_state_fetch_lost (spread->fetch, slot);
-  if (spread->teller == heard)
-    spread->teller = best_teller (spread);
-  if (spread->teller)
-    offer (spread, spread->teller->slot, spread->teller->number);
+  if (spread->source == peer)
+    spread->source = best_source (spread);
+  if (spread->source)
+    fetch_from (spread, spread->source->slot, spread->source->number);
 }
 
 void
@@ -263,7 +263,7 @@
   marjoram_state_fetch_piece (spread->fetch, now, slot, piece);
 }
 
-/* ---- Giving.  ---- */
+/* ---- Sending.  ---- */
 
 void
 marjoram_spread_receive_ask (marjoram_spread *spread, int64_t now,
@@ -279,7 +279,7 @@
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
-/* ---- Life.  ---- */
+/* ---- Life cycle.  ---- */
 
 marjoram_spread *
 marjoram_spread_create (const struct marjoram_spread_options *options,
@@ -287,15 +287,16 @@
                         int64_t now)
 {
   const struct marjoram_state_fetch_options fetch
-      = { .stalled_ms = STALLED_MS, .stalled_max_ms = STALLED_MAX_MS };
+      = { .stalled_ms = PIECE_TIMEOUT_MS,
+          .stalled_max_ms = PIECE_TIMEOUT_MAX_MS };
   marjoram_spread *spread = marjoram_alloc (sizeof *spread);
 
   spread->ops = ops;
   spread->context = context;
   spread->now = now;
   spread->started = now;
-  spread->refused_until = now;
-  spread->refused_wait_ms = REFUSED_WAIT_MS;
+  spread->retry_at = now;
+  spread->retry_delay_ms = RETRY_DELAY_MS;
   spread->fetch = marjoram_state_fetch_create (&fetch, &fetch_ops, spread);
   spread->giver = marjoram_state_giver_create ();
   spread->keeper_count = options->keeper_count;
@@ -308,18 +309,18 @@
 void
 marjoram_spread_destroy (marjoram_spread *spread)
 {
-  struct heard *heard;
+  struct peer *peer;
 
   if (!spread)
     return;
-  heard = spread->heard;
-  HASH_CLEAR (hh, spread->heard);
-  while (heard)
+  peer = spread->peers;
+  HASH_CLEAR (hh, spread->peers);
+  while (peer)
     {
-      struct heard *next = heard->hh.next;
+      struct peer *next = peer->hh.next;
 
-      free (heard);
-      heard = next;
+      free (peer);
+      peer = next;
     }
   for (size_t i = 0; i < spread->keeper_count; i++)
     free (spread->keepers[i]);
@@ -336,7 +337,7 @@
 {
   spread->now = now;
   if (state->number > own_number (spread))
-    take (spread, marjoram_state_copy (state));
+    adopt (spread, marjoram_state_copy (state));
 }
 
 void
@@ -344,9 +345,9 @@
 {
   spread->now = now;
   marjoram_state_fetch_tick (spread->fetch, now);
-  if (spread->teller)
-    offer (spread, spread->teller->slot, spread->teller->number);
-  check_ready (spread, now);
+  if (spread->source)
+    fetch_from (spread, spread->source->slot, spread->source->number);
+  update_ready (spread, now);
 }
 
 bool
