--- a/src/change.c
+++ b/src/change.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 static bool
-name_fits (const char *name)
+is_valid_name (const char *name)
 {
   return name && name[0] && strlen (name) <= MARJORAM_NAME_MAX;
 }
 
 static bool
-digest_fits (const struct marjoram_file *file)
+digest_matches (const struct marjoram_file *file)
 {
   marjoram_auto_free char *digest
       = marjoram_digest (file->text, strlen (file->text));
@@ -23,30 +23,30 @@
 marjoram_change_check (const char *id, const struct marjoram_file *file,
                        struct marjoram_error *err)
 {
-  if (!name_fits (id))
+  if (!is_valid_name (id))
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "a change id has 1 to %d bytes; give one",
+                               "change id must have 1 to %d bytes",
                                MARJORAM_NAME_MAX);
-  if (!name_fits (file->name))
+  if (!is_valid_name (file->name))
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "a file's name has 1 to %d bytes; rename it",
+                               "file name must have 1 to %d bytes",
                                MARJORAM_NAME_MAX);
   if (file->version == 0)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "versions start at 1; give one");
+                               "version must be at least 1");
   if (!file->text || strlen (file->text) > MARJORAM_FILE_TEXT_MAX)
     return marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
-                               "a file's text has at most %d bytes; split it",
+                               "file exceeds %d bytes; split it",
                                MARJORAM_FILE_TEXT_MAX);
-  if (!digest_fits (file))
+  if (!digest_matches (file))
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "the text was changed on its way: its digest "
-                               "differs; send it again");
+                               "file text doesn't match its digest; send it "
+                               "again");
   return true;
 }
 
 static bool
-same (const char *a, const char *b)
+strings_equal (const char *a, const char *b)
 {
   return a && b && strcmp (a, b) == 0;
 }
@@ -55,28 +55,30 @@
 marjoram_change_matches (const struct marjoram_change *kept,
                          const struct marjoram_file *file)
 {
-  if (!same (kept->file, file->name))
+  if (!strings_equal (kept->file, file->name))
     return false;
   if (kept->result != MARJORAM_CHANGE_ACCEPTED
       && kept->result != MARJORAM_CHANGE_SAME)
     return true;
-  return kept->version == file->version && same (kept->digest, file->digest);
+  return kept->version == file->version
+         && strings_equal (kept->digest, file->digest);
 }
 
 static enum marjoram_change_result
-compare_held (const struct marjoram_file *held,
-              const struct marjoram_file *file)
+compare_versions (const struct marjoram_file *current,
+                  const struct marjoram_file *file)
 {
-  if (!held || file->version > held->version)
+  if (!current || file->version > current->version)
     return MARJORAM_CHANGE_ACCEPTED;
-  if (file->version < held->version)
+  if (file->version < current->version)
     return MARJORAM_CHANGE_STALE;
-  return same (held->digest, file->digest) ? MARJORAM_CHANGE_SAME
-                                           : MARJORAM_CHANGE_CONFLICT;
+  return strings_equal (current->digest, file->digest)
+             ? MARJORAM_CHANGE_SAME
+             : MARJORAM_CHANGE_CONFLICT;
 }
 
 static bool
-fits (const struct marjoram_state *state)
+is_within_limits (const struct marjoram_state *state)
 {
   const struct marjoram_file *files = state->files.items;
   size_t size = 0;
@@ -88,15 +90,15 @@
 }
 
 static bool
-would_be_valid (const struct marjoram_state *state,
-                const struct marjoram_file *file, marjoram_change_valid valid,
-                void *context)
+is_valid_with_file (const struct marjoram_state *state,
+                    const struct marjoram_file *file,
+                    marjoram_change_valid valid, void *context)
 {
   marjoram_auto (marjoram_state_cleanup) struct marjoram_state *next
       = marjoram_state_copy (state);
 
   marjoram_state_set_file (next, file);
-  return fits (next) && valid (context, next, NULL);
+  return is_within_limits (next) && valid (context, next, NULL);
 }
 
 enum marjoram_change_result
@@ -104,26 +106,27 @@
                        const struct marjoram_file *file,
                        marjoram_change_valid valid, void *context)
 {
-  const struct marjoram_file *held = marjoram_state_file (state, file->name);
-  enum marjoram_change_result result = compare_held (held, file);
+  const struct marjoram_file *current
+      = marjoram_state_file (state, file->name);
+  enum marjoram_change_result result = compare_versions (current, file);
   struct marjoram_change change = { (char *)id, file->name, 0, 0, 0, NULL };
 
   if (result == MARJORAM_CHANGE_ACCEPTED
-      && !would_be_valid (state, file, valid, context))
+      && !is_valid_with_file (state, file, valid, context))
     result = MARJORAM_CHANGE_INVALID;
   if (result == MARJORAM_CHANGE_ACCEPTED)
     marjoram_state_set_file (state, file);
-  held = marjoram_state_file (state, file->name);
+  current = marjoram_state_file (state, file->name);
   change.result = result;
   change.number = ++state->number;
-  change.version = held ? held->version : 0;
-  change.digest = held ? held->digest : NULL;
+  change.version = current ? current->version : 0;
+  change.digest = current ? current->digest : NULL;
   marjoram_state_add_change (state, &change);
   return result;
 }
 
 static enum marjoram_change_result
-judge_replace (const struct marjoram_state *state, const char *old,
+check_replace (const struct marjoram_state *state, const char *old,
                const char *new, const char *store_id)
 {
   if (state->next_members.count > 0)
@@ -164,7 +167,7 @@
 {
   struct marjoram_change change = { (char *)id, (char *)new, 0, 0, 0, NULL };
   enum marjoram_change_result result
-      = judge_replace (state, old, new, store_id);
+      = check_replace (state, old, new, store_id);
 
   if (result == MARJORAM_CHANGE_ACCEPTED)
     set_next_members (state, old, new, store_id);
