--- a/src/disk.c
+++ b/src/disk.c
@@ -25,15 +25,15 @@
 {
   const struct marjoram_disk_ops *ops;
   void *context;
-  marjoram_store *store; /* the thread's own once it runs */
+  marjoram_store *store; /* owned by the thread while it runs */
   marjoram_bytes *record;
   struct event *wake;
   int wake_fd;
   pthread_t thread;
   bool running;
-  pthread_mutex_t mutex; /* guards what follows */
+  pthread_mutex_t mutex; /* protects the members below */
   pthread_cond_t changed;
-  struct job_list waiting;
+  struct job_list pending;
   struct job_list finished;
   bool stopping;
 };
@@ -51,11 +51,11 @@
   struct job *job;
 
   pthread_mutex_lock (&disk->mutex);
-  while (STAILQ_EMPTY (&disk->waiting) && !disk->stopping)
+  while (STAILQ_EMPTY (&disk->pending) && !disk->stopping)
     pthread_cond_wait (&disk->changed, &disk->mutex);
-  job = STAILQ_FIRST (&disk->waiting);
+  job = STAILQ_FIRST (&disk->pending);
   if (job)
-    STAILQ_REMOVE_HEAD (&disk->waiting, link);
+    STAILQ_REMOVE_HEAD (&disk->pending, link);
   pthread_mutex_unlock (&disk->mutex);
   return job;
 }
@@ -70,7 +70,7 @@
 }
 
 static void *
-run (void *context)
+run_jobs (void *context)
 {
   marjoram_disk *disk = context;
   struct job *job;
@@ -88,7 +88,7 @@
 }
 
 static void
-report (evutil_socket_t fd, short events, void *context)
+report_finished (evutil_socket_t fd, short events, void *context)
 {
   marjoram_disk *disk = context;
   struct job_list done = STAILQ_HEAD_INITIALIZER (done);
@@ -110,18 +110,18 @@
 }
 
 static bool
-start (marjoram_disk *disk, struct event_base *base,
-       struct marjoram_error *err)
+start_thread (marjoram_disk *disk, struct event_base *base,
+              struct marjoram_error *err)
 {
   disk->wake_fd = eventfd (0, EFD_CLOEXEC | EFD_NONBLOCK);
   if (disk->wake_fd >= 0)
-    disk->wake
-        = event_new (base, disk->wake_fd, EV_READ | EV_PERSIST, report, disk);
+    disk->wake = event_new (base, disk->wake_fd, EV_READ | EV_PERSIST,
+                            report_finished, disk);
   if (!disk->wake || event_add (disk->wake, NULL) != 0
-      || pthread_create (&disk->thread, NULL, run, disk) != 0)
+      || pthread_create (&disk->thread, NULL, run_jobs, disk) != 0)
     return marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
                                "can't start the disk task: %s; raise the "
-                               "limits on files and threads",
+                               "limits of open files and threads",
                                strerror (errno));
   disk->running = true;
   return true;
@@ -137,14 +137,14 @@
   disk->ops = ops;
   disk->context = context;
   disk->wake_fd = -1;
-  STAILQ_INIT (&disk->waiting);
+  STAILQ_INIT (&disk->pending);
   STAILQ_INIT (&disk->finished);
   pthread_mutex_init (&disk->mutex, NULL);
   pthread_cond_init (&disk->changed, NULL);
   disk->store = marjoram_store_open (folder, err);
   if (disk->store)
     disk->record = marjoram_store_read (disk->store, err);
-  if (!disk->store || !start (disk, base, err))
+  if (!disk->store || !start_thread (disk, base, err))
     {
       marjoram_disk_destroy (disk);
       return NULL;
@@ -153,7 +153,7 @@
 }
 
 static void
-stop (marjoram_disk *disk)
+stop_thread (marjoram_disk *disk)
 {
   pthread_mutex_lock (&disk->mutex);
   disk->stopping = true;
@@ -168,7 +168,7 @@
   if (!disk)
     return;
   if (disk->running)
-    stop (disk);
+    stop_thread (disk);
   if (disk->wake)
     event_free (disk->wake);
   if (disk->wake_fd >= 0)
@@ -214,7 +214,7 @@
   job->ticket = ticket;
   job->record = record;
   pthread_mutex_lock (&disk->mutex);
-  STAILQ_INSERT_TAIL (&disk->waiting, job, link);
+  STAILQ_INSERT_TAIL (&disk->pending, job, link);
   pthread_cond_signal (&disk->changed);
   pthread_mutex_unlock (&disk->mutex);
 }
