--- a/test/test_state.c
+++ b/test/test_state.c
@@ -1,4 +1,4 @@
-/* The agreed state: copies, lookups and bounded change results.  */
+/* The replicated state: copies, lookups and the limit of change results.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -26,7 +26,7 @@
       = { (char *)"id", (char *)"a.ini", 0, 1, 3, (char *)"d" };
   struct marjoram_state *state = marjoram_state_copy (NULL);
   struct marjoram_state *copy;
-  marjoram_bytes *packed, *again;
+  marjoram_bytes *packed, *repacked;
 
   marjoram_state_set_file (state, &file);
   marjoram_state_add_change (state, &change);
@@ -35,10 +35,11 @@
   copy = marjoram_state_copy (state);
   packed = marjoram_wire_pack (&marjoram_state_layout, state);
   marjoram_state_destroy (state);
-  again = marjoram_wire_pack (&marjoram_state_layout, copy);
+  repacked = marjoram_wire_pack (&marjoram_state_layout, copy);
   ck_assert_uint_eq (marjoram_bytes_size (packed),
-                     marjoram_bytes_size (again));
-  ck_assert (memcmp (marjoram_bytes_data (packed), marjoram_bytes_data (again),
+                     marjoram_bytes_size (repacked));
+  ck_assert (memcmp (marjoram_bytes_data (packed),
+                     marjoram_bytes_data (repacked),
                      marjoram_bytes_size (packed))
              == 0);
   file.version = 4;
@@ -49,13 +50,13 @@
   ck_assert (marjoram_voters_hold (&copy->members, "k1", "s1"));
   ck_assert (!marjoram_voters_hold (&copy->members, "k1", "s2"));
   marjoram_bytes_release (packed);
-  marjoram_bytes_release (again);
+  marjoram_bytes_release (repacked);
   marjoram_state_destroy (copy);
 }
 END_TEST
 
-/* A system that has run for years answers a resend of any of the last 1,024
-   changes; older results are dropped, or the state would grow for ever.  */
+/* Guards against a state that grows with each change: only the results of the
+   last MARJORAM_CHANGES_KEPT are kept.  */
 START_TEST (keeps_a_bounded_number_of_changes)
 {
   struct marjoram_state *state = marjoram_state_copy (NULL);
