--- a/test/test_state_transfer.c
+++ b/test/test_state_transfer.c
@@ -1,4 +1,4 @@
-/* How the agreed state comes from keepers to an entry host.  */
+/* Transfer of the replicated state from keepers to an entry host.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -13,30 +13,30 @@
   ROUTE_MAX = 320,
   TICK_MS = 25,
   KEEPERS = 6,
-  NEAR_KEEPERS = 2,
-  /* A keeper's word comes again with each beat of the host.  */
-  BEAT_MS = 300,
+  LOCAL_KEEPERS = 2,
+  /* Keepers repeat their announcement with each heartbeat of the host.  */
+  HEARTBEAT_MS = 300,
   ASKS_MAX = 64
 };
 
 #define SECONDS(count) ((count)*INT64_C (1000))
 
-/* A host between keepers, with at most one piece under way to it.  */
+/* A host and its keepers, with at most one piece in transit.  */
 struct world
 {
   marjoram_state_giver *givers[KEEPERS];
   marjoram_state_fetch *fetch;
   int64_t now;
-  int64_t piece_ms; /* that a piece takes to come */
-  int asked;        /* the keeper with the last ask; -1: it is answered */
+  int64_t piece_ms; /* transfer time of a piece */
+  int asked;        /* keeper with an unanswered request; -1: none */
   struct marjoram_state_ask ask;
   int64_t ask_at;
   int asks;
-  size_t bytes; /* of all pieces that came */
-  int at_once;  /* most asks that were unanswered at a time */
+  size_t bytes;         /* of all received pieces */
+  int outstanding_asks; /* unanswered requests after the last one */
   uint64_t number;
   struct marjoram_fetch_facts facts;
-  char keeper[16]; /* of the last fetch */
+  char keeper[16]; /* source of the last transfer */
   int failures;
 };
 
@@ -48,7 +48,7 @@
 {
   (void)context;
   w.asks++;
-  w.at_once = w.asked >= 0 ? 2 : 1;
+  w.outstanding_asks = w.asked >= 0 ? 2 : 1;
   w.asked = keeper[1] - '0';
   w.ask = *ask;
   w.ask_at = w.now;
@@ -80,8 +80,8 @@
 static const struct marjoram_state_fetch_options options
     = { .stalled_ms = 2000, .stalled_max_ms = 8000 };
 
-/* State NUMBER with ROUTES routes whose names, as real ones, share little; the
-   first has TIMEOUT.  */
+/* Returns state NUMBER with ROUTES routes, whose names compress badly.  The
+   first route has TIMEOUT.  */
 static struct marjoram_state *
 make_state (uint64_t number, int routes, int timeout)
 {
@@ -105,7 +105,7 @@
   return state;
 }
 
-/* All keepers hold it.  */
+/* Sets the state on all keepers.  */
 static void
 choose (uint64_t number, int routes, int timeout)
 {
@@ -126,15 +126,15 @@
 }
 
 static void
-offer (int keeper)
+announce (int keeper)
 {
   marjoram_state_fetch_heard (w.fetch, w.now, name_of (keeper),
-                              keeper < NEAR_KEEPERS,
+                              keeper < LOCAL_KEEPERS,
                               marjoram_state_giver_number (w.givers[keeper]));
 }
 
 static void
-answer (void)
+respond (void)
 {
   struct marjoram_state_piece piece = { 0 };
   int keeper = w.asked;
@@ -146,17 +146,17 @@
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
-/* KEEPERS of them live, the first of them given.  */
+/* Only KEEPERS keepers, starting with number FIRST, are running.  */
 static void
 run (int64_t ms, int first, int keepers)
 {
   for (int64_t end = w.now + ms; w.now < end; w.now += TICK_MS)
     {
-      if (w.now % BEAT_MS == 0)
+      if (w.now % HEARTBEAT_MS == 0)
         for (int i = first; i < first + keepers; i++)
-          offer (i);
+          announce (i);
       if (w.asked >= 0 && w.now >= w.ask_at + w.piece_ms)
-        answer ();
+        respond ();
       marjoram_state_fetch_tick (w.fetch, w.now);
     }
 }
@@ -166,7 +166,7 @@
 {
   memset (&w, 0, sizeof w);
   w.asked = -1;
-  w.now = BEAT_MS;
+  w.now = HEARTBEAT_MS;
   for (int i = 0; i < KEEPERS; i++)
     w.givers[i] = marjoram_state_giver_create ();
   w.fetch = marjoram_state_fetch_create (&options, &ops, NULL);
@@ -180,11 +180,8 @@
   marjoram_state_fetch_destroy (w.fetch);
 }
 
-/* Streams were cut while the configuration grew: a host with a slow link got
-   the whole state from each of six keepers, again each second while the first
-   copy was on its way, and what engines and other hosts sent waited behind it
-   until they were taken for dead.  However often keepers offer a state and
-   however slow the link is, it comes once, one piece at a time.  */
+/* Guards against duplicate transfers that congest a slow link: however often
+   keepers announce a state, it is sent once, one piece at a time.  */
 START_TEST (state_is_on_its_way_once)
 {
   size_t size;
@@ -200,13 +197,12 @@
   size = w.facts.bytes;
   ck_assert_uint_gt (size, (size_t)2 * MARJORAM_STATE_PIECE_MAX);
   ck_assert_uint_eq (w.bytes, size);
-  ck_assert_int_eq (w.at_once, 1);
+  ck_assert_int_eq (w.outstanding_asks, 1);
   ck_assert_int_eq (w.failures, 0);
 }
 END_TEST
 
-/* The same with the pieces at a slow link's own time: requests keep half of
-   it.  */
+/* Guards against a transfer that uses more than half of a slow link.  */
 START_TEST (host_rests_as_long_as_a_piece_took)
 {
   choose (1, 10, 500);
@@ -221,8 +217,8 @@
 }
 END_TEST
 
-/* A host that has just started serves nobody: it takes the state as fast as it
-   comes.  */
+/* Guards against a delayed start: a host without a state fetches it at full
+   speed.  */
 START_TEST (new_host_does_not_rest)
 {
   int64_t began = w.now;
@@ -249,15 +245,15 @@
 }
 END_TEST
 
-/* Keepers of the own region are the near ones; others are asked only if these
-   don't have it.  */
+/* A keeper of another region is asked only if none of the host's own region
+   announces the state.  */
 START_TEST (far_keeper_is_asked_if_no_near_one_offers)
 {
   choose (1, 10, 500);
-  offer (NEAR_KEEPERS);
+  announce (LOCAL_KEEPERS);
   ck_assert_int_eq (w.asks, 0);
-  w.now += BEAT_MS;
-  offer (NEAR_KEEPERS);
+  w.now += HEARTBEAT_MS;
+  announce (LOCAL_KEEPERS);
   ck_assert_int_eq (w.asks, 1);
 }
 END_TEST
@@ -265,19 +261,19 @@
 START_TEST (near_keeper_is_asked_at_once)
 {
   choose (1, 10, 500);
-  offer (NEAR_KEEPERS);
-  offer (0);
+  announce (LOCAL_KEEPERS);
+  announce (0);
   ck_assert_int_eq (w.asks, 1);
   ck_assert_int_eq (w.asked, 0);
 }
 END_TEST
 
-/* The keeper that a host takes the state from dies in the middle of it.  */
+/* Guards against a transfer that ends when its keeper fails.  */
 START_TEST (another_keeper_goes_on)
 {
   choose (2, 4200, 500);
   w.piece_ms = 100;
-  offer (0);
+  announce (0);
   run (150, 0, 0);
   ck_assert_int_gt (w.asks, 1);
   w.asked = -1;
@@ -288,13 +284,13 @@
 }
 END_TEST
 
-/* The same: what has come is not sent again, else links that break now and
-   then would carry a large state over and over.  */
+/* Guards against repeated transfer of received pieces over an unstable
+   link.  */
 START_TEST (break_costs_no_piece_that_came)
 {
   choose (2, 4200, 500);
   w.piece_ms = 100;
-  offer (0);
+  announce (0);
   run (350, 0, 0);
   ck_assert_uint_gt (w.bytes, MARJORAM_STATE_PIECE_MAX);
   w.asked = -1;
@@ -305,7 +301,7 @@
 }
 END_TEST
 
-/* The next keeper lacks the base, and so packs the state in another way.  */
+/* The second keeper lacks the base, and so encodes the state differently.  */
 START_TEST (pieces_of_two_packs_are_not_mixed)
 {
   struct marjoram_state *state = make_state (2, 4200, 500);
@@ -317,7 +313,7 @@
   w.givers[1] = marjoram_state_giver_create ();
   marjoram_state_giver_set (w.givers[1], state);
   marjoram_state_destroy (state);
-  offer (0);
+  announce (0);
   w.piece_ms = 100;
   run (350, 0, 0);
   ck_assert_uint_gt (w.bytes, MARJORAM_STATE_PIECE_MAX);
@@ -330,26 +326,26 @@
 }
 END_TEST
 
-/* A piece is late on a full link, and another keeper has been asked for it:
-   waiting for that one's would make the link fuller.  */
+/* Guards against discarding a late piece that was requested again from another
+   keeper, which would add to the congestion that delayed it.  */
 START_TEST (late_piece_is_taken)
 {
   choose (2, 10, 500);
-  offer (0);
+  announce (0);
   w.now += SECONDS (3);
-  offer (1);
+  announce (1);
   ck_assert_int_eq (w.asks, 2);
   w.asked = 0;
-  answer ();
+  respond ();
   ck_assert_uint_eq (w.number, 2);
 }
 END_TEST
 
-/* Its link says nothing, but no piece comes either.  */
+/* The keeper doesn't respond, but its connection is not closed.  */
 START_TEST (stalled_keeper_is_left)
 {
   choose (2, 10, 500);
-  offer (0);
+  announce (0);
   w.asked = -1;
   run (SECONDS (4), 1, 1);
   ck_assert_uint_eq (w.number, 2);
@@ -357,7 +353,7 @@
 }
 END_TEST
 
-/* Changes follow each other faster than the state comes.  */
+/* Changes are more frequent than transfers can complete.  */
 START_TEST (newer_states_do_not_starve_a_fetch)
 {
   choose (1, 4200, 500);
@@ -366,7 +362,7 @@
   for (uint64_t number = 2; number < 12; number++)
     {
       choose (number, 4200 + (int)number * 200, 500);
-      run (BEAT_MS, 0, KEEPERS);
+      run (HEARTBEAT_MS, 0, KEEPERS);
       ck_assert_uint_ge (w.number, number - 1);
     }
   run (SECONDS (2), 0, KEEPERS);
@@ -374,7 +370,7 @@
 }
 END_TEST
 
-/* A host that missed more than keepers hold gets the state whole.  */
+/* The host's state is older than any base that the keepers have.  */
 START_TEST (old_host_gets_it_whole)
 {
   choose (1, 10, 500);
@@ -387,8 +383,8 @@
 }
 END_TEST
 
-/* A keeper whose state of the same number is another one must not give a
-   difference from it.  */
+/* Guards against a delta from a keeper that has a different state with the
+   same number.  */
 START_TEST (another_base_is_not_used)
 {
   struct marjoram_state *other = make_state (1, 10, 999);
@@ -408,10 +404,8 @@
 }
 END_TEST
 
-/* An evacuation was not in force at a host while its link was full: each piece
-   took longer than a keeper is waited for, the next keeper to speak was asked
-   from the start, and what the one before had sent came when nobody waited for
-   it any more.  However long a piece takes, the state comes.  */
+/* Guards against a transfer that never completes because each piece takes
+   longer than the timeout.  */
 START_TEST (slow_pieces_come_in_the_end)
 {
   static struct marjoram_state_ask asks[ASKS_MAX];
@@ -420,13 +414,13 @@
   const int64_t slow_ms = 2500;
   const int64_t end = w.now + SECONDS (40);
   int sent = 0;
-  int come = 0;
+  int arrived = 0;
 
   choose (2, 700, 500);
   for (; w.now < end && w.number == 0; w.now += TICK_MS)
     {
-      if (w.now % BEAT_MS == 0)
-        offer ((int)(w.now / BEAT_MS) % NEAR_KEEPERS);
+      if (w.now % HEARTBEAT_MS == 0)
+        announce ((int)(w.now / HEARTBEAT_MS) % LOCAL_KEEPERS);
       marjoram_state_fetch_tick (w.fetch, w.now);
       if (w.asks > sent && sent < ASKS_MAX)
         {
@@ -434,19 +428,19 @@
           keepers[sent] = w.asked;
           due[sent++] = w.now + slow_ms;
         }
-      if (come < sent && w.now >= due[come])
+      if (arrived < sent && w.now >= due[arrived])
         {
-          w.ask = asks[come];
-          w.asked = keepers[come++];
-          answer ();
+          w.ask = asks[arrived];
+          w.asked = keepers[arrived++];
+          respond ();
         }
     }
   ck_assert_uint_eq (w.number, 2);
 }
 END_TEST
 
-/* A keeper with a fault names a size beyond all states: a host that went on
-   would keep its pieces until its memory is full.  */
+/* Guards against memory exhaustion by a faulty keeper that announces an
+   excessive size.  */
 START_TEST (size_over_the_limit_is_not_fetched)
 {
   struct marjoram_state_piece piece
@@ -455,7 +449,7 @@
           .bytes = marjoram_bytes_create ("oops", 4) };
 
   choose (1, 10, 500);
-  offer (0);
+  announce (0);
   marjoram_state_fetch_piece (w.fetch, w.now, "k0", &piece);
   ck_assert_int_eq (w.asks, 1);
   w.asked = -1;
@@ -465,9 +459,8 @@
 }
 END_TEST
 
-/* Several changes came while a host fetched: its keeper dropped the state that
-   the pieces were compressed against, and the rest of them.  The host must go
-   on at once and not wait until it takes the keeper for stalled.  */
+/* Guards against a wait for the timeout when the keeper evicts the base, and
+   the encoding against it, during a transfer.  */
 START_TEST (dropped_base_does_not_stall)
 {
   struct marjoram_state_piece piece = { 0 };
@@ -478,9 +471,9 @@
   run (SECONDS (1), 0, 1);
   ck_assert_uint_eq (w.number, 1);
   choose (2, 4200, 500);
-  offer (0);
+  announce (0);
   w.now += TICK_MS;
-  answer ();
+  respond ();
   ck_assert_int_lt (w.asked, 0);
   w.now += TICK_MS;
   marjoram_state_fetch_tick (w.fetch, w.now);
@@ -497,14 +490,14 @@
 }
 END_TEST
 
-/* Bytes that can't be read are never taken, and asked for again.  */
+/* An unreadable state is rejected and requested again.  */
 START_TEST (damaged_piece_is_not_taken)
 {
   struct marjoram_state_piece piece
       = { .number = 1, .size = 4, .bytes = marjoram_bytes_create ("oops", 4) };
 
   choose (1, 10, 500);
-  offer (0);
+  announce (0);
   w.asked = -1;
   marjoram_state_fetch_piece (w.fetch, w.now, "k0", &piece);
   ck_assert_int_eq (w.failures, 1);
