--- a/test/test_fuzz_state.c
+++ b/test/test_fuzz_state.c
@@ -1,5 +1,5 @@
-/* Messages about the agreed state whose form is right and whose content is
-   not, from keepers to a host and from hosts to a keeper.  */
+/* Well-formed messages of the state transfer with random content, in both
+   directions.  */
 #include "fuzz.h"
 #include "suite.h"
 
@@ -14,8 +14,8 @@
   TICK_MS = 50,
   SEEDS = 4,
   KEEPERS = 2,
-  /* Longer than any time for which a keeper is waited for.  */
-  HONEST_MS = 120 * 1000
+  /* Longer than any timeout for a keeper.  */
+  RECOVERY_MS = 120 * 1000
 };
 
 static const char *const keepers[KEEPERS] = { "k0", "k1" };
@@ -63,10 +63,10 @@
 static const struct marjoram_state_fetch_ops ops
     = { .ask = on_ask, .fetched = on_fetched, .failed = on_failed };
 
-/* What a giver answers to ASK must fit into a frame.  */
+/* Checks that the response to ASK fits into a frame.  */
 static void
-answer (struct world *world, int64_t now, const char *keeper,
-        const struct marjoram_state_ask *ask)
+respond (struct world *world, int64_t now, const char *keeper,
+         const struct marjoram_state_ask *ask)
 {
   struct marjoram_state_piece piece = { 0 };
 
@@ -90,7 +90,7 @@
 }
 
 static void
-send_senseless (struct world *world, struct input *in, int64_t now)
+send_malformed (struct world *world, struct input *in, int64_t now)
 {
   const char *keeper = keepers[below (in, KEEPERS)];
   struct marjoram_state_ask ask = { 0 };
@@ -98,7 +98,7 @@
   struct marjoram_state_piece piece = { 0 };
 
   fill_message (in, &marjoram_state_ask_layout, (char *)&ask);
-  answer (world, now, NULL, &ask);
+  respond (world, now, NULL, &ask);
   fill_message (in, &marjoram_state_news_layout, (char *)&news);
   marjoram_state_fetch_heard (world->fetch, now, keeper, below (in, 2) == 0,
                               news.number);
@@ -109,8 +109,8 @@
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
-/* Neither side may fall over what a peer with a fault says, and a host that
-   heard any of it takes the state of keepers without one.  */
+/* Guards against a crash on random messages from a faulty peer, and against a
+   host that can't fetch the state afterwards.  */
 START_TEST (state_comes_after_senseless_messages)
 {
   static struct input in;
@@ -125,19 +125,19 @@
     {
       if (below (&in, 100) == 0)
         choose (&world, (uint64_t)n / 100 + 1);
-      send_senseless (&world, &in, now);
+      send_malformed (&world, &in, now);
       marjoram_state_fetch_tick (world.fetch, now);
     }
   choose (&world, MESSAGES);
   world.asked = false;
-  for (end = now + HONEST_MS; now < end; now += TICK_MS)
+  for (end = now + RECOVERY_MS; now < end; now += TICK_MS)
     {
       marjoram_state_fetch_heard (world.fetch, now, "k0", true, MESSAGES);
       marjoram_state_fetch_tick (world.fetch, now);
       if (world.asked)
         {
           world.asked = false;
-          answer (&world, now, world.keeper, &world.ask);
+          respond (&world, now, world.keeper, &world.ask);
         }
     }
   ck_assert_uint_eq (world.number, MESSAGES);
