--- a/test/test_store.c
+++ b/test/test_store.c
@@ -1,4 +1,4 @@
-/* The data folder of a keeper, and the disk task on top of it.  */
+/* The store of a keeper and the disk task.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -66,7 +66,7 @@
 }
 
 static void
-put (marjoram_store *store, const char *text)
+write_record (marjoram_store *store, const char *text)
 {
   marjoram_bytes *record = marjoram_bytes_create (text, strlen (text));
 
@@ -101,8 +101,8 @@
   uint64_t incarnation = marjoram_store_incarnation (store);
 
   ck_assert_ptr_null (marjoram_store_read (store, &err));
-  put (store, "one");
-  put (store, "two");
+  write_record (store, "one");
+  write_record (store, "two");
   assert_holds (store, "two");
   marjoram_store_close (store);
   store = marjoram_store_open (folder, &err);
@@ -113,9 +113,8 @@
 }
 END_TEST
 
-/* An operator starts a second daemon on the data folder of a running one.
-   Both would answer as one keeper, each unaware of the other's promises; the
-   second has to refuse.  */
+/* Guards against two processes that act as the same keeper, each unaware of
+   the promises of the other.  */
 START_TEST (refuses_a_folder_in_use)
 {
   marjoram_store *store = marjoram_store_open (folder, &err);
@@ -126,17 +125,15 @@
 }
 END_TEST
 
-/* A disk returns a record with one bit turned, or cut short.  Read as it is,
-   or taken for empty, it would make the keeper forget a promise and lose an
-   accepted change; every bit and every length has to be found, and the
-   message has to name the file and the repair.  */
+/* Guards against a keeper that uses a damaged record, or starts empty instead.
+   The message has to name the file and the repair.  */
 START_TEST (finds_every_flipped_bit_and_every_cut)
 {
   char good[FILE_SIZE_MAX], bad[FILE_SIZE_MAX];
   marjoram_store *store = marjoram_store_open (folder, &err);
   size_t size;
 
-  put (store, "the record");
+  write_record (store, "the record");
   marjoram_store_close (store);
   size = read_file (good);
   for (size_t bit = 0; bit < 8 * size; bit++)
@@ -146,9 +143,9 @@
       write_file ("store", bad, size);
       assert_corrupt ();
     }
-  for (size_t cut = 0; cut < size; cut++)
+  for (size_t length = 0; length < size; length++)
     {
-      write_file ("store", good, cut);
+      write_file ("store", good, length);
       assert_corrupt ();
     }
   write_file ("store", good, size);
@@ -166,18 +163,18 @@
 }
 END_TEST
 
-/* The machine loses power while the next record is half written.  The earlier
-   one was answered for; it has to be there, whole, and the half one gone.  */
+/* Guards against loss of an acknowledged record by a power failure during the
+   next write.  */
 START_TEST (keeps_the_earlier_record_when_a_write_breaks_off)
 {
   marjoram_store *store = marjoram_store_open (folder, &err);
 
-  put (store, "earlier");
+  write_record (store, "earlier");
   marjoram_store_close (store);
   write_file ("store.new", "half of the n", 13);
   store = marjoram_store_open (folder, &err);
   assert_holds (store, "earlier");
-  put (store, "later");
+  write_record (store, "later");
   assert_holds (store, "later");
   marjoram_store_close (store);
 }
@@ -189,10 +186,10 @@
   marjoram_store *store = marjoram_store_open (folder, &err);
   size_t size;
 
-  put (store, "0000");
+  write_record (store, "0000");
   size = read_file (data);
   for (int i = 0; i < 200; i++)
-    put (store, "0001");
+    write_record (store, "0001");
   ck_assert_uint_eq (read_file (data), size);
   ck_assert_int_ne (access (path ("store.new"), F_OK), 0);
   marjoram_store_close (store);
@@ -204,7 +201,7 @@
   marjoram_store *store = marjoram_store_open (folder, &err);
   marjoram_bytes *record = marjoram_bytes_create ("x", 1);
 
-  put (store, "earlier");
+  write_record (store, "earlier");
   ck_assert_int_eq (mkdir (path ("store.new"), 0700), 0);
   ck_assert (!marjoram_store_write (store, record, &err));
   ck_assert_int_eq (err.kind, MARJORAM_ERROR_IO);
