--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -1,5 +1,5 @@
-/* How a state reaches every host: many hosts in zones, with links inside a
-   zone and to one host of each other zone, lost messages and restarts.  */
+/* Distribution of the state to many hosts, each linked to the hosts of its
+   zone and to one host of each other zone, with message loss and restarts.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -17,33 +17,33 @@
   ZONES = 6,
   ZONE_HOSTS = 12,
   HOSTS = ZONES * ZONE_HOSTS,
-  FLIGHTS_MAX = 1 << 15,
+  PACKETS_MAX = 1 << 15,
   STEP_MS = 5,
-  NEAR_MS = 5,
-  FAR_MS = 50,
+  ZONE_LATENCY_MS = 5,
+  CROSS_ZONE_LATENCY_MS = 50,
   HEARTBEAT_MS = 1000,
   SEEDS = 9,
-  /* A message but for the state in it, with the frame's own bytes.  */
+  /* Size of a message without its piece, including frame overhead.  */
   MESSAGE_SIZE = 64,
-  /* A state that takes three seconds on a slow link.  */
   SLOW_BYTES_PER_MS = 40,
+  /* Takes three seconds on a slow link.  */
   LARGE_TEXT = 3000 * SLOW_BYTES_PER_MS
 };
 
-enum flight_kind
+enum packet_kind
 {
-  FLIGHT_NUMBER,
-  FLIGHT_ASK,
-  FLIGHT_PIECE
+  PACKET_NUMBER,
+  PACKET_ASK,
+  PACKET_PIECE
 };
 
-struct flight
+struct packet
 {
   int64_t at;
   uint64_t number;
   struct marjoram_state_ask ask;
   marjoram_bytes *bytes;
-  enum flight_kind kind;
+  enum packet_kind kind;
   int from, to;
 };
 
@@ -56,24 +56,24 @@
   char slot[16];
   marjoram_spread *spread;
   int64_t heartbeat_at;
-  uint64_t reader;
-  bool cut;
-  int64_t bytes_per_ms; /* of its link, for what comes to it; 0: no limit */
-  int64_t link_free;    /* when the last of what is on its way has come */
-  int64_t longest_wait; /* of a message, for others before it */
-  size_t given;         /* bytes of states */
+  uint64_t adopted_number;
+  bool partitioned;
+  int64_t bytes_per_ms;    /* inbound capacity of its link; 0: unlimited */
+  int64_t link_idle_at;    /* arrival of the last message in transit */
+  int64_t longest_wait_ms; /* in the queue of the link */
+  size_t received;         /* bytes of pieces */
 };
 
 struct world
 {
   struct host hosts[HOSTS];
-  struct flight flights[FLIGHTS_MAX];
-  size_t flight_count;
+  struct packet packets[PACKETS_MAX];
+  size_t packet_count;
   int64_t now;
   uint32_t loss; /* percent */
   marjoram_random *random;
-  size_t gives;
-  size_t give_bytes;
+  size_t pieces_sent;
+  size_t bytes_sent;
 };
 
 static bool
@@ -84,41 +84,43 @@
   return a->index % ZONE_HOSTS == b->index % ZONE_HOSTS;
 }
 
-/* When a message of SIZE bytes that reaches the slow link of HOST at AT has
-   come.  */
+/* Returns the arrival time of a message of SIZE bytes that reaches the link of
+   HOST at AT.  */
 static int64_t
-pass_link (struct host *host, int64_t at, size_t size)
+transmit (struct host *host, int64_t at, size_t size)
 {
-  int64_t begins = host->link_free > at ? host->link_free : at;
+  int64_t start_at = host->link_idle_at > at ? host->link_idle_at : at;
 
   if (host->bytes_per_ms == 0)
     return at;
-  if (begins - at > host->longest_wait)
-    host->longest_wait = begins - at;
-  host->link_free = begins + (int64_t)size / host->bytes_per_ms;
-  return host->link_free;
+  if (start_at - at > host->longest_wait_ms)
+    host->longest_wait_ms = start_at - at;
+  host->link_idle_at = start_at + (int64_t)size / host->bytes_per_ms;
+  return host->link_idle_at;
 }
 
 static void
-send (struct host *from, struct host *to, struct flight flight)
+send (struct host *from, struct host *to, struct packet packet)
 {
-  size_t size = marjoram_bytes_size (flight.bytes);
+  size_t size = marjoram_bytes_size (packet.bytes);
   struct world *world = from->world;
-  bool near = from->index / ZONE_HOSTS == to->index / ZONE_HOSTS;
+  bool same_zone = from->index / ZONE_HOSTS == to->index / ZONE_HOSTS;
 
-  if (!linked (from, to) || (!near && (from->cut || to->cut))
+  if (!linked (from, to)
+      || (!same_zone && (from->partitioned || to->partitioned))
       || marjoram_random_below (world->random, 100) < world->loss)
     {
-      marjoram_bytes_release (flight.bytes);
+      marjoram_bytes_release (packet.bytes);
       return;
     }
-  to->given += size;
-  flight.at = pass_link (to, world->now + (near ? NEAR_MS : FAR_MS),
-                         size + MESSAGE_SIZE);
-  flight.from = from->index;
-  flight.to = to->index;
-  ck_assert_uint_lt (world->flight_count, FLIGHTS_MAX);
-  world->flights[world->flight_count++] = flight;
+  to->received += size;
+  packet.at = transmit (
+      to, world->now + (same_zone ? ZONE_LATENCY_MS : CROSS_ZONE_LATENCY_MS),
+      size + MESSAGE_SIZE);
+  packet.from = from->index;
+  packet.to = to->index;
+  ck_assert_uint_lt (world->packet_count, PACKETS_MAX);
+  world->packets[world->packet_count++] = packet;
 }
 
 static struct host *
@@ -131,13 +133,13 @@
 }
 
 static void
-tell (struct host *host)
+announce (struct host *host)
 {
   const struct marjoram_state *state = marjoram_spread_state (host->spread);
 
   for (int i = 0; i < HOSTS; i++)
     send (host, &host->world->hosts[i],
-          (struct flight){ .kind = FLIGHT_NUMBER,
+          (struct packet){ .kind = PACKET_NUMBER,
                            .number = state ? state->number : 0 });
 }
 
@@ -147,7 +149,7 @@
   struct host *host = context;
 
   send (host, find (host, slot),
-        (struct flight){ .kind = FLIGHT_ASK, .ask = *ask });
+        (struct packet){ .kind = PACKET_ASK, .ask = *ask });
 }
 
 static void
@@ -158,10 +160,10 @@
   marjoram_bytes *bytes
       = marjoram_wire_pack (&marjoram_state_piece_layout, piece);
 
-  host->world->gives++;
-  host->world->give_bytes += marjoram_bytes_size (bytes);
+  host->world->pieces_sent++;
+  host->world->bytes_sent += marjoram_bytes_size (bytes);
   send (host, find (host, slot),
-        (struct flight){ .kind = FLIGHT_PIECE, .bytes = bytes });
+        (struct packet){ .kind = PACKET_PIECE, .bytes = bytes });
 }
 
 static void
@@ -169,9 +171,9 @@
 {
   struct host *host = context;
 
-  ck_assert_uint_gt (state->number, host->reader);
-  host->reader = state->number;
-  tell (host);
+  ck_assert_uint_gt (state->number, host->adopted_number);
+  host->adopted_number = state->number;
+  announce (host);
 }
 
 static const struct marjoram_spread_ops ops = { on_ask, on_piece, on_adopted };
@@ -184,7 +186,7 @@
 
   host->spread
       = marjoram_spread_create (&options, &ops, host, host->world->now);
-  host->reader = 0;
+  host->adopted_number = 0;
 }
 
 static void
@@ -200,33 +202,33 @@
 }
 
 static void
-deliver (struct world *world, struct flight *flight)
+deliver (struct world *world, struct packet *packet)
 {
-  struct host *host = &world->hosts[flight->to];
-  const char *from = world->hosts[flight->from].slot;
+  struct host *host = &world->hosts[packet->to];
+  const char *from = world->hosts[packet->from].slot;
 
-  if (flight->kind == FLIGHT_NUMBER)
-    marjoram_spread_heard (host->spread, world->now, from, flight->number);
-  else if (flight->kind == FLIGHT_PIECE)
-    deliver_piece (host, from, flight->bytes);
+  if (packet->kind == PACKET_NUMBER)
+    marjoram_spread_heard (host->spread, world->now, from, packet->number);
+  else if (packet->kind == PACKET_PIECE)
+    deliver_piece (host, from, packet->bytes);
   else
-    marjoram_spread_receive_ask (host->spread, world->now, from, &flight->ask);
-  marjoram_bytes_release (flight->bytes);
+    marjoram_spread_receive_ask (host->spread, world->now, from, &packet->ask);
+  marjoram_bytes_release (packet->bytes);
 }
 
 static void
 deliver_due (struct world *world)
 {
-  size_t kept = 0, count = world->flight_count;
-  static struct flight due[FLIGHTS_MAX];
+  size_t kept = 0, count = world->packet_count;
+  static struct packet due[PACKETS_MAX];
   size_t due_count = 0;
 
   for (size_t i = 0; i < count; i++)
-    if (world->flights[i].at <= world->now)
-      due[due_count++] = world->flights[i];
+    if (world->packets[i].at <= world->now)
+      due[due_count++] = world->packets[i];
     else
-      world->flights[kept++] = world->flights[i];
-  world->flight_count = kept;
+      world->packets[kept++] = world->packets[i];
+  world->packet_count = kept;
   for (size_t i = 0; i < due_count; i++)
     deliver (world, &due[i]);
 }
@@ -245,7 +247,7 @@
           if (world->now < host->heartbeat_at)
             continue;
           host->heartbeat_at = world->now + HEARTBEAT_MS;
-          tell (host);
+          announce (host);
         }
     }
 }
@@ -273,8 +275,8 @@
 static void
 destroy_world (struct world *world)
 {
-  for (size_t i = 0; i < world->flight_count; i++)
-    marjoram_bytes_release (world->flights[i].bytes);
+  for (size_t i = 0; i < world->packet_count; i++)
+    marjoram_bytes_release (world->packets[i].bytes);
   for (int i = 0; i < HOSTS; i++)
     marjoram_spread_destroy (world->hosts[i].spread);
   marjoram_random_destroy (world->random);
@@ -316,8 +318,8 @@
   marjoram_state_destroy (state);
 }
 
-/* As that of make_state, with another file, large and the same in all, of a
-   text that hardly compresses.  */
+/* Adds to the result of make_state a large file that compresses badly and is
+   the same in all states.  */
 static struct marjoram_state *
 make_large_state (uint64_t number)
 {
@@ -350,15 +352,12 @@
   int count = 0;
 
   for (int i = 0; i < HOSTS; i++)
-    count += world->hosts[i].reader == number;
+    count += world->hosts[i].adopted_number == number;
   return count;
 }
 
-/* One keeper knows a new state.  Without losses all 72 hosts have it after a
-   few link times; where every tenth message is lost, after a second for each
-   loss on the way, three at the most.  Each host fetches it once or little
-   more, and none ever takes a lower number, which the reader in each one
-   checks.  */
+/* Guards against slow distribution, with and without message loss, against
+   repeated transfers, and, in on_adopted, against a decreasing number.  */
 START_TEST (reaches_all_hosts)
 {
   uint32_t loss = _i == 0 ? 0 : 10;
@@ -370,24 +369,24 @@
   run (world, 5000);
   for (uint64_t number = 2; number <= 5; number++)
     {
-      world->gives = 0;
+      world->pieces_sent = 0;
       choose (world, (int)(number % 3) * ZONE_HOSTS, number);
       start_ms = world->now;
       while (count_at (world, number) < HOSTS && world->now < start_ms + 10000)
         run (world, STEP_MS);
-      printf ("seed %d: %d hosts after %lld ms, %zu gives, %zu bytes\n", _i,
+      printf ("seed %d: %d hosts after %lld ms, %zu pieces, %zu bytes\n", _i,
               count_at (world, number), (long long)(world->now - start_ms),
-              world->gives, world->give_bytes);
+              world->pieces_sent, world->bytes_sent);
       ck_assert_int_eq (count_at (world, number), HOSTS);
       ck_assert_int_le (world->now - start_ms, limit_ms);
-      ck_assert_uint_lt (world->gives, (size_t)2 * HOSTS);
+      ck_assert_uint_lt (world->pieces_sent, (size_t)2 * HOSTS);
     }
   destroy_world (world);
 }
 END_TEST
 
-/* A host restarts empty while its zone is in force with the newest state.  It
-   must not serve before it has that one, whatever it hears first.  */
+/* Guards against a restarted host that serves an older state than the rest of
+   its zone.  */
 START_TEST (restarted_host_serves_only_by_the_highest)
 {
   struct world *world = make_world (3, 10);
@@ -401,16 +400,16 @@
   for (int ms = 0; ms < 5000; ms += STEP_MS)
     {
       run (world, STEP_MS);
-      ck_assert (!marjoram_spread_ready (host->spread) || host->reader == 7);
+      ck_assert (!marjoram_spread_ready (host->spread)
+                 || host->adopted_number == 7);
     }
   ck_assert (marjoram_spread_ready (host->spread));
   destroy_world (world);
 }
 END_TEST
 
-/* A zone is cut off, misses a change, and one of its hosts restarts there.
-   That host serves by what its zone has after a few seconds, and the zone
-   catches up once the cut is over.  */
+/* Guards against a host that can't restart in a partitioned zone, and against
+   a zone that misses the newest state after the partition.  */
 START_TEST (cut_off_zone_serves_and_catches_up)
 {
   struct world *world = make_world (4, 0);
@@ -419,7 +418,7 @@
   choose (world, 0, 1);
   run (world, 5000);
   for (int i = HOSTS - ZONE_HOSTS; i < HOSTS; i++)
-    world->hosts[i].cut = true;
+    world->hosts[i].partitioned = true;
   choose (world, 0, 2);
   run (world, 2000);
   ck_assert_int_eq (count_at (world, 2), HOSTS - ZONE_HOSTS);
@@ -429,9 +428,9 @@
   ck_assert (!marjoram_spread_ready (host->spread));
   run (world, 3000);
   ck_assert (marjoram_spread_ready (host->spread));
-  ck_assert_uint_eq (host->reader, 1);
+  ck_assert_uint_eq (host->adopted_number, 1);
   for (int i = 0; i < HOSTS; i++)
-    world->hosts[i].cut = false;
+    world->hosts[i].partitioned = false;
   run (world, 2000);
   ck_assert_int_eq (count_at (world, 2), HOSTS);
   destroy_world (world);
@@ -444,7 +443,7 @@
 {
   int64_t start_ms = world->now;
 
-  while (host->reader < number && world->now < start_ms + limit_ms)
+  while (host->adopted_number < number && world->now < start_ms + limit_ms)
     run (world, STEP_MS);
   return world->now - start_ms;
 }
@@ -459,66 +458,64 @@
 }
 
 static void
-report (const char *what, const struct host *host, int64_t took)
+report (const char *what, const struct host *host, int64_t elapsed_ms)
 {
   printf ("%s: %lld ms, %zu bytes, longest wait %lld ms\n", what,
-          (long long)took, host->given, (long long)host->longest_wait);
-  /* Else it is lost if the test fails.  */
+          (long long)elapsed_ms, host->received,
+          (long long)host->longest_wait_ms);
+  /* A failed check would discard buffered output.  */
   fflush (stdout);
 }
 
-/* Requests failed at a host with a slow link while a large change was spread:
-   the host asked again each half second although the state was still on its
-   way, so that copy after copy filled the link, and what others sent waited
-   behind them for longer than a link may be silent.  A state that takes three
-   seconds comes once, and no message waits for more than a part of it.  */
+/* Guards against congestion of a slow link by repeated requests for a state
+   that is still in transit.  */
 START_TEST (slow_host_gets_a_large_state_once)
 {
   struct world *world = make_world (5, 0);
   struct host *host = make_slow (world);
-  int64_t took;
+  int64_t elapsed_ms;
 
   choose (world, 0, 1);
   run (world, 5000);
-  host->given = 0;
+  host->received = 0;
   choose_large (world, 0, 2);
-  took = run_until (world, host, 2, 20000);
+  elapsed_ms = run_until (world, host, 2, 20000);
   run (world, 5000);
-  report ("large state", host, took);
-  ck_assert_uint_eq (host->reader, 2);
-  ck_assert_int_lt (took, 10000);
-  ck_assert_uint_lt (host->given, LARGE_TEXT + LARGE_TEXT / 10);
-  ck_assert_int_lt (host->longest_wait, 1000);
+  report ("large state", host, elapsed_ms);
+  ck_assert_uint_eq (host->adopted_number, 2);
+  ck_assert_int_lt (elapsed_ms, 10000);
+  ck_assert_uint_lt (host->received, LARGE_TEXT + LARGE_TEXT / 10);
+  ck_assert_int_lt (host->longest_wait_ms, 1000);
   destroy_world (world);
 }
 END_TEST
 
-/* The same while small changes follow the large one faster than it comes: the
-   host still ends with the newest, after two copies at most.  */
+/* Guards against more than two transfers of a large state while small changes
+   follow it.  */
 START_TEST (slow_host_keeps_up_with_changes)
 {
   struct world *world = make_world (6, 0);
   struct host *host = make_slow (world);
-  int64_t took;
+  int64_t elapsed_ms;
 
   choose (world, 0, 1);
   run (world, 5000);
-  host->given = 0;
+  host->received = 0;
   for (uint64_t number = 2; number <= 9; number++)
     {
       choose_large (world, 0, number);
       run (world, 500);
     }
-  took = run_until (world, host, 9, 20000);
-  report ("and changes", host, took);
-  ck_assert_uint_eq (host->reader, 9);
-  ck_assert_uint_lt (host->given, 2 * LARGE_TEXT + LARGE_TEXT / 10);
-  ck_assert_int_lt (host->longest_wait, 1000);
+  elapsed_ms = run_until (world, host, 9, 20000);
+  report ("large state with changes", host, elapsed_ms);
+  ck_assert_uint_eq (host->adopted_number, 9);
+  ck_assert_uint_lt (host->received, 2 * LARGE_TEXT + LARGE_TEXT / 10);
+  ck_assert_int_lt (host->longest_wait_ms, 1000);
   destroy_world (world);
 }
 END_TEST
 
-struct answer
+struct record
 {
   struct marjoram_state_ask ask; /* the last */
   int asks;
@@ -527,43 +524,43 @@
 };
 
 static void
-keep_ask (void *context, const char *slot,
-          const struct marjoram_state_ask *ask)
+record_ask (void *context, const char *slot,
+            const struct marjoram_state_ask *ask)
 {
-  struct answer *answer = context;
+  struct record *record = context;
 
   (void)slot;
-  answer->ask = *ask;
-  answer->asks++;
+  record->ask = *ask;
+  record->asks++;
 }
 
 static void
-keep_piece (void *context, const char *slot,
-            const struct marjoram_state_piece *piece)
+record_piece (void *context, const char *slot,
+              const struct marjoram_state_piece *piece)
 {
-  struct answer *answer = context;
+  struct record *record = context;
 
   (void)slot;
-  marjoram_bytes_release (answer->piece);
-  answer->piece = marjoram_wire_pack (&marjoram_state_piece_layout, piece);
+  marjoram_bytes_release (record->piece);
+  record->piece = marjoram_wire_pack (&marjoram_state_piece_layout, piece);
 }
 
 static void
-keep_adopted (void *context, const struct marjoram_state *state)
+record_adopted (void *context, const struct marjoram_state *state)
 {
-  struct answer *answer = context;
+  struct record *record = context;
 
-  answer->adopted = state->number;
+  record->adopted = state->number;
 }
 
-static const struct marjoram_spread_ops kept
-    = { keep_ask, keep_piece, keep_adopted };
+static const struct marjoram_spread_ops recording_ops
+    = { record_ask, record_piece, record_adopted };
 static const struct marjoram_spread_options no_keepers = { NULL, 0 };
 
-/* A whole state in one piece, as another host might send it as NUMBER.  */
+/* Delivers STATE in one piece as if a host sent it with the number NUMBER.  */
 static void
-forge (marjoram_spread *spread, int64_t now, uint64_t number,
-       const struct marjoram_state *state)
+inject_state (marjoram_spread *spread, int64_t now, uint64_t number,
+              const struct marjoram_state *state)
 {
   struct marjoram_packed_state packed = marjoram_packed_state_make (state);
   struct marjoram_state_piece piece = { .number = number };
@@ -576,15 +573,14 @@
   marjoram_packed_state_clear (&packed);
 }
 
-/* What the last answer is, taken with BASE; null if it is no difference from
-   that.  */
+/* Decodes the last piece as a delta against BASE; null if it is none.  */
 static struct marjoram_state *
-read_answer (const struct answer *answer, const struct marjoram_state *base)
+decode_piece (const struct record *record, const struct marjoram_state *base)
 {
   struct marjoram_packed_state packed = marjoram_packed_state_make (base);
   struct marjoram_state_piece *piece = marjoram_wire_unpack (
-      &marjoram_state_piece_layout, marjoram_bytes_data (answer->piece),
-      marjoram_bytes_size (answer->piece), NULL);
+      &marjoram_state_piece_layout, marjoram_bytes_data (record->piece),
+      marjoram_bytes_size (record->piece), NULL);
   marjoram_bytes *bytes = marjoram_decompress (piece->bytes, packed.bytes,
                                                MARJORAM_STATE_MAX, NULL);
   struct marjoram_state *state = NULL;
@@ -597,69 +593,72 @@
   return state;
 }
 
-/* Only what the asker lacks travels, and no results of changes.  */
+/* Guards against sending unchanged files or the results of changes.  */
 START_TEST (gives_what_is_lacking)
 {
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   struct marjoram_state *old = make_large_state (1);
   struct marjoram_state *new = make_large_state (2);
-  struct marjoram_state *given;
-  marjoram_spread *a = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
-  marjoram_spread *b = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
+  struct marjoram_state *received;
+  marjoram_spread *a
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_spread *b
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
   marjoram_spread_local (a, 0, old);
   marjoram_spread_local (a, 0, new);
   marjoram_spread_local (b, 0, old);
   marjoram_spread_heard (b, 0, "a", 2);
-  ck_assert_int_eq (answer.asks, 1);
-  marjoram_spread_receive_ask (a, 0, "b", &answer.ask);
-  ck_assert_uint_lt (marjoram_bytes_size (answer.piece), 1000);
-  given = read_answer (&answer, old);
-  ck_assert_ptr_nonnull (given);
-  ck_assert_uint_eq (given->number, 2);
-  ck_assert_uint_eq (given->files.count, 3);
-  ck_assert_uint_eq (given->changes.count, 0);
+  ck_assert_int_eq (record.asks, 1);
+  marjoram_spread_receive_ask (a, 0, "b", &record.ask);
+  ck_assert_uint_lt (marjoram_bytes_size (record.piece), 1000);
+  received = decode_piece (&record, old);
+  ck_assert_ptr_nonnull (received);
+  ck_assert_uint_eq (received->number, 2);
+  ck_assert_uint_eq (received->files.count, 3);
+  ck_assert_uint_eq (received->changes.count, 0);
   ck_assert_uint_gt (new->changes.count, 0);
 
-  marjoram_bytes_release (answer.piece);
+  marjoram_bytes_release (record.piece);
   marjoram_spread_destroy (a);
   marjoram_spread_destroy (b);
   marjoram_state_destroy (old);
   marjoram_state_destroy (new);
-  marjoram_state_destroy (given);
+  marjoram_state_destroy (received);
 }
 END_TEST
 
-/* A text that does not fit its digest, or that neither side has, is not taken;
-   nor is a lower state under a higher number.  Nothing of a faulty state is
-   taken for held: the host gets the next one whole.  */
+/* Guards against accepting a file with a wrong digest or without text, or a
+   state with a lower number; the request after a rejection is for a full
+   transfer.  */
 START_TEST (checks_what_is_given)
 {
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   struct marjoram_state *old = make_state (1), *new = make_state (2);
   struct marjoram_state *faulty = make_state (2);
   struct marjoram_file *files = faulty->files.items;
-  marjoram_spread *b = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
+  marjoram_spread *b
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
   files[1].text[0] ^= 1;
-  forge (b, 0, 2, faulty);
-  ck_assert_uint_eq (answer.adopted, 0);
+  inject_state (b, 0, 2, faulty);
+  ck_assert_uint_eq (record.adopted, 0);
   marjoram_spread_local (b, 0, old);
-  forge (b, 1000, 2, faulty);
-  ck_assert_uint_eq (answer.adopted, 1);
+  inject_state (b, 1000, 2, faulty);
+  ck_assert_uint_eq (record.adopted, 1);
   free (files[0].text);
   files[0].text = NULL;
   files[1].text[0] ^= 1;
-  forge (b, 10000, 2, faulty);
-  ck_assert_uint_eq (answer.adopted, 1);
-  ck_assert_int_eq (answer.asks, 3);
-  ck_assert_uint_eq (answer.ask.base, 0);
-  forge (b, 20000, 2, new);
-  ck_assert_uint_eq (answer.adopted, 2);
-  forge (b, 30000, 3, old); /* late, and lower */
-  ck_assert_int_eq (answer.asks, 5);
+  inject_state (b, 10000, 2, faulty);
+  ck_assert_uint_eq (record.adopted, 1);
+  ck_assert_int_eq (record.asks, 3);
+  ck_assert_uint_eq (record.ask.base, 0);
+  inject_state (b, 20000, 2, new);
+  ck_assert_uint_eq (record.adopted, 2);
+  inject_state (b, 30000, 3, old); /* a lower number than claimed */
+  ck_assert_int_eq (record.asks, 5);
   ck_assert_uint_eq (marjoram_spread_state (b)->number, 2);
-  ck_assert_uint_eq (answer.adopted, 2);
+  ck_assert_uint_eq (record.adopted, 2);
 
   marjoram_spread_destroy (b);
   marjoram_state_destroy (old);
@@ -668,40 +667,41 @@
 }
 END_TEST
 
-/* A difference from a state that the host does not hold, or holds no more, is
-   not taken; what it asks for next is from the one that it holds.  */
+/* Guards against applying a delta to another state than its base.  */
 START_TEST (takes_no_difference_from_another_state)
 {
-  struct answer of_a = { 0 }, of_b = { 0 };
+  struct record record_a = { 0 }, record_b = { 0 };
   struct marjoram_state *first = make_state (1), *second = make_state (2);
   struct marjoram_state *third = make_state (3);
   struct marjoram_state_piece *piece;
-  marjoram_spread *a = marjoram_spread_create (&no_keepers, &kept, &of_a, 0);
-  marjoram_spread *b = marjoram_spread_create (&no_keepers, &kept, &of_b, 0);
+  marjoram_spread *a
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record_a, 0);
+  marjoram_spread *b
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record_b, 0);
 
   marjoram_spread_local (a, 0, first);
   marjoram_spread_local (a, 0, third);
   marjoram_spread_local (b, 0, first);
   marjoram_spread_heard (b, 0, "a", 3);
-  ck_assert_uint_eq (of_b.ask.base, 1);
-  marjoram_spread_receive_ask (a, 0, "b", &of_b.ask);
+  ck_assert_uint_eq (record_b.ask.base, 1);
+  marjoram_spread_receive_ask (a, 0, "b", &record_b.ask);
   marjoram_spread_local (b, 0, second);
-  ck_assert_uint_eq (of_b.ask.base, 2);
+  ck_assert_uint_eq (record_b.ask.base, 2);
   piece = marjoram_wire_unpack (&marjoram_state_piece_layout,
-                                marjoram_bytes_data (of_a.piece),
-                                marjoram_bytes_size (of_a.piece), NULL);
+                                marjoram_bytes_data (record_a.piece),
+                                marjoram_bytes_size (record_a.piece), NULL);
   marjoram_spread_receive_piece (b, 0, "a", piece);
-  ck_assert_uint_eq (of_b.adopted, 2);
+  ck_assert_uint_eq (record_b.adopted, 2);
   marjoram_wire_destroy (&marjoram_state_piece_layout, piece);
-  marjoram_spread_receive_ask (a, 0, "b", &of_b.ask);
+  marjoram_spread_receive_ask (a, 0, "b", &record_b.ask);
   piece = marjoram_wire_unpack (&marjoram_state_piece_layout,
-                                marjoram_bytes_data (of_a.piece),
-                                marjoram_bytes_size (of_a.piece), NULL);
+                                marjoram_bytes_data (record_a.piece),
+                                marjoram_bytes_size (record_a.piece), NULL);
   marjoram_spread_receive_piece (b, 0, "a", piece);
-  ck_assert_uint_eq (of_b.adopted, 3);
+  ck_assert_uint_eq (record_b.adopted, 3);
 
   marjoram_wire_destroy (&marjoram_state_piece_layout, piece);
-  marjoram_bytes_release (of_a.piece);
+  marjoram_bytes_release (record_a.piece);
   marjoram_spread_destroy (a);
   marjoram_spread_destroy (b);
   marjoram_state_destroy (first);
@@ -710,35 +710,35 @@
 }
 END_TEST
 
-/* The host that is asked is gone: another that told of the state is asked at
-   once; and while the only one's link is gone, nobody.  */
+/* Guards against a wait for the timeout after a disconnection, and against
+   requests to disconnected peers.  */
 START_TEST (another_is_asked_at_once_if_the_link_breaks)
 {
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
   marjoram_spread_heard (spread, 0, "a", 2);
   marjoram_spread_heard (spread, 0, "b", 2);
-  ck_assert_int_eq (answer.asks, 1);
+  ck_assert_int_eq (record.asks, 1);
   marjoram_spread_lost (spread, 10, "a");
-  ck_assert_int_eq (answer.asks, 2);
+  ck_assert_int_eq (record.asks, 2);
   marjoram_spread_lost (spread, 20, "b");
   marjoram_spread_tick (spread, 5000);
-  ck_assert_int_eq (answer.asks, 2);
+  ck_assert_int_eq (record.asks, 2);
   marjoram_spread_heard (spread, 6000, "a", 2);
-  ck_assert_int_eq (answer.asks, 3);
+  ck_assert_int_eq (record.asks, 3);
   marjoram_spread_destroy (spread);
 }
 END_TEST
 
-/* No piece comes although the link lives, as a full one may be far behind:
-   asking again by a fixed clock would fill it for good.  */
+/* Guards against permanent congestion by requests repeated at a fixed
+   interval.  */
 START_TEST (asks_again_after_doubled_waits)
 {
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
   marjoram_spread_heard (spread, 0, "a", 2);
   for (int64_t now = 0; now < 20000; now += 50)
@@ -747,45 +747,43 @@
         marjoram_spread_heard (spread, now, "a", 2);
       marjoram_spread_tick (spread, now);
     }
-  /* After 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s, or with the next tick.
-   */
-  ck_assert_int_le (answer.asks, 9);
-  ck_assert_int_ge (answer.asks, 8);
+  /* Repeated at 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s.  */
+  ck_assert_int_le (record.asks, 9);
+  ck_assert_int_ge (record.asks, 8);
   marjoram_spread_destroy (spread);
 }
 END_TEST
 
-/* A state that can't be taken, as that of a host at fault, is not fetched
-   again and again: that would fill the link too.  */
+/* Guards against congestion by repeated transfers of a rejected state.  */
 START_TEST (faulty_state_is_asked_for_ever_less_often)
 {
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   struct marjoram_state *faulty = make_state (2);
   struct marjoram_file *files = faulty->files.items;
   marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &kept, &answer, 0);
+      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
   files[1].text[0] ^= 1;
   for (int64_t now = 0; now < 16000; now += 50)
-    forge (spread, now, 2, faulty);
+    inject_state (spread, now, 2, faulty);
   /* At 0, 0.5, 1.5, 3.5, 7.5 and 15.5 s.  */
-  ck_assert_int_eq (answer.asks, 6);
-  ck_assert_uint_eq (answer.adopted, 0);
+  ck_assert_int_eq (record.asks, 6);
+  ck_assert_uint_eq (record.adopted, 0);
   marjoram_spread_destroy (spread);
   marjoram_state_destroy (faulty);
 }
 END_TEST
 
-/* A host starts, is given a state and hears all keepers, and one neighbour
-   tells of a higher number.  Serving at once, it would go back; if nobody can
-   give the higher one, it serves after ten seconds all the same.  */
+/* Guards against serving an older state than an announced one, and against
+   waiting forever if no host can send that.  */
 START_TEST (waits_for_what_it_has_heard_of)
 {
   static const char *const keepers[] = { "h0", "h12", "h24" };
   const struct marjoram_spread_options options = { keepers, 3 };
-  struct answer answer = { 0 };
+  struct record record = { 0 };
   struct marjoram_state *state = make_state (1);
-  marjoram_spread *a = marjoram_spread_create (&options, &kept, &answer, 0);
+  marjoram_spread *a
+      = marjoram_spread_create (&options, &recording_ops, &record, 0);
 
   marjoram_spread_heard (a, 10, "neighbour", 2);
   marjoram_spread_local (a, 20, state);
