--- a/src/store.c
+++ b/src/store.c
@@ -29,9 +29,9 @@
 /* Marks the folder as used, to detect a deleted store file.  */
 static const char marker_name[] = "in-use";
 static const char repair_hint[]
-    = "the data of this keeper is unusable: move the folder away, start the "
-      "keeper with an empty one and admit it with \"marjoramctl "
-      "replace-keeper SLOT SLOT\"";
+    = "this keeper's copy can't be trusted: move the folder away, start the "
+      "keeper empty and admit it with \"marjoramctl replace-keeper SLOT "
+      "SLOT\"";
 
 /* The file format; the checksum is that of the serialized content.  */
 struct envelope
