--- a/src/config.h
+++ b/src/config.h
@@ -1,6 +1,6 @@
-/* The configuration in force: parsed from the operators' files, immutable and
-   reference-counted.  A request keeps the one it was admitted under, and is
-   checked against the newest at each hop.  */
+/* An immutable, reference-counted configuration parsed from the operators'
+   files.  A request holds a reference to the configuration under which it was
+   admitted and is checked against the latest one at each hop.  */
 #ifndef MARJORAM_CONFIG_H
 #define MARJORAM_CONFIG_H
 
@@ -12,7 +12,7 @@
 
 enum
 {
-  MARJORAM_REGIONS_MAX = 64, /* a set of regions is one bit each */
+  MARJORAM_REGIONS_MAX = 64, /* region sets are 64-bit masks */
   MARJORAM_ZONES_MAX = 256,
   MARJORAM_SLOTS_MAX = 2048,
   MARJORAM_WORKS_MAX = 512,
@@ -30,17 +30,17 @@
 {
   char *name;
   int region;     /* index */
-  int first_slot; /* its entry-host slots are consecutive */
+  int first_slot; /* a zone's slots are consecutive */
   int slot_count;
 };
 
-/* A named place for an entry host; the machine in it may be replaced.  */
+/* A stable identity for an entry host; its machine may be replaced.  */
 struct marjoram_slot
 {
   char *name;
   int zone;            /* index */
-  int ordinal;         /* from 0 within the zone */
-  char *peer_address;  /* IP:port of the link between hosts */
+  int ordinal;         /* position within the zone, from 0 */
+  char *peer_address;  /* IP:port for other hosts */
   char *entry_address; /* IP:port for callers */
   bool keeper;
 };
@@ -56,12 +56,12 @@
 {
   char *name;
   enum marjoram_work_kind kind;
-  uint64_t allowed;    /* regions that may run it, a bit each */
-  int64_t deadline_ms; /* where the caller names none */
-  double prefill_rate; /* tokens a second, for estimates */
-  double decode_rate;  /* tokens a second of one stream */
-  int64_t load_ms;     /* time an engine takes to load it */
-  int copies;          /* replicas wanted in each zone */
+  uint64_t allowed;    /* mask of regions that may run it */
+  int64_t deadline_ms; /* default if the caller sets none */
+  double prefill_rate; /* tokens per second, for estimates */
+  double decode_rate;  /* tokens per second per stream */
+  int64_t load_ms;     /* time for an engine to load it */
+  int copies;          /* replicas per zone */
 };
 
 enum marjoram_class_kind
@@ -70,28 +70,28 @@
   MARJORAM_CLASS_ENGINE
 };
 
-/* What the operators say of the upstreams that run certain works.  */
+/* Properties of the upstreams that run a set of works.  */
 struct marjoram_upstream_class
 {
   char *name;
   int kind;    /* enum marjoram_class_kind */
-  bool fences; /* its engines may be trusted to refuse old fences */
+  bool fences; /* its engines reject stale fencing numbers */
 };
 
 struct marjoram_caller
 {
   char *name;
-  char *token;      /* secret that the caller sends */
+  char *token;      /* secret sent by the caller */
   int home;         /* region index */
-  uint64_t allowed; /* regions that may run its requests, a bit each */
-  double rate;      /* requests a second over the whole system */
+  uint64_t allowed; /* mask of regions that may run its requests */
+  double rate;      /* requests per second across the whole system */
   double burst;
-  double weight; /* fair share against other callers */
+  double weight; /* for fair sharing between callers */
 };
 
-/* Parses and checks the files of STATE as one configuration.  On failure
-   returns null, ERR names the first fault, and FAULTS, unless it is null,
-   becomes malloc'd text with a line for each: file, line, fault, remedy.  */
+/* Parses and validates the files of STATE as one configuration.  On failure,
+   returns null, sets ERR to the first error and, unless FAULTS is null, sets
+   it to malloc'd text with one line per error: file, line, error, remedy.  */
 marjoram_config *marjoram_config_create (const struct marjoram_state *state,
                                          char **faults,
                                          struct marjoram_error *err);
@@ -99,7 +99,7 @@
 void marjoram_config_release (marjoram_config *config);
 
 uint64_t marjoram_config_number (const marjoram_config *config);
-/* The cluster's id: hosts of another one are refused.  */
+/* Hosts with a different cluster id are refused.  */
 const char *marjoram_config_cluster (const marjoram_config *config);
 
 int marjoram_config_region_count (const marjoram_config *config);
@@ -120,12 +120,12 @@
 /* The class of the upstreams that run WORK, or null.  */
 const struct marjoram_upstream_class *
 marjoram_config_work_class (const marjoram_config *config, int work);
-/* Whether engines that run WORK may be trusted to refuse orders with an old
-   fencing number; they must announce it too.  */
+/* Whether engines that run WORK can be trusted to reject orders with a stale
+   fencing number.  The engine must also announce support.  */
 bool marjoram_config_fences (const marjoram_config *config, int work);
 
-/* Indexes by name (or token), -1 where there is none.  Hashed: they are on
-   every request's path.  */
+/* Hash lookups by name or token.  Return the index, or -1 if there is no
+   match.  */
 int marjoram_config_find_region (const marjoram_config *config,
                                  const char *name);
 int marjoram_config_find_zone (const marjoram_config *config,
@@ -139,10 +139,10 @@
 int marjoram_config_find_caller_name (const marjoram_config *config,
                                       const char *name);
 
-/* The regions, a bit each, where CALLER's request for WORK may run.  */
+/* The mask of regions where CALLER's request for WORK may run.  */
 uint64_t marjoram_config_allowed (const marjoram_config *config, int caller,
                                   int work);
-/* Bytes held, for the page on capacity.  */
+/* Approximate memory use in bytes.  */
 size_t marjoram_config_memory (const marjoram_config *config);
 
 #endif
