--- a/src/config.c
+++ b/src/config.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <uthash.h>
 
-/* An entry of a lookup table; the items own the key.  */
+/* Lookup table entry; the key is owned by the item.  */
 struct name_entry
 {
   int index;
@@ -48,10 +48,10 @@
   struct name_table tokens;
 };
 
-/* KEY of the item at INDEX, which is SIZE bytes large and holds it at OFFSET.
- */
+/* The key of the item at INDEX.  Items are SIZE bytes; the key pointer is at
+   OFFSET.  */
 static const char *
-key_at (const void *items, int index, size_t size, size_t offset)
+item_key (const void *items, int index, size_t size, size_t offset)
 {
   return *(char *const *)((const char *)items + (size_t)index * size + offset);
 }
@@ -63,7 +63,7 @@
   table->entries = marjoram_alloc ((size_t)count * sizeof *table->entries);
   for (int i = 0; i < count; i++)
     {
-      const char *key = key_at (items, i, size, offset);
+      const char *key = item_key (items, i, size, offset);
 
       table->entries[i].index = i;
       HASH_ADD_KEYPTR (hh, table->head, key, strlen (key), &table->entries[i]);
@@ -78,7 +78,7 @@
 }
 
 static int
-look_up (const struct name_table *table, const char *key)
+find_in_table (const struct name_table *table, const char *key)
 {
   const struct name_entry *entry;
 
@@ -86,69 +86,69 @@
   return entry ? entry->index : -1;
 }
 
-/* Moves the items of a list out of the draft.  The draft keeps a zeroed item,
-   so that it frees nothing that has moved.  */
-#define TAKE(draft, list, type, place, number)                                \
+/* Moves the items of a list out of the draft.  The draft's items are zeroed so
+   that destroying it doesn't free what has moved.  */
+#define MOVE_ITEMS(draft, list, type, array, length)                          \
   do                                                                          \
     {                                                                         \
-      (number) = (int)marjoram_draft_count (draft, list);                     \
-      (place) = marjoram_alloc ((size_t)(number) * sizeof *(place));          \
-      for (int i = 0; i < (number); i++)                                      \
+      (length) = (int)marjoram_draft_count (draft, list);                     \
+      (array) = marjoram_alloc ((size_t)(length) * sizeof *(array));          \
+      for (int i = 0; i < (length); i++)                                      \
         {                                                                     \
           struct type *item = marjoram_draft_at (draft, list, (size_t)i);     \
                                                                               \
-          (place)[i] = item->it;                                              \
-          (place)[i].name = marjoram_strdup (item->head.name);                \
-          memset (&item->it, 0, sizeof item->it);                             \
+          (array)[i] = item->value;                                           \
+          (array)[i].name = marjoram_strdup (item->head.name);                \
+          memset (&item->value, 0, sizeof item->value);                       \
         }                                                                     \
     }                                                                         \
   while (0)
 
 static void
-take_items (marjoram_config *config, struct marjoram_draft *draft)
-{
-  TAKE (draft, MARJORAM_DRAFT_REGION, marjoram_draft_region, config->regions,
-        config->region_count);
-  TAKE (draft, MARJORAM_DRAFT_ZONE, marjoram_draft_zone, config->zones,
-        config->zone_count);
-  TAKE (draft, MARJORAM_DRAFT_SLOT, marjoram_draft_slot, config->slots,
-        config->slot_count);
-  TAKE (draft, MARJORAM_DRAFT_WORK, marjoram_draft_work, config->works,
-        config->work_count);
-  TAKE (draft, MARJORAM_DRAFT_CLASS, marjoram_draft_class, config->classes,
-        config->class_count);
-  TAKE (draft, MARJORAM_DRAFT_CALLER, marjoram_draft_caller, config->callers,
-        config->caller_count);
+move_items (marjoram_config *config, struct marjoram_draft *draft)
+{
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_REGION, marjoram_draft_region,
+              config->regions, config->region_count);
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_ZONE, marjoram_draft_zone, config->zones,
+              config->zone_count);
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_SLOT, marjoram_draft_slot, config->slots,
+              config->slot_count);
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_WORK, marjoram_draft_work, config->works,
+              config->work_count);
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_CLASS, marjoram_draft_class,
+              config->classes, config->class_count);
+  MOVE_ITEMS (draft, MARJORAM_DRAFT_CALLER, marjoram_draft_caller,
+              config->callers, config->caller_count);
   config->work_classes = draft->work_classes;
   draft->work_classes = NULL;
   config->residency = draft->residency;
   draft->residency = NULL;
 }
 
-#define FILL(table, items, count, type, member)                               \
+#define FILL_TABLE(table, items, count, type, member)                         \
   fill_table (table, items, count, sizeof (struct type),                      \
               offsetof (struct type, member))
 
 static void
 fill_tables (marjoram_config *config)
 {
-  FILL (&config->region_names, config->regions, config->region_count,
-        marjoram_region, name);
-  FILL (&config->zone_names, config->zones, config->zone_count, marjoram_zone,
-        name);
-  FILL (&config->slot_names, config->slots, config->slot_count, marjoram_slot,
-        name);
-  FILL (&config->work_names, config->works, config->work_count, marjoram_work,
-        name);
-  FILL (&config->caller_names, config->callers, config->caller_count,
-        marjoram_caller, name);
-  FILL (&config->tokens, config->callers, config->caller_count,
-        marjoram_caller, token);
-}
-
-/* Sets name only regions that exist.  */
+  FILL_TABLE (&config->region_names, config->regions, config->region_count,
+              marjoram_region, name);
+  FILL_TABLE (&config->zone_names, config->zones, config->zone_count,
+              marjoram_zone, name);
+  FILL_TABLE (&config->slot_names, config->slots, config->slot_count,
+              marjoram_slot, name);
+  FILL_TABLE (&config->work_names, config->works, config->work_count,
+              marjoram_work, name);
+  FILL_TABLE (&config->caller_names, config->callers, config->caller_count,
+              marjoram_caller, name);
+  FILL_TABLE (&config->tokens, config->callers, config->caller_count,
+              marjoram_caller, token);
+}
+
+/* Limits all region masks to the regions that exist.  */
 static void
-set_regions (marjoram_config *config)
+apply_residency (marjoram_config *config)
 {
   uint64_t known = config->region_count < MARJORAM_REGIONS_MAX
                        ? ((uint64_t)1 << config->region_count) - 1
@@ -166,7 +166,7 @@
 }
 
 static marjoram_config *
-build (uint64_t number, struct marjoram_draft *draft)
+create_from_draft (uint64_t number, struct marjoram_draft *draft)
 {
   marjoram_config *config = marjoram_alloc (sizeof *config);
   const struct marjoram_draft_head *cluster
@@ -175,9 +175,9 @@
   atomic_init (&config->references, 1);
   config->number = number;
   config->cluster = marjoram_strdup (cluster ? cluster->name : "");
-  take_items (config, draft);
+  move_items (config, draft);
   fill_tables (config);
-  set_regions (config);
+  apply_residency (config);
   return config;
 }
 
@@ -193,7 +193,7 @@
   marjoram_draft_check (draft, found);
   if (!marjoram_faults_report (found, faults, err))
     return NULL;
-  return build (state->number, draft);
+  return create_from_draft (state->number, draft);
 }
 
 marjoram_config *
@@ -343,38 +343,38 @@
 int
 marjoram_config_find_region (const marjoram_config *config, const char *name)
 {
-  return look_up (&config->region_names, name);
+  return find_in_table (&config->region_names, name);
 }
 
 int
 marjoram_config_find_zone (const marjoram_config *config, const char *name)
 {
-  return look_up (&config->zone_names, name);
+  return find_in_table (&config->zone_names, name);
 }
 
 int
 marjoram_config_find_slot (const marjoram_config *config, const char *name)
 {
-  return look_up (&config->slot_names, name);
+  return find_in_table (&config->slot_names, name);
 }
 
 int
 marjoram_config_find_work (const marjoram_config *config, const char *name)
 {
-  return look_up (&config->work_names, name);
+  return find_in_table (&config->work_names, name);
 }
 
 int
 marjoram_config_find_caller (const marjoram_config *config, const char *token)
 {
-  return look_up (&config->tokens, token);
+  return find_in_table (&config->tokens, token);
 }
 
 int
 marjoram_config_find_caller_name (const marjoram_config *config,
                                   const char *name)
 {
-  return look_up (&config->caller_names, name);
+  return find_in_table (&config->caller_names, name);
 }
 
 uint64_t
--- a/src/config_check.c
+++ b/src/config_check.c
@@ -7,36 +7,40 @@
 
 enum
 {
-  NAME_NONE = -1
+  NOT_FOUND = -1
 };
 
 static void
-fault_unknown (const struct marjoram_draft_head *head, const char *key,
-               const char *what, const char *name, marjoram_faults *faults)
+report_unknown_name (const struct marjoram_draft_head *head, const char *key,
+                     const char *what, const char *name,
+                     marjoram_faults *faults)
 {
   marjoram_faults_add (faults, head->path, head->line,
-                       "%s of \"%s\" names %s \"%s\", which no file has; mend "
-                       "the name or add [%s %s]",
+                       "%s of \"%s\" names %s \"%s\", which is not defined; "
+                       "correct the name or add [%s %s]",
                        key, head->name, what, name, what, name);
 }
 
-/* The index of the item of KIND that KEY of HEAD names.  */
+/* Returns the index of the item of KIND called NAME, which KEY of HEAD refers
+   to; reports it if it is not defined.  */
 static int
-refer (const struct marjoram_draft *draft, enum marjoram_draft_kind kind,
-       const struct marjoram_draft_head *head, const char *key,
-       const char *what, const char *name, marjoram_faults *faults)
+resolve_name (const struct marjoram_draft *draft,
+              enum marjoram_draft_kind kind,
+              const struct marjoram_draft_head *head, const char *key,
+              const char *what, const char *name, marjoram_faults *faults)
 {
-  int index = name ? marjoram_draft_find (draft, kind, name) : NAME_NONE;
+  int index = name ? marjoram_draft_find (draft, kind, name) : NOT_FOUND;
 
-  if (name && index == NAME_NONE)
-    fault_unknown (head, key, what, name, faults);
+  if (name && index == NOT_FOUND)
+    report_unknown_name (head, key, what, name, faults);
   return index;
 }
 
 static uint64_t
-region_set (const struct marjoram_draft *draft,
-            const struct marjoram_names *names,
-            const struct marjoram_draft_head *head, marjoram_faults *faults)
+resolve_regions (const struct marjoram_draft *draft,
+                 const struct marjoram_names *names,
+                 const struct marjoram_draft_head *head,
+                 marjoram_faults *faults)
 {
   uint64_t set = 0;
 
@@ -44,13 +48,14 @@
     return UINT64_MAX;
   for (size_t i = 0; i < names->count; i++)
     {
-      int region = refer (draft, MARJORAM_DRAFT_REGION, head, "regions",
-                          "region", names->items[i], faults);
+      int region = resolve_name (draft, MARJORAM_DRAFT_REGION, head, "regions",
+                                 "region", names->items[i], faults);
 
       if (region >= 0 && region < MARJORAM_REGIONS_MAX)
         set |= (uint64_t)1 << region;
     }
-  /* A fault was told already; a full set spares follow-up faults.  */
+  /* All names were unknown and have been reported; allowing all regions avoids
+     follow-up errors.  */
   return set ? set : UINT64_MAX;
 }
 
@@ -66,10 +71,11 @@
       struct marjoram_draft_zone *zone
           = marjoram_draft_at (draft, MARJORAM_DRAFT_ZONE, i);
 
-      zone->it.region = refer (draft, MARJORAM_DRAFT_REGION, &zone->head,
-                               "region", "region", zone->region, faults);
-      if (zone->it.region >= 0 && zone->it.region < MARJORAM_REGIONS_MAX)
-        used |= (uint64_t)1 << zone->it.region;
+      zone->value.region
+          = resolve_name (draft, MARJORAM_DRAFT_REGION, &zone->head, "region",
+                          "region", zone->region, faults);
+      if (zone->value.region >= 0 && zone->value.region < MARJORAM_REGIONS_MAX)
+        used |= (uint64_t)1 << zone->value.region;
     }
   for (size_t i = 0; i < regions && i < MARJORAM_REGIONS_MAX; i++)
     {
@@ -85,21 +91,22 @@
 }
 
 static void
-place_slot (struct marjoram_draft *draft, size_t index,
-            marjoram_faults *faults)
+assign_slot (struct marjoram_draft *draft, size_t index,
+             marjoram_faults *faults)
 {
   struct marjoram_draft_slot *slot
       = marjoram_draft_at (draft, MARJORAM_DRAFT_SLOT, index);
   struct marjoram_draft_zone *zone;
 
-  slot->it.zone = refer (draft, MARJORAM_DRAFT_ZONE, &slot->head, "zone",
-                         "zone", slot->zone, faults);
-  if (slot->it.zone < 0)
+  slot->value.zone = resolve_name (draft, MARJORAM_DRAFT_ZONE, &slot->head,
+                                   "zone", "zone", slot->zone, faults);
+  if (slot->value.zone < 0)
     return;
-  zone = marjoram_draft_at (draft, MARJORAM_DRAFT_ZONE, (size_t)slot->it.zone);
-  if (zone->it.slot_count == 0)
-    zone->it.first_slot = (int)index;
-  slot->it.ordinal = zone->it.slot_count++;
+  zone = marjoram_draft_at (draft, MARJORAM_DRAFT_ZONE,
+                            (size_t)slot->value.zone);
+  if (zone->value.slot_count == 0)
+    zone->value.first_slot = (int)index;
+  slot->value.ordinal = zone->value.slot_count++;
 }
 
 static void
@@ -114,11 +121,11 @@
       const struct marjoram_draft_slot *slot
           = marjoram_draft_at (draft, MARJORAM_DRAFT_SLOT, i);
 
-      place_slot (draft, i, faults);
-      if (slot->it.keeper && ++keepers == MARJORAM_KEEPERS_MAX + 1)
+      assign_slot (draft, i, faults);
+      if (slot->value.keeper && ++keepers == MARJORAM_KEEPERS_MAX + 1)
         marjoram_faults_add (faults, slot->head.path, slot->head.line,
                              "slot \"%s\" is the eighth keeper; at most %d "
-                             "are allowed, set keeper = no in some",
+                             "are allowed, set keeper = no for some",
                              slot->head.name, MARJORAM_KEEPERS_MAX);
     }
   for (size_t i = 0; i < zones; i++)
@@ -126,16 +133,16 @@
       const struct marjoram_draft_zone *zone
           = marjoram_draft_at (draft, MARJORAM_DRAFT_ZONE, i);
 
-      if (zone->it.slot_count == 0)
+      if (zone->value.slot_count == 0)
         marjoram_faults_add (faults, zone->head.path, zone->head.line,
                              "zone \"%s\" has no slot; add a [slot NAME] with "
                              "zone = %s or remove it",
                              zone->head.name, zone->head.name);
-      if (zone->it.slot_count > MARJORAM_ZONE_SLOTS_MAX)
+      if (zone->value.slot_count > MARJORAM_ZONE_SLOTS_MAX)
         marjoram_faults_add (faults, zone->head.path, zone->head.line,
                              "zone \"%s\" has %d slots; at most %d are "
                              "allowed, split it",
-                             zone->head.name, zone->it.slot_count,
+                             zone->head.name, zone->value.slot_count,
                              MARJORAM_ZONE_SLOTS_MAX);
     }
 }
@@ -153,7 +160,7 @@
       const struct marjoram_draft_slot *slot
           = marjoram_draft_at (draft, MARJORAM_DRAFT_SLOT, i);
       const char *const addresses[]
-          = { slot->it.peer_address, slot->it.entry_address };
+          = { slot->value.peer_address, slot->value.entry_address };
 
       for (size_t k = 0; k < 2; k++)
         if (addresses[k])
@@ -189,37 +196,37 @@
           = marjoram_draft_at (draft, MARJORAM_DRAFT_WORK, i);
       int index = (int)i;
 
-      work->it.allowed
-          = region_set (draft, &work->regions, &work->head, faults);
+      work->value.allowed
+          = resolve_regions (draft, &work->regions, &work->head, faults);
       marjoram_residency_restrict (
           draft->residency, (struct marjoram_selection){ NULL, 0 },
-          (struct marjoram_selection){ &index, 1 }, work->it.allowed);
+          (struct marjoram_selection){ &index, 1 }, work->value.allowed);
     }
 }
 
 static void
-class_work (struct marjoram_draft *draft, size_t class_index, int work_index,
-            marjoram_faults *faults)
+assign_class (struct marjoram_draft *draft, size_t class_index, int work_index,
+              marjoram_faults *faults)
 {
   const struct marjoram_draft_class *class = marjoram_draft_at (
       draft, MARJORAM_DRAFT_CLASS, class_index);
   const struct marjoram_draft_work *work
       = marjoram_draft_at (draft, MARJORAM_DRAFT_WORK, (size_t)work_index);
-  int *place = &draft->work_classes[work_index];
+  int *assigned = &draft->work_classes[work_index];
 
-  if ((class->it.kind == MARJORAM_CLASS_ENGINE)
-      != (work->it.kind == MARJORAM_WORK_MODEL))
+  if ((class->value.kind == MARJORAM_CLASS_ENGINE)
+      != (work->value.kind == MARJORAM_WORK_MODEL))
     marjoram_faults_add (faults, class->head.path, class->head.line,
                          "upstream-class \"%s\" and its work \"%s\" differ in "
                          "kind; engines run models, services run services",
                          class->head.name, work->head.name);
-  else if (*place >= 0)
+  else if (*assigned >= 0)
     marjoram_faults_add (faults, class->head.path, class->head.line,
-                         "work \"%s\" is in another upstream-class already; "
-                         "keep it in one",
+                         "work \"%s\" is already in another upstream-class; "
+                         "list it in only one",
                          work->head.name);
   else
-    *place = (int)class_index;
+    *assigned = (int)class_index;
 }
 
 static void
@@ -230,26 +237,26 @@
 
   draft->work_classes = marjoram_alloc (works * sizeof (int));
   for (size_t i = 0; i < works; i++)
-    draft->work_classes[i] = NAME_NONE;
+    draft->work_classes[i] = NOT_FOUND;
   for (size_t i = 0; i < classes; i++)
     {
       const struct marjoram_draft_class *class = marjoram_draft_at (
           draft, MARJORAM_DRAFT_CLASS, i);
 
-      if (class->it.fences && class->it.kind != MARJORAM_CLASS_ENGINE)
+      if (class->value.fences && class->value.kind != MARJORAM_CLASS_ENGINE)
         marjoram_faults_add (faults, class->head.path, class->head.line,
                              "upstream-class \"%s\" is a service but has "
-                             "fences; only engines take orders, remove it",
+                             "fences; only engines support it, remove it",
                              class->head.name);
       for (size_t k = 0; k < class->works.count; k++)
         {
-          int work = refer (
+          int work = resolve_name (
               draft, MARJORAM_DRAFT_WORK, &class->head, "works",
-              class->it.kind == MARJORAM_CLASS_ENGINE ? "model" : "service",
+              class->value.kind == MARJORAM_CLASS_ENGINE ? "model" : "service",
               class->works.items[k], faults);
 
           if (work >= 0)
-            class_work (draft, i, work, faults);
+            assign_class (draft, i, work, faults);
         }
     }
 }
@@ -266,9 +273,9 @@
       const struct marjoram_draft_caller *caller
           = marjoram_draft_at (draft, MARJORAM_DRAFT_CALLER, i);
 
-      if (caller->it.token)
-        texts[count++]
-            = (struct marjoram_draft_text){ caller->it.token, &caller->head };
+      if (caller->value.token)
+        texts[count++] = (struct marjoram_draft_text){ caller->value.token,
+                                                       &caller->head };
     }
   marjoram_draft_unique (texts, count, "token", false, faults);
   free (texts);
@@ -285,53 +292,55 @@
           = marjoram_draft_at (draft, MARJORAM_DRAFT_CALLER, i);
       int index = (int)i;
 
-      caller->it.home = refer (draft, MARJORAM_DRAFT_REGION, &caller->head,
-                               "home", "region", caller->home, faults);
-      caller->it.allowed
-          = region_set (draft, &caller->regions, &caller->head, faults);
-      if (caller->it.burst == 0)
-        caller->it.burst = caller->it.rate > 1 ? caller->it.rate : 1;
+      caller->value.home
+          = resolve_name (draft, MARJORAM_DRAFT_REGION, &caller->head, "home",
+                          "region", caller->home, faults);
+      caller->value.allowed
+          = resolve_regions (draft, &caller->regions, &caller->head, faults);
+      if (caller->value.burst == 0)
+        caller->value.burst = caller->value.rate > 1 ? caller->value.rate : 1;
       marjoram_residency_restrict (
           draft->residency, (struct marjoram_selection){ &index, 1 },
-          (struct marjoram_selection){ NULL, 0 }, caller->it.allowed);
+          (struct marjoram_selection){ NULL, 0 }, caller->value.allowed);
     }
   check_tokens (draft, faults);
 }
 
-/* Indexes that a rule's list names; items are null for all.  */
-struct chosen
+/* Indexes of the items that a rule applies to; null items stand for all.  */
+struct index_list
 {
   int *items;
   size_t count;
 };
 
-static struct chosen
-choose (const struct marjoram_draft *draft, enum marjoram_draft_kind kind,
-        const struct marjoram_draft_head *head,
-        const struct marjoram_names *names, const char *key, const char *what,
-        marjoram_faults *faults)
+static struct index_list
+resolve_list (const struct marjoram_draft *draft,
+              enum marjoram_draft_kind kind,
+              const struct marjoram_draft_head *head,
+              const struct marjoram_names *names, const char *key,
+              const char *what, marjoram_faults *faults)
 {
-  struct chosen chosen = { NULL, 0 };
+  struct index_list list = { NULL, 0 };
 
   if (names->count == 0 || marjoram_names_all (names))
-    return chosen;
-  chosen.items = marjoram_alloc (names->count * sizeof *chosen.items);
+    return list;
+  list.items = marjoram_alloc (names->count * sizeof *list.items);
   for (size_t i = 0; i < names->count; i++)
     {
-      int index
-          = refer (draft, kind, head, key, what, names->items[i], faults);
+      int index = resolve_name (draft, kind, head, key, what, names->items[i],
+                                faults);
 
       if (index >= 0)
-        chosen.items[chosen.count++] = index;
+        list.items[list.count++] = index;
     }
-  return chosen;
+  return list;
 }
 
-/* For how many of the rule's works CALLER has a region; 0 or 1 if the rule is
-   about all works.  */
+/* The number of the rule's works for which CALLER has an allowed region; 0 or
+   1 if the rule applies to all works.  */
 static size_t
-served (const struct marjoram_draft *draft, int caller,
-        const struct chosen *works)
+count_served_works (const struct marjoram_draft *draft, int caller,
+                    const struct index_list *works)
 {
   size_t count = 0;
 
@@ -347,7 +356,7 @@
 static void
 apply_rule (struct marjoram_draft *draft,
             const struct marjoram_draft_rule *rule,
-            const struct chosen *callers, const struct chosen *works,
+            const struct index_list *callers, const struct index_list *works,
             uint64_t regions, marjoram_faults *faults)
 {
   size_t count = callers->items
@@ -356,8 +365,8 @@
   size_t *before = marjoram_alloc (count * sizeof *before);
 
   for (size_t i = 0; i < count; i++)
-    before[i]
-        = served (draft, callers->items ? callers->items[i] : (int)i, works);
+    before[i] = count_served_works (
+        draft, callers->items ? callers->items[i] : (int)i, works);
   marjoram_residency_restrict (
       draft->residency,
       (struct marjoram_selection){ callers->items, callers->count },
@@ -368,12 +377,12 @@
       const struct marjoram_draft_head *head
           = marjoram_draft_at (draft, MARJORAM_DRAFT_CALLER, (size_t)caller);
 
-      if (served (draft, caller, works) == before[i])
+      if (count_served_works (draft, caller, works) == before[i])
         continue;
       marjoram_faults_add (
           faults, rule->head.path, rule->head.line,
           "residency rule \"%s\" leaves caller \"%s\" no "
-          "region for its work; widen its regions or take the caller out",
+          "region for its work; widen its regions or exclude the caller",
           rule->head.name, head->name);
       break;
     }
@@ -389,14 +398,15 @@
     {
       const struct marjoram_draft_rule *rule
           = marjoram_draft_at (draft, MARJORAM_DRAFT_RULE, i);
-      struct chosen callers
-          = choose (draft, MARJORAM_DRAFT_CALLER, &rule->head, &rule->callers,
-                    "callers", "caller", faults);
-      struct chosen works = choose (draft, MARJORAM_DRAFT_WORK, &rule->head,
-                                    &rule->works, "works", "model", faults);
+      struct index_list callers
+          = resolve_list (draft, MARJORAM_DRAFT_CALLER, &rule->head,
+                          &rule->callers, "callers", "caller", faults);
+      struct index_list works
+          = resolve_list (draft, MARJORAM_DRAFT_WORK, &rule->head,
+                          &rule->works, "works", "model", faults);
 
       apply_rule (draft, rule, &callers, &works,
-                  region_set (draft, &rule->regions, &rule->head, faults),
+                  resolve_regions (draft, &rule->regions, &rule->head, faults),
                   faults);
       free (callers.items);
       free (works.items);
@@ -414,9 +424,9 @@
           = marjoram_draft_at (draft, MARJORAM_DRAFT_CALLER, i);
       uint64_t allowed = marjoram_residency_caller (draft->residency, (int)i);
 
-      if (allowed && caller->it.home >= 0
-          && caller->it.home < MARJORAM_REGIONS_MAX
-          && !(allowed >> caller->it.home & 1))
+      if (allowed && caller->value.home >= 0
+          && caller->value.home < MARJORAM_REGIONS_MAX
+          && !(allowed >> caller->value.home & 1))
         marjoram_faults_add (faults, caller->head.path, caller->head.line,
                              "home \"%s\" of caller \"%s\" is not among its "
                              "allowed regions; change home or the regions",
--- a/src/config_draft.c
+++ b/src/config_draft.c
@@ -7,8 +7,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define COUNT(array) (sizeof (array) / sizeof *(array))
-#define KEY(type, member) offsetof (struct marjoram_draft_##type, member)
+#define ARRAY_SIZE(array) (sizeof (array) / sizeof *(array))
+#define FIELD(type, member) offsetof (struct marjoram_draft_##type, member)
 
 #define TOKEN_MIN 16
 #define TOKEN_MAX 128
@@ -17,94 +17,101 @@
 #define COPIES_MAX 4096
 
 static const struct marjoram_ini_key zone_keys[] = {
-  { "region", MARJORAM_INI_LABEL, KEY (zone, region), NULL, 0, 0, NULL },
+  { "region", MARJORAM_INI_LABEL, FIELD (zone, region), NULL, 0, 0, NULL },
 };
 
 static const struct marjoram_ini_key slot_keys[] = {
-  { "zone", MARJORAM_INI_LABEL, KEY (slot, zone), NULL, 0, 0, NULL },
-  { "peer", MARJORAM_INI_ADDRESS, KEY (slot, it.peer_address), NULL, 0, 0,
+  { "zone", MARJORAM_INI_LABEL, FIELD (slot, zone), NULL, 0, 0, NULL },
+  { "peer", MARJORAM_INI_ADDRESS, FIELD (slot, value.peer_address), NULL, 0, 0,
     NULL },
-  { "entry", MARJORAM_INI_ADDRESS, KEY (slot, it.entry_address), NULL, 0, 0,
+  { "entry", MARJORAM_INI_ADDRESS, FIELD (slot, value.entry_address), NULL, 0,
+    0, NULL },
+  { "keeper", MARJORAM_INI_BOOL, FIELD (slot, value.keeper), "no", 0, 0,
     NULL },
-  { "keeper", MARJORAM_INI_BOOL, KEY (slot, it.keeper), "no", 0, 0, NULL },
 };
 
 static const struct marjoram_ini_key model_keys[] = {
-  { "regions", MARJORAM_INI_NAMES, KEY (work, regions), "all", 0, 0, NULL },
-  { "deadline_ms", MARJORAM_INI_WHOLE, KEY (work, it.deadline_ms), "30000", 1,
-    DAY_MS, NULL },
-  { "prefill_rate", MARJORAM_INI_REAL, KEY (work, it.prefill_rate), "2000",
+  { "regions", MARJORAM_INI_NAMES, FIELD (work, regions), "all", 0, 0, NULL },
+  { "deadline_ms", MARJORAM_INI_WHOLE, FIELD (work, value.deadline_ms),
+    "30000", 1, DAY_MS, NULL },
+  { "prefill_rate", MARJORAM_INI_REAL, FIELD (work, value.prefill_rate),
+    "2000", 0.01, RATE_MAX, NULL },
+  { "decode_rate", MARJORAM_INI_REAL, FIELD (work, value.decode_rate), "30",
     0.01, RATE_MAX, NULL },
-  { "decode_rate", MARJORAM_INI_REAL, KEY (work, it.decode_rate), "30", 0.01,
-    RATE_MAX, NULL },
-  { "load_ms", MARJORAM_INI_WHOLE, KEY (work, it.load_ms), "60000", 0, DAY_MS,
-    NULL },
-  { "copies", MARJORAM_INI_COUNT, KEY (work, it.copies), "1", 0, COPIES_MAX,
-    NULL },
+  { "load_ms", MARJORAM_INI_WHOLE, FIELD (work, value.load_ms), "60000", 0,
+    DAY_MS, NULL },
+  { "copies", MARJORAM_INI_COUNT, FIELD (work, value.copies), "1", 0,
+    COPIES_MAX, NULL },
 };
 
 static const struct marjoram_ini_key service_keys[] = {
-  { "regions", MARJORAM_INI_NAMES, KEY (work, regions), "all", 0, 0, NULL },
-  { "deadline_ms", MARJORAM_INI_WHOLE, KEY (work, it.deadline_ms), "5000", 1,
-    DAY_MS, NULL },
-  { "copies", MARJORAM_INI_COUNT, KEY (work, it.copies), "1", 0, COPIES_MAX,
-    NULL },
+  { "regions", MARJORAM_INI_NAMES, FIELD (work, regions), "all", 0, 0, NULL },
+  { "deadline_ms", MARJORAM_INI_WHOLE, FIELD (work, value.deadline_ms), "5000",
+    1, DAY_MS, NULL },
+  { "copies", MARJORAM_INI_COUNT, FIELD (work, value.copies), "1", 0,
+    COPIES_MAX, NULL },
 };
 
 static const char *const class_words[] = { "service", "engine", NULL };
 
 static const struct marjoram_ini_key class_keys[] = {
-  { "kind", MARJORAM_INI_WORD, KEY (class, it.kind), NULL, 0, 0, class_words },
-  { "works", MARJORAM_INI_NAMES, KEY (class, works), NULL, 0, 0, NULL },
-  { "fences", MARJORAM_INI_BOOL, KEY (class, it.fences), "no", 0, 0, NULL },
+  { "kind", MARJORAM_INI_WORD, FIELD (class, value.kind), NULL, 0, 0,
+    class_words },
+  { "works", MARJORAM_INI_NAMES, FIELD (class, works), NULL, 0, 0, NULL },
+  { "fences", MARJORAM_INI_BOOL, FIELD (class, value.fences), "no", 0, 0,
+    NULL },
 };
 
 static const struct marjoram_ini_key caller_keys[] = {
-  { "token", MARJORAM_INI_TEXT, KEY (caller, it.token), NULL, TOKEN_MIN,
+  { "token", MARJORAM_INI_TEXT, FIELD (caller, value.token), NULL, TOKEN_MIN,
     TOKEN_MAX, NULL },
-  { "home", MARJORAM_INI_LABEL, KEY (caller, home), NULL, 0, 0, NULL },
-  { "regions", MARJORAM_INI_NAMES, KEY (caller, regions), "all", 0, 0, NULL },
-  { "rate", MARJORAM_INI_REAL, KEY (caller, it.rate), NULL, 0.001, RATE_MAX,
+  { "home", MARJORAM_INI_LABEL, FIELD (caller, home), NULL, 0, 0, NULL },
+  { "regions", MARJORAM_INI_NAMES, FIELD (caller, regions), "all", 0, 0,
     NULL },
-  { "burst", MARJORAM_INI_REAL, KEY (caller, it.burst), "", 1, RATE_MAX,
+  { "rate", MARJORAM_INI_REAL, FIELD (caller, value.rate), NULL, 0.001,
+    RATE_MAX, NULL },
+  { "burst", MARJORAM_INI_REAL, FIELD (caller, value.burst), "", 1, RATE_MAX,
     NULL },
-  { "weight", MARJORAM_INI_REAL, KEY (caller, it.weight), "1", 0.01, 1000,
+  { "weight", MARJORAM_INI_REAL, FIELD (caller, value.weight), "1", 0.01, 1000,
     NULL },
 };
 
 static const struct marjoram_ini_key rule_keys[] = {
-  { "callers", MARJORAM_INI_NAMES, KEY (rule, callers), "all", 0, 0, NULL },
-  { "works", MARJORAM_INI_NAMES, KEY (rule, works), "all", 0, 0, NULL },
-  { "regions", MARJORAM_INI_NAMES, KEY (rule, regions), NULL, 0, 0, NULL },
+  { "callers", MARJORAM_INI_NAMES, FIELD (rule, callers), "all", 0, 0, NULL },
+  { "works", MARJORAM_INI_NAMES, FIELD (rule, works), "all", 0, 0, NULL },
+  { "regions", MARJORAM_INI_NAMES, FIELD (rule, regions), NULL, 0, 0, NULL },
 };
 
-/* Names of regions, zones and slots have no dots, since request keys join them
-   with dots to other parts.  */
+/* Names of regions, zones and slots can't contain dots, which separate the
+   parts of request keys.  */
 static const struct section_kind
 {
-  const char *word;
+  const char *name;
   enum marjoram_draft_kind list;
   bool dots;
   const struct marjoram_ini_key *keys;
   size_t key_count;
-} kinds[] = {
+} section_kinds[] = {
   { "cluster", MARJORAM_DRAFT_CLUSTER, true, NULL, 0 },
   { "region", MARJORAM_DRAFT_REGION, false, NULL, 0 },
-  { "zone", MARJORAM_DRAFT_ZONE, false, zone_keys, COUNT (zone_keys) },
-  { "slot", MARJORAM_DRAFT_SLOT, false, slot_keys, COUNT (slot_keys) },
-  { "model", MARJORAM_DRAFT_WORK, true, model_keys, COUNT (model_keys) },
-  { "service", MARJORAM_DRAFT_WORK, true, service_keys, COUNT (service_keys) },
+  { "zone", MARJORAM_DRAFT_ZONE, false, zone_keys, ARRAY_SIZE (zone_keys) },
+  { "slot", MARJORAM_DRAFT_SLOT, false, slot_keys, ARRAY_SIZE (slot_keys) },
+  { "model", MARJORAM_DRAFT_WORK, true, model_keys, ARRAY_SIZE (model_keys) },
+  { "service", MARJORAM_DRAFT_WORK, true, service_keys,
+    ARRAY_SIZE (service_keys) },
   { "upstream-class", MARJORAM_DRAFT_CLASS, true, class_keys,
-    COUNT (class_keys) },
-  { "caller", MARJORAM_DRAFT_CALLER, true, caller_keys, COUNT (caller_keys) },
-  { "residency", MARJORAM_DRAFT_RULE, true, rule_keys, COUNT (rule_keys) },
+    ARRAY_SIZE (class_keys) },
+  { "caller", MARJORAM_DRAFT_CALLER, true, caller_keys,
+    ARRAY_SIZE (caller_keys) },
+  { "residency", MARJORAM_DRAFT_RULE, true, rule_keys,
+    ARRAY_SIZE (rule_keys) },
 };
 
 static const struct list_kind
 {
-  const char *word; /* for faults */
+  const char *name; /* for error messages */
   size_t size;
-  size_t most;
+  size_t max_count;
 } lists[MARJORAM_DRAFT_KINDS] = {
   { "cluster", sizeof (struct marjoram_draft_head), 1 },
   { "region", sizeof (struct marjoram_draft_region), MARJORAM_REGIONS_MAX },
@@ -134,15 +141,15 @@
 }
 
 static const struct section_kind *
-find_kind (const char *word)
+find_section_kind (const char *name)
 {
-  for (size_t i = 0; i < COUNT (kinds); i++)
-    if (strcmp (kinds[i].word, word) == 0)
-      return &kinds[i];
+  for (size_t i = 0; i < ARRAY_SIZE (section_kinds); i++)
+    if (strcmp (section_kinds[i].name, name) == 0)
+      return &section_kinds[i];
   return NULL;
 }
 
-/* Room for one more item, doubled when it is used up.  */
+/* Appends a zeroed item.  Capacity is always a power of two.  */
 static void *
 add_item (struct marjoram_draft *draft, enum marjoram_draft_kind kind)
 {
@@ -166,11 +173,11 @@
             const struct section_kind *kind, marjoram_faults *faults)
 {
   if (!marjoram_name_valid (section->name, kind->dots))
-    marjoram_faults_add (faults, file->path, section->line,
-                         "[%s %s] has no good name; use letters, digits%s _ "
-                         "and -",
-                         section->kind, section->name,
-                         kind->dots ? ", dots," : ",");
+    marjoram_faults_add (
+        faults, file->path, section->line,
+        "[%s %s] has an invalid name; use letters, digits%s _ "
+        "and -",
+        section->kind, section->name, kind->dots ? ", dots," : ",");
 }
 
 static void
@@ -179,7 +186,7 @@
               const struct marjoram_ini_section *section,
               marjoram_faults *faults)
 {
-  const struct section_kind *kind = find_kind (section->kind);
+  const struct section_kind *kind = find_section_kind (section->kind);
   struct marjoram_draft_head *head;
 
   if (!kind)
@@ -197,7 +204,7 @@
   head->path = file->path;
   head->line = section->line;
   if (kind->list == MARJORAM_DRAFT_WORK)
-    ((struct marjoram_draft_work *)head)->it.kind
+    ((struct marjoram_draft_work *)head)->value.kind
         = kind->keys == model_keys ? MARJORAM_WORK_MODEL
                                    : MARJORAM_WORK_SERVICE;
   marjoram_ini_read (file, section, kind->keys, kind->key_count, head, faults);
@@ -215,14 +222,14 @@
   if (name && strcmp (name, source->name) != 0)
     marjoram_faults_add (faults, file->path,
                          marjoram_ini_line (section, "name"),
-                         "the file says it is \"%s\" but was given as \"%s\"; "
-                         "give it under its own name",
+                         "the file is named \"%s\" but was submitted as "
+                         "\"%s\"; submit it under its own name",
                          name, source->name);
   if (version && version != source->version)
     marjoram_faults_add (
         faults, file->path, marjoram_ini_line (section, "version"),
-        "the file says version %" PRIu64 " but was given as %" PRIu64
-        "; give it with its own version",
+        "the file has version %" PRIu64 " but was submitted as %" PRIu64
+        "; submit it with its own version",
         version, source->version);
 }
 
@@ -241,8 +248,7 @@
       read_section (draft, file, &file->sections[i], faults);
     else if (i > 0)
       marjoram_faults_add (faults, file->path, file->sections[i].line,
-                           "a second [file]; begin the file with the only "
-                           "one");
+                           "duplicate section [file]; keep only the first");
 }
 
 static int
@@ -289,8 +295,8 @@
   for (size_t i = 1; i < count; i++)
     if (strcmp (texts[i - 1].text, texts[i].text) == 0)
       marjoram_faults_add (faults, texts[i].head->path, texts[i].head->line,
-                           "the %s %s of %s stands at %s:%d already, for %s; "
-                           "give each its own",
+                           "the %s %s of %s is already used at %s:%d for %s; "
+                           "make each unique",
                            what, shown ? texts[i].text : "(not shown)",
                            texts[i].head->name, texts[i - 1].head->path,
                            texts[i - 1].head->line, texts[i - 1].head->name);
@@ -314,14 +320,15 @@
       texts[i].text = texts[i].head->name;
     }
   marjoram_draft_unique (texts, list->count, "name", true, faults);
-  if (list->count > lists[kind].most)
+  if (list->count > lists[kind].max_count)
     {
       const struct marjoram_draft_head *head
           = marjoram_draft_at (draft, kind, list->count - 1);
 
       marjoram_faults_add (faults, head->path, head->line,
-                           "%zu sections of kind %s; %zu are allowed",
-                           list->count, lists[kind].word, lists[kind].most);
+                           "%zu sections of kind %s; at most %zu are allowed",
+                           list->count, lists[kind].name,
+                           lists[kind].max_count);
     }
   free (texts);
 }
@@ -368,12 +375,14 @@
 static void
 clear_list (struct marjoram_draft *draft, enum marjoram_draft_kind list)
 {
-  /* Of a list's kinds the first has all keys that own memory.  */
-  for (size_t k = 0; k < COUNT (kinds); k++)
-    if (kinds[k].list == list)
+  /* Kinds that share a list share its item type, and the first of them has
+     every key that owns memory.  */
+  for (size_t k = 0; k < ARRAY_SIZE (section_kinds); k++)
+    if (section_kinds[k].list == list)
       {
         for (size_t i = 0; i < draft->lists[list].count; i++)
-          marjoram_ini_clear (kinds[k].keys, kinds[k].key_count,
+          marjoram_ini_clear (section_kinds[k].keys,
+                              section_kinds[k].key_count,
                               marjoram_draft_at (draft, list, i));
         break;
       }
--- a/src/config_file.c
+++ b/src/config_file.c
@@ -8,18 +8,18 @@
 
 #define VERSION_MAX 1e15
 
-/* What stands in the [file] section.  */
-struct file_head
+/* Values of the [file] section.  */
+struct file_section
 {
   char *name;
   int64_t version;
 };
 
 static const struct marjoram_ini_key file_keys[] = {
-  { "name", MARJORAM_INI_NAME, offsetof (struct file_head, name), NULL, 0, 0,
-    NULL },
-  { "version", MARJORAM_INI_WHOLE, offsetof (struct file_head, version), NULL,
-    1, VERSION_MAX, NULL },
+  { "name", MARJORAM_INI_NAME, offsetof (struct file_section, name), NULL, 0,
+    0, NULL },
+  { "version", MARJORAM_INI_WHOLE, offsetof (struct file_section, version),
+    NULL, 1, VERSION_MAX, NULL },
 };
 
 enum
@@ -31,17 +31,17 @@
 marjoram_config_file_head (const struct marjoram_ini_file *ini, char **name,
                            uint64_t *version, marjoram_faults *faults)
 {
-  struct file_head head = { 0 };
+  struct file_section section = { 0 };
 
   if (ini->section_count == 0 || strcmp (ini->sections[0].kind, "file") != 0)
     marjoram_faults_add (faults, ini->path, 0,
-                         "doesn't begin with [file]; begin with a section "
-                         "[file] with name and version");
+                         "the first section is not [file]; start the file "
+                         "with [file] and its name and version");
   else
-    marjoram_ini_read (ini, &ini->sections[0], file_keys, FILE_KEYS, &head,
+    marjoram_ini_read (ini, &ini->sections[0], file_keys, FILE_KEYS, &section,
                        faults);
-  *name = head.name;
-  *version = (uint64_t)head.version;
+  *name = section.name;
+  *version = (uint64_t)section.version;
 }
 
 bool
@@ -57,8 +57,8 @@
 
   if (size > MARJORAM_FILE_TEXT_MAX)
     return marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
-                               "%s has over %d bytes; split it into several "
-                               "files",
+                               "%s is larger than %d bytes; split it into "
+                               "several files",
                                path, MARJORAM_FILE_TEXT_MAX);
   marjoram_config_file_head (ini, &name, &file->version, faults);
   if (!marjoram_faults_report (faults, NULL, err))
@@ -130,7 +130,8 @@
     print_entry (out, sign, &section->entries[i]);
 }
 
-/* Prints what SECTION has and OTHER lacks or has with another value.  */
+/* Prints the entries of SECTION that OTHER lacks or has with another value,
+   after the section header unless HEADED.  Returns whether it is printed.  */
 static bool
 print_missing (FILE *out, char sign,
                const struct marjoram_ini_section *section,
--- a/test/test_config.c
+++ b/test/test_config.c
@@ -1,5 +1,4 @@
-/* The operators' files: what is read from them, which sets are refused and
-   why, and where requests may run.  */
+/* Configuration: parsing, validation and residency rules.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -12,10 +11,10 @@
 enum
 {
   FILES_MAX = 4,
-  SEEDS = 40
+  SEED_COUNT = 40
 };
 
-/* A state of the given texts; their names are a, b, c and their versions 1. */
+/* A state with the given files, named a, b, c, ..., each of version 1.  */
 static struct marjoram_state *
 make_state (const char *const *texts)
 {
@@ -41,7 +40,7 @@
 }
 
 static marjoram_config *
-make (const char *const *texts, char **faults)
+create_config (const char *const *texts, char **faults)
 {
   struct marjoram_state *state = make_state (texts);
   marjoram_config *config = marjoram_config_create (state, faults, NULL);
@@ -74,14 +73,14 @@
         "hotel", "ba") "burst = 9\n" CALLER ("desk", "ke"),
     NULL
   };
-  marjoram_config *config = make (texts, NULL);
+  marjoram_config *config = create_config (texts, NULL);
   const struct marjoram_zone *zone;
   int chat;
 
   ck_assert_ptr_nonnull (config);
   ck_assert_uint_eq (marjoram_config_number (config), 7);
   ck_assert_str_eq (marjoram_config_cluster (config), "t");
-  /* Slots of a zone lie together, by name, wherever they stood.  */
+  /* Slots are grouped by zone and sorted by name.  */
   zone = marjoram_config_zone (config,
                                marjoram_config_find_zone (config, "ba-1"));
   ck_assert_int_eq (zone->slot_count, 3);
@@ -118,8 +117,8 @@
 }
 END_TEST
 
-/* Files come one by one: each set on the way is valid if it names nothing that
-   is missing.  */
+/* Files are applied one at a time, so an incomplete set without unresolved
+   references must be valid.  */
 START_TEST (takes_incomplete_sets)
 {
   static const char *const sets[][FILES_MAX + 1] = {
@@ -132,7 +131,7 @@
   for (size_t i = 0; i < sizeof sets / sizeof *sets; i++)
     {
       marjoram_auto_free char *faults = NULL;
-      marjoram_config *config = make (sets[i], &faults);
+      marjoram_config *config = create_config (sets[i], &faults);
 
       ck_assert_msg (config != NULL, "set %zu: %s", i, faults);
       ck_assert_ptr_null (faults);
@@ -141,31 +140,34 @@
 }
 END_TEST
 
-/* The header of each file has three lines.  */
+/* Line numbers include the three lines of header that make_state adds.  */
 static const struct
 {
   const char *texts[FILES_MAX];
   const char *faults[4];
 } bad_sets[] = {
   { { SITES "[colour red]\n" }, { "a:28: unknown section [colour]; remove" } },
-  { { SITES "[file]\nname = a\n" }, { "a:28: a second [file]" } },
+  { { SITES "[file]\nname = a\n" }, { "a:28: duplicate section [file]" } },
   { { SITES "[region b.c]\n" },
-    { "a:28: [region b.c] has no good name", "region \"b.c\" has no avail" } },
+    { "a:28: [region b.c] has an invalid name",
+      "region \"b.c\" has no avail" } },
   { { REGIONS "[region ba]\n" ZONES },
-    { "a:6: the name ba of ba stands at a:4 already",
+    { "a:6: the name ba of ba is already used at a:4",
       "zone \"ba-1\" has no slot", "zone \"ke-1\" has no slot",
       "region \"ba\" has no availability zone" } },
-  { { SITES, "[cluster u]\n" }, { "b:4: 2 sections of kind cluster; 1 are" } },
+  { { SITES, "[cluster u]\n" },
+    { "b:4: 2 sections of kind cluster; at most 1 are" } },
   { { REGIONS ZONES SLOT ("s", "ba-1", "1.1.1.1")
           SLOT ("t", "ke-1", "1.1.1.2") },
     { "a: there are slots but no cluster" } },
   { { SITES SLOT ("x", "za-1", "1.1.1.1") },
-    { "a:28: zone of \"x\" names zone \"za-1\", which no file has; mend" } },
+    { "a:28: zone of \"x\" names zone \"za-1\", which is not defined; "
+      "correct" } },
   { { SITES SLOT ("x", "ke-1", "127.4.0.2") },
-    { "the address 127.4.0.2:7000 of x stands at a:23",
+    { "the address 127.4.0.2:7000 of x is already used at a:23",
       "the address 127.4.0.2:8080 of x" } },
   { { SITES SLOT ("ba-1-a", "ke-1", "127.4.0.9") },
-    { "the name ba-1-a of ba-1-a stands at a:19 already" } },
+    { "the name ba-1-a of ba-1-a is already used at a:19" } },
   { { SITES "[slot x]\nzone = ba-1\npeer = here:1\n" },
     { "a:28: [slot x] needs entry", "a:30: peer can't be \"here:1\"" } },
   { { SITES, "[model chat]\nregions = ba, za\ncopies = -1\nspeed = 1\n" },
@@ -173,7 +175,7 @@
       "b:4: regions of \"chat\" names region \"za\"" } },
   { { SITES, "[service chat]\nload_ms = 1\n[model chat]\n" },
     { "b:5: [service] has no key \"load_ms\"",
-      "b:6: the name chat of chat stands at b:4" } },
+      "b:6: the name chat of chat is already used at b:4" } },
   { { "[model m]\n[service s]\n[upstream-class c]\nkind = engine\nworks = m, s"
       ", t\n[upstream-class d]\nkind = service\nworks = m\nfences = yes\n" },
     { "a:6: upstream-class \"c\" and its work \"s\" differ in kind",
@@ -182,10 +184,10 @@
       "a:9: upstream-class \"d\" and its work \"m\" differ" } },
   { { "[model m]\n[upstream-class c]\nkind = engine\nworks = m\n"
       "[upstream-class d]\nkind = engine\nworks = m\n" },
-    { "a:8: work \"m\" is in another upstream-class" } },
+    { "a:8: work \"m\" is already in another upstream-class" } },
   { { SITES, CALLER ("x", "ba") "[caller y]\ntoken = x-0123456789abcdef\n"
                                 "home = ke\nrate = 1\n" },
-    { "b:8: the token (not shown) of y stands at b:4 already, for x" } },
+    { "b:8: the token (not shown) of y is already used at b:4 for x" } },
   { { SITES, "[caller y]\ntoken = short\nhome = za\nrate = 0\n" },
     { "b:5: token can't be", "b:7: rate can't be",
       "b:4: home of \"y\" names region \"za\"" } },
@@ -209,16 +211,18 @@
 {
   marjoram_auto_free char *faults = NULL;
   const char *const *texts = bad_sets[_i].texts;
-  size_t wanted = 0;
+  size_t expected = 0;
   size_t lines = 0;
 
-  ck_assert_ptr_null (make (texts, &faults));
-  for (; wanted < 4 && bad_sets[_i].faults[wanted]; wanted++)
-    ck_assert_msg (strstr (faults, bad_sets[_i].faults[wanted]) != NULL,
-                   "wanted %s, got %s", bad_sets[_i].faults[wanted], faults);
+  ck_assert_ptr_null (create_config (texts, &faults));
+  for (; expected < 4 && bad_sets[_i].faults[expected]; expected++)
+    ck_assert_msg (strstr (faults, bad_sets[_i].faults[expected]) != NULL,
+                   "expected %s, got %s", bad_sets[_i].faults[expected],
+                   faults);
   for (const char *at = faults; (at = strchr (at, '\n')); at++)
     lines++;
-  ck_assert_msg (lines == wanted, "wanted %zu faults, got %s", wanted, faults);
+  ck_assert_msg (lines == expected, "expected %zu errors, got %s", expected,
+                 faults);
 }
 END_TEST
 
@@ -232,19 +236,19 @@
   file->version = 2;
   file->name[0] = 'z';
   ck_assert_ptr_null (marjoram_config_create (state, &faults, NULL));
-  ck_assert_ptr_nonnull (strstr (faults, "z:2: the file says it is \"a\""));
-  ck_assert_ptr_nonnull (strstr (faults, "z:3: the file says version 1"));
+  ck_assert_ptr_nonnull (strstr (faults, "z:2: the file is named \"a\""));
+  ck_assert_ptr_nonnull (strstr (faults, "z:3: the file has version 1"));
   free (faults);
   free (file->text);
   file->text = marjoram_strdup ("[cluster t]\n");
   ck_assert_ptr_null (marjoram_config_create (state, &faults, NULL));
-  ck_assert_ptr_nonnull (strstr (faults, "z: doesn't begin with [file]"));
+  ck_assert_ptr_nonnull (
+      strstr (faults, "z: the first section is not [file]"));
   marjoram_state_destroy (state);
 }
 END_TEST
 
-/* Too many keepers and too many slots in one zone: the address of one keeper
-   too many would put the agreement beyond what it was proved for.  */
+/* Guards the limits on keepers and on slots per zone.  */
 START_TEST (refuses_sites_over_the_limits)
 {
   marjoram_auto_free char *faults = NULL;
@@ -259,7 +263,7 @@
                              "[slot s%02d]\nzone = z\npeer = 1.1.1.%d:1\n"
                              "entry = 1.1.1.%d:2\nkeeper = %s\n",
                              i, i, i, i < 8 ? "yes" : "no");
-  ck_assert_ptr_null (make (texts, &faults));
+  ck_assert_ptr_null (create_config (texts, &faults));
   ck_assert_ptr_nonnull (strstr (faults, "slot \"s07\" is the eighth keeper"));
   ck_assert_ptr_nonnull (strstr (faults, "zone \"z\" has 65 slots; at most"));
 }
@@ -267,20 +271,21 @@
 
 enum
 {
-  WORLD_REGIONS = 4,
-  WORLD_CALLERS = 6,
-  WORLD_WORKS = 3,
-  WORLD_RULES = 4
+  REGION_COUNT = 4,
+  CALLER_COUNT = 6,
+  WORK_COUNT = 3,
+  RULE_COUNT = 4
 };
 
-/* Regions of a random list, as text and as a set; r0 is always in it.  */
+/* Appends a random region list that includes r0 to TEXT and returns its mask.
+ */
 static unsigned
 random_regions (marjoram_random *random, char *text)
 {
   unsigned set = 1;
 
   sprintf (text + strlen (text), "regions = r0");
-  for (unsigned i = 1; i < WORLD_REGIONS; i++)
+  for (unsigned i = 1; i < REGION_COUNT; i++)
     if (marjoram_random_below (random, 2))
       {
         set |= 1U << i;
@@ -290,6 +295,8 @@
   return set;
 }
 
+/* Appends a random list of COUNT possible names to TEXT, or nothing for all,
+   and returns its mask.  */
 static unsigned
 random_names (marjoram_random *random, char *text, const char *key,
               char letter, unsigned count)
@@ -309,26 +316,25 @@
   return set;
 }
 
-/* A request leaves the regions that its rules allow if any of several rules is
-   forgotten.  Every pair of caller and work is compared with the intersection
-   of all that applies to it, taken the slow way.  */
+/* Guards against ignoring one of several matching rules: the allowed regions
+   of every caller and work must be the intersection of all that apply.  */
 START_TEST (allows_what_all_rules_allow)
 {
   marjoram_random *random = marjoram_random_create ((uint64_t)_i);
   char text[8192] = "[cluster t]\n";
   const char *texts[2] = { text, NULL };
-  unsigned caller_sets[WORLD_CALLERS];
-  unsigned work_sets[WORLD_WORKS];
-  unsigned rules[WORLD_RULES][3];
+  unsigned caller_sets[CALLER_COUNT];
+  unsigned work_sets[WORK_COUNT];
+  unsigned rules[RULE_COUNT][3];
   marjoram_auto_free char *faults = NULL;
   marjoram_config *config;
 
-  for (int i = 0; i < WORLD_REGIONS; i++)
+  for (int i = 0; i < REGION_COUNT; i++)
     sprintf (text + strlen (text),
              "[region r%d]\n[zone z%d]\nregion = r%d\n[slot s%d]\nzone = z%d\n"
              "peer = 1.1.1.1:%d\nentry = 1.1.1.2:%d\n",
              i, i, i, i, i, i + 1, i + 1);
-  for (int i = 0; i < WORLD_CALLERS; i++)
+  for (int i = 0; i < CALLER_COUNT; i++)
     {
       sprintf (text + strlen (text),
                "[caller c%d]\ntoken = 0123456789abcdef%d\nhome = r0\nrate = "
@@ -336,29 +342,29 @@
                i, i);
       caller_sets[i] = random_regions (random, text);
     }
-  for (int i = 0; i < WORLD_WORKS; i++)
+  for (int i = 0; i < WORK_COUNT; i++)
     {
       sprintf (text + strlen (text), "[model w%d]\n", i);
       work_sets[i] = random_regions (random, text);
     }
-  for (int i = 0; i < WORLD_RULES; i++)
+  for (int i = 0; i < RULE_COUNT; i++)
     {
       sprintf (text + strlen (text), "[residency q%d]\n", i);
-      rules[i][0] = random_names (random, text, "callers", 'c', WORLD_CALLERS);
-      rules[i][1] = random_names (random, text, "works", 'w', WORLD_WORKS);
+      rules[i][0] = random_names (random, text, "callers", 'c', CALLER_COUNT);
+      rules[i][1] = random_names (random, text, "works", 'w', WORK_COUNT);
       rules[i][2] = random_regions (random, text);
     }
-  config = make (texts, &faults);
+  config = create_config (texts, &faults);
   ck_assert_msg (config != NULL, "%s", faults);
-  for (int c = 0; c < WORLD_CALLERS; c++)
-    for (int w = 0; w < WORLD_WORKS; w++)
+  for (int c = 0; c < CALLER_COUNT; c++)
+    for (int w = 0; w < WORK_COUNT; w++)
       {
-        unsigned wanted = caller_sets[c] & work_sets[w];
+        unsigned expected = caller_sets[c] & work_sets[w];
 
-        for (int i = 0; i < WORLD_RULES; i++)
+        for (int i = 0; i < RULE_COUNT; i++)
           if (rules[i][0] >> c & rules[i][1] >> w & 1)
-            wanted &= rules[i][2];
-        ck_assert_uint_eq (marjoram_config_allowed (config, c, w), wanted);
+            expected &= rules[i][2];
+        ck_assert_uint_eq (marjoram_config_allowed (config, c, w), expected);
       }
   marjoram_config_release (config);
   marjoram_random_destroy (random);
@@ -377,7 +383,7 @@
                        sizeof bad_sets / sizeof *bad_sets);
   tcase_add_test (c, checks_name_and_version_of_a_file);
   tcase_add_test (c, refuses_sites_over_the_limits);
-  tcase_add_loop_test (c, allows_what_all_rules_allow, 0, SEEDS);
+  tcase_add_loop_test (c, allows_what_all_rules_allow, 0, SEED_COUNT);
   suite_add_tcase (s, c);
   return s;
 }
