--- a/src/ini_file.c
+++ b/src/ini_file.c
@@ -8,11 +8,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Stands in for the name of a key, which may not begin with a bracket, on the
-   line that the reader adds after each section's.  */
-static const char section_mark[] = "]section";
-static const char mark_line[] = "]section=1\n";
-static const char unread_header[] = "[]\n";
+/* Key of the line that the reader inserts after each section header, so that
+   inih reports empty sections.  Keys in files can't start with a bracket.  */
+static const char marker_key[] = "]section";
+static const char marker_line[] = "]section=1\n";
+static const char ignored_header[] = "[]\n";
 
 struct reader
 {
@@ -21,13 +21,13 @@
   const char *next;
   const char *end;
   int line;
-  bool mark_due;  /* a section's line was handed out last */
-  bool entry_due; /* a key's line was, and inih hasn't returned it yet */
-  bool skipping;  /* within a section whose line was refused */
+  bool marker_pending; /* the last line returned was a section header */
+  bool entry_pending;  /* it was an entry that inih hasn't reported yet */
+  bool skipping;       /* in a section with an invalid header */
 };
 
 static void
-fault (struct reader *r, const char *what)
+add_fault (struct reader *r, const char *what)
 {
   marjoram_faults_add (r->faults, r->file->path, r->line, "%s", what);
 }
@@ -75,22 +75,24 @@
 }
 
 static int
-handle (void *user, const char *section, const char *key, const char *value)
+handle_entry (void *user, const char *section, const char *key,
+              const char *value)
 {
   struct reader *r = user;
   struct marjoram_ini_entry *entry;
 
-  r->entry_due = false;
+  r->entry_pending = false;
   if (r->skipping)
     return 1;
-  if (strcmp (key, section_mark) == 0)
+  if (strcmp (key, marker_key) == 0)
     {
       begin_section (r, section);
       return 1;
     }
   if (r->file->section_count == 0)
     {
-      fault (r, "a key before the first section; put a [section] line above");
+      add_fault (
+          r, "a key before the first section; add a [section] line above it");
       return 1;
     }
   entry = add_entry (&r->file->sections[r->file->section_count - 1]);
@@ -101,7 +103,7 @@
 }
 
 static char *
-hand_out (char *buffer, int size, const char *text, size_t length)
+copy_line (char *buffer, int size, const char *text, size_t length)
 {
   if (length >= (size_t)size)
     length = (size_t)size - 1;
@@ -116,15 +118,16 @@
   const char *close = memchr (line, ']', length);
 
   if (!close)
-    return "a section line without its closing bracket; write [NAME]";
+    return "a section header without closing bracket; write [NAME]";
   if (close - line - 1 > MARJORAM_INI_WORD_MAX)
-    return "the text in brackets has over 48 characters; shorten the name";
+    return "the section header is longer than 48 characters; shorten the name";
   for (const char *p = close + 1; p < line + length; p++)
     {
       if (*p == ';')
         break;
       if (!isspace ((unsigned char)*p))
-        return "text after the closing bracket; begin a new line for it";
+        return "unexpected text after the closing bracket; move it to a new "
+               "line";
     }
   return NULL;
 }
@@ -137,15 +140,15 @@
   while (key < length && line[key] != '=' && line[key] != ':')
     key++;
   if (key > MARJORAM_INI_WORD_MAX)
-    return "the key has over 48 characters; only the documented keys are "
-           "allowed";
+    return "the key is longer than 48 characters; use one of the documented "
+           "keys";
   if (line[0] == ']')
-    return "a key that begins with a bracket; write KEY = VALUE";
+    return "the key starts with a bracket; write KEY = VALUE";
   return NULL;
 }
 
-/* Moves to the next line that is neither blank nor a comment, and returns it
-   without leading blanks, or null at the end.  */
+/* Advances to the next line that is neither blank nor a comment.  Returns it
+   without leading white space, or null at the end.  */
 static const char *
 next_line (struct reader *r, size_t *length)
 {
@@ -167,7 +170,7 @@
   return NULL;
 }
 
-/* One line for inih, as fgets () would give it.  */
+/* Line reader for inih, with the interface of fgets ().  */
 static char *
 read_line (char *buffer, int size, void *stream)
 {
@@ -176,39 +179,40 @@
   const char *what = NULL;
   size_t length;
 
-  if (r->mark_due)
+  if (r->marker_pending)
     {
-      r->mark_due = false;
-      return hand_out (buffer, size, mark_line, strlen (mark_line));
+      r->marker_pending = false;
+      return copy_line (buffer, size, marker_line, strlen (marker_line));
     }
-  if (r->entry_due && !r->skipping)
-    fault (r, "neither a [section], a KEY = VALUE nor a comment; mend or "
-              "remove the line");
-  r->entry_due = false;
+  if (r->entry_pending && !r->skipping)
+    add_fault (
+        r, "not a [section], KEY = VALUE or comment; correct or remove the "
+           "line");
+  r->entry_pending = false;
   line = next_line (r, &length);
   if (!line)
     return NULL;
   if (length >= (size_t)size || length > MARJORAM_INI_LINE_MAX)
-    what = "the line has over 8000 characters; shorten it";
+    what = "the line is longer than 8000 characters; shorten it";
   else if (memchr (line, 0, length))
-    what = "a NUL character; write the file as plain text";
+    what = "the line contains a NUL character; save the file as plain text";
   else if (*line == '[')
     what = header_fault (line, length);
   else
     what = entry_fault (line, length);
   if (what)
-    fault (r, what);
+    add_fault (r, what);
   if (*line == '[')
     {
       r->skipping = what != NULL;
-      r->mark_due = !what;
+      r->marker_pending = !what;
     }
   else
-    r->entry_due = !what;
+    r->entry_pending = !what;
   if (what)
-    return hand_out (buffer, size, *line == '[' ? unread_header : "\n",
-                     strlen (*line == '[' ? unread_header : "\n"));
-  return hand_out (buffer, size, line, length);
+    return copy_line (buffer, size, *line == '[' ? ignored_header : "\n",
+                      strlen (*line == '[' ? ignored_header : "\n"));
+  return copy_line (buffer, size, line, length);
 }
 
 struct marjoram_ini_file *
@@ -221,7 +225,7 @@
 
   file->path = marjoram_strdup (path);
   ini_max_line = MARJORAM_INI_LINE_MAX + 3;
-  ini_parse_stream (read_line, &r, handle, &r);
+  ini_parse_stream (read_line, &r, handle_entry, &r);
   return file;
 }
 
@@ -289,9 +293,10 @@
 
   if (!in)
     {
-      marjoram_error_set (err, MARJORAM_ERROR_IO,
-                          "can't open %s: %s; check the path and its rights",
-                          path, strerror (errno));
+      marjoram_error_set (
+          err, MARJORAM_ERROR_IO,
+          "can't open %s: %s; check the path and its permissions", path,
+          strerror (errno));
       return NULL;
     }
   data = marjoram_alloc (limit + 2);
@@ -299,11 +304,12 @@
   data[*size] = 0;
   if (ferror (in))
     marjoram_error_set (err, MARJORAM_ERROR_IO,
-                        "can't read %s: %s; check that it is a file", path,
-                        strerror (errno));
+                        "can't read %s: %s; check that it is a regular file",
+                        path, strerror (errno));
   else if (*size > limit)
     marjoram_error_set (err, MARJORAM_ERROR_LIMIT,
-                        "%s has over %zu bytes; make it smaller", path, limit);
+                        "%s is larger than %zu bytes; make it smaller", path,
+                        limit);
   else
     {
       fclose (in);
--- a/src/ini_file.h
+++ b/src/ini_file.h
@@ -1,6 +1,6 @@
-/* An INI file as sections with their keys and line numbers.  inih does the
-   reading; it tells neither line numbers nor empty sections, so its line
-   reader here counts the lines and marks where a section begins.  */
+/* An INI file as a list of sections with their entries and line numbers.  inih
+   parses the text but reports neither line numbers nor empty sections; the
+   line reader that it is given counts lines and marks section starts.  */
 #ifndef MARJORAM_INI_FILE_H
 #define MARJORAM_INI_FILE_H
 
@@ -10,12 +10,12 @@
 
 enum
 {
-  /* inih cuts longer texts in brackets and longer keys without a word; they
-     are refused before it sees them.  */
+  /* Maximum length of section headers and keys.  inih silently truncates
+     longer ones, so they are rejected before it reads them.  */
   MARJORAM_INI_WORD_MAX = 48,
   MARJORAM_INI_LINE_MAX = 8000,
-  /* Bytes of a settings file, some hundred times what one needs: a wrong path
-     is told before it fills memory.  */
+  /* Maximum size of a settings file in bytes; bounds memory use if the path
+     names the wrong file.  */
   MARJORAM_INI_SETTINGS_MAX = 256 * 1024
 };
 
@@ -26,7 +26,7 @@
   int line;
 };
 
-/* [KIND NAME]; NAME is "" for a section without one.  */
+/* [KIND NAME]; the name is "" if there is none.  */
 struct marjoram_ini_section
 {
   char *kind;
@@ -38,17 +38,17 @@
 
 struct marjoram_ini_file
 {
-  char *path; /* as faults name it */
+  char *path; /* as shown in error messages */
   struct marjoram_ini_section *sections;
   size_t section_count;
 };
 
-/* Reads TEXT of SIZE bytes.  Faults of form go to FAULTS; what could be read
-   is returned all the same, so that faults of content are found too.  */
+/* Parses TEXT of SIZE bytes.  Syntax errors are added to FAULTS; the valid
+   part is returned all the same, so that its errors can be reported too.  */
 struct marjoram_ini_file *marjoram_ini_parse (const char *path,
                                               const char *text, size_t size,
                                               marjoram_faults *faults);
-/* Reads a process's settings file.  Null, with the cause in FAULTS, if it
+/* Parses the settings file at PATH.  Returns null and adds to FAULTS if it
    can't be read or is too large.  */
 struct marjoram_ini_file *marjoram_ini_load (const char *path,
                                              marjoram_faults *faults);
@@ -62,12 +62,12 @@
 const struct marjoram_ini_entry *
 marjoram_ini_find (const struct marjoram_ini_section *section,
                    const char *key);
-/* The line of KEY, or of the section where KEY is missing.  */
+/* The line of KEY, or of the section if KEY is missing.  */
 int marjoram_ini_line (const struct marjoram_ini_section *section,
                        const char *key);
 
-/* A file's bytes, NUL-terminated and malloc'd; null with ERR set if it can't
-   be read or is larger than LIMIT.  */
+/* Returns the file's contents, NUL-terminated and malloc'd, or null with ERR
+   set if it can't be read or is larger than LIMIT bytes.  */
 char *marjoram_file_read (const char *path, size_t limit, size_t *size,
                           struct marjoram_error *err);
 
--- a/src/ini_key.c
+++ b/src/ini_key.c
@@ -69,8 +69,8 @@
   return names->count == 1 && strcmp (names->items[0], "all") == 0;
 }
 
-/* One value that is being read, with what its faults need.  */
-struct reading
+/* A value being read, with the context for error messages.  */
+struct value_context
 {
   const struct marjoram_ini_file *file;
   const struct marjoram_ini_key *key;
@@ -80,7 +80,7 @@
 };
 
 static void
-refuse (const struct reading *r, const char *remedy)
+reject_value (const struct value_context *r, const char *remedy)
 {
   marjoram_faults_add (r->faults, r->file->path, r->line,
                        "%s can't be \"%.80s\"; %s", r->key->name, r->value,
@@ -88,14 +88,14 @@
 }
 
 static void
-set_text (char **place, char *text)
+set_text (char **field, char *text)
 {
-  free (*place);
-  *place = text;
+  free (*field);
+  *field = text;
 }
 
 static void
-read_text (const struct reading *r, char **place)
+read_text (const struct value_context *r, char **field)
 {
   char remedy[128];
   size_t length = strlen (r->value);
@@ -105,50 +105,52 @@
     {
       snprintf (remedy, sizeof remedy, "it needs %g to %g characters",
                 r->key->low, r->key->high);
-      refuse (r, remedy);
+      reject_value (r, remedy);
       return;
     }
-  set_text (place, marjoram_strdup (r->value));
+  set_text (field, marjoram_strdup (r->value));
 }
 
 static void
-read_name (const struct reading *r, char **place)
+read_name (const struct value_context *r, char **field)
 {
   bool dots = r->key->type == MARJORAM_INI_NAME;
 
   if (marjoram_name_valid (r->value, dots))
-    set_text (place, marjoram_strdup (r->value));
+    set_text (field, marjoram_strdup (r->value));
   else
-    refuse (r, dots ? "use letters, digits and ._-, at most 48"
-                    : "use letters, digits, _ and -, at most 48");
+    reject_value (r, dots ? "use letters, digits and ._-, at most 48"
+                          : "use letters, digits, _ and -, at most 48");
 }
 
 static void
-read_address (const struct reading *r, char **place)
+read_address (const struct value_context *r, char **field)
 {
   char *address = marjoram_address_parse (r->value);
 
   if (address)
-    set_text (place, address);
+    set_text (field, address);
   else
-    refuse (r, "write an IP number and a port, for example 10.0.0.1:8080 or "
-               "[fd00::1]:8080");
+    reject_value (
+        r, "write an IP number and a port, for example 10.0.0.1:8080 or "
+           "[fd00::1]:8080");
 }
 
 static void
-read_bool (const struct reading *r, bool *place)
+read_bool (const struct value_context *r, bool *field)
 {
   if (strcmp (r->value, "yes") == 0)
-    *place = true;
+    *field = true;
   else if (strcmp (r->value, "no") == 0)
-    *place = false;
+    *field = false;
   else
-    refuse (r, "write yes or no");
+    reject_value (r, "write yes or no");
 }
 
-/* Reads a number within the key's range.  */
+/* Parses a number and checks it against the key's range.  */
 static bool
-read_number (const struct reading *r, bool whole, bool suffix, double *number)
+read_number (const struct value_context *r, bool whole, bool suffix,
+             double *number)
 {
   char remedy[128];
   char *end;
@@ -166,13 +168,13 @@
     return true;
   snprintf (remedy, sizeof remedy, "write a %s from %.15g to %.15g%s",
             whole ? "whole number" : "number", r->key->low, r->key->high,
-            suffix ? ", with k or M if you like" : "");
-  refuse (r, remedy);
+            suffix ? ", optionally with suffix k or M" : "");
+  reject_value (r, remedy);
   return false;
 }
 
 static void
-read_word (const struct reading *r, int *place)
+read_enum (const struct value_context *r, int *field)
 {
   char remedy[128] = "write one of:";
 
@@ -182,16 +184,16 @@
 
       if (strcmp (r->value, r->key->words[i]) == 0)
         {
-          *place = i;
+          *field = i;
           return;
         }
       snprintf (remedy + used, sizeof remedy - used, " %s", r->key->words[i]);
     }
-  refuse (r, remedy);
+  reject_value (r, remedy);
 }
 
 static void
-read_names (const struct reading *r, struct marjoram_names *place)
+read_names (const struct value_context *r, struct marjoram_names *field)
 {
   struct marjoram_names names = marjoram_names_parse (r->value);
 
@@ -200,21 +202,21 @@
       if (k == i ? !marjoram_name_valid (names.items[i], true)
                  : strcmp (names.items[k], names.items[i]) == 0)
         {
-          refuse (r, "write different names separated by commas");
+          reject_value (r, "write unique names separated by commas");
           marjoram_names_clear (&names);
           return;
         }
   if (names.count == 0)
     {
-      refuse (r, "write at least one name");
+      reject_value (r, "write at least one name");
       return;
     }
-  marjoram_names_clear (place);
-  *place = names;
+  marjoram_names_clear (field);
+  *field = names;
 }
 
 static void
-read_value (const struct reading *r, char *place)
+read_value (const struct value_context *r, char *field)
 {
   double number;
 
@@ -222,38 +224,38 @@
     {
     case MARJORAM_INI_NAME:
     case MARJORAM_INI_LABEL:
-      read_name (r, (char **)place);
+      read_name (r, (char **)field);
       break;
     case MARJORAM_INI_TEXT:
-      read_text (r, (char **)place);
+      read_text (r, (char **)field);
       break;
     case MARJORAM_INI_ADDRESS:
-      read_address (r, (char **)place);
+      read_address (r, (char **)field);
       break;
     case MARJORAM_INI_BOOL:
-      read_bool (r, (bool *)place);
+      read_bool (r, (bool *)field);
       break;
     case MARJORAM_INI_SIZE:
       if (read_number (r, true, true, &number))
-        *(size_t *)place = (size_t)number;
+        *(size_t *)field = (size_t)number;
       break;
     case MARJORAM_INI_WHOLE:
       if (read_number (r, true, false, &number))
-        *(int64_t *)place = (int64_t)number;
+        *(int64_t *)field = (int64_t)number;
       break;
     case MARJORAM_INI_COUNT:
       if (read_number (r, true, false, &number))
-        *(int *)place = (int)number;
+        *(int *)field = (int)number;
       break;
     case MARJORAM_INI_REAL:
       if (read_number (r, false, false, &number))
-        *(double *)place = number;
+        *(double *)field = number;
       break;
     case MARJORAM_INI_WORD:
-      read_word (r, (int *)place);
+      read_enum (r, (int *)field);
       break;
     case MARJORAM_INI_NAMES:
-      read_names (r, (struct marjoram_names *)place);
+      read_names (r, (struct marjoram_names *)field);
       break;
     }
 }
@@ -268,11 +270,11 @@
 }
 
 static void
-refuse_unknown (const struct marjoram_ini_file *file,
-                const struct marjoram_ini_section *section,
-                const struct marjoram_ini_entry *entry,
-                const struct marjoram_ini_key *keys, size_t count,
-                marjoram_faults *faults)
+report_unknown_key (const struct marjoram_ini_file *file,
+                    const struct marjoram_ini_section *section,
+                    const struct marjoram_ini_entry *entry,
+                    const struct marjoram_ini_key *keys, size_t count,
+                    marjoram_faults *faults)
 {
   char known[256] = "";
 
@@ -301,11 +303,12 @@
           = marjoram_ini_find (section, entry->key);
 
       if (!find_key (keys, count, entry->key))
-        refuse_unknown (file, section, entry, keys, count, faults);
+        report_unknown_key (file, section, entry, keys, count, faults);
       else if (first != entry)
-        marjoram_faults_add (faults, file->path, entry->line,
-                             "%s was set on line %d already; keep one of them",
-                             entry->key, first->line);
+        marjoram_faults_add (
+            faults, file->path, entry->line,
+            "%s is already set on line %d; remove one of them", entry->key,
+            first->line);
     }
 }
 
@@ -320,8 +323,9 @@
     {
       const struct marjoram_ini_entry *entry
           = marjoram_ini_find (section, keys[i].name);
-      struct reading r = { file, &keys[i], keys[i].fallback,
-                           marjoram_ini_line (section, keys[i].name), faults };
+      struct value_context r
+          = { file, &keys[i], keys[i].fallback,
+              marjoram_ini_line (section, keys[i].name), faults };
 
       if (entry)
         r.value = entry->value;
@@ -341,7 +345,7 @@
 {
   for (size_t i = 0; i < key_count; i++)
     {
-      char *place = (char *)target + keys[i].offset;
+      char *field = (char *)target + keys[i].offset;
 
       switch (keys[i].type)
         {
@@ -349,10 +353,10 @@
         case MARJORAM_INI_LABEL:
         case MARJORAM_INI_TEXT:
         case MARJORAM_INI_ADDRESS:
-          set_text ((char **)place, NULL);
+          set_text ((char **)field, NULL);
           break;
         case MARJORAM_INI_NAMES:
-          marjoram_names_clear ((struct marjoram_names *)place);
+          marjoram_names_clear ((struct marjoram_names *)field);
           break;
         default:
           break;
--- a/src/settings.c
+++ b/src/settings.c
@@ -21,85 +21,85 @@
   HOUR_MS = 60 * MINUTE_MS
 };
 
-/* What the tables below fill.  */
-struct values
+/* Target of the key tables below.  */
+struct parsed_settings
 {
-  struct marjoram_settings plain;
-  struct marjoram_names first;
+  struct marjoram_settings base;
+  struct marjoram_names first_keepers;
   int level;
 };
 
-#define PLAIN(member) offsetof (struct values, plain.member)
+#define SETTING(member) offsetof (struct parsed_settings, base.member)
 
-static const char *const levels[]
+static const char *const log_levels[]
     = { "error", "warning", "notice", "info", "debug", NULL };
 
 static const struct marjoram_ini_key host_keys[] = {
-  { "slot", MARJORAM_INI_LABEL, PLAIN (slot), NULL, 0, 0, NULL },
-  { "zone", MARJORAM_INI_LABEL, PLAIN (zone), NULL, 0, 0, NULL },
-  { "cluster", MARJORAM_INI_NAME, PLAIN (cluster), NULL, 0, 0, NULL },
-  { "secret_file", MARJORAM_INI_TEXT, PLAIN (secret_file), NULL, 1,
+  { "slot", MARJORAM_INI_LABEL, SETTING (slot), NULL, 0, 0, NULL },
+  { "zone", MARJORAM_INI_LABEL, SETTING (zone), NULL, 0, 0, NULL },
+  { "cluster", MARJORAM_INI_NAME, SETTING (cluster), NULL, 0, 0, NULL },
+  { "secret_file", MARJORAM_INI_TEXT, SETTING (secret_file), NULL, 1,
     PATH_TEXT_MAX, NULL },
-  { "role_keeper", MARJORAM_INI_BOOL, PLAIN (keeper), "no", 0, 0, NULL },
-  { "data_folder", MARJORAM_INI_TEXT, PLAIN (data_folder), "", 1,
+  { "role_keeper", MARJORAM_INI_BOOL, SETTING (keeper), "no", 0, 0, NULL },
+  { "data_folder", MARJORAM_INI_TEXT, SETTING (data_folder), "", 1,
     PATH_TEXT_MAX, NULL },
 };
 
 static const struct marjoram_ini_key listen_keys[] = {
-  { "entry", MARJORAM_INI_ADDRESS, PLAIN (entry_address), NULL, 0, 0, NULL },
-  { "peer", MARJORAM_INI_ADDRESS, PLAIN (peer_address), NULL, 0, 0, NULL },
-  { "control", MARJORAM_INI_ADDRESS, PLAIN (control_address), NULL, 0, 0,
+  { "entry", MARJORAM_INI_ADDRESS, SETTING (entry_address), NULL, 0, 0, NULL },
+  { "peer", MARJORAM_INI_ADDRESS, SETTING (peer_address), NULL, 0, 0, NULL },
+  { "control", MARJORAM_INI_ADDRESS, SETTING (control_address), NULL, 0, 0,
     NULL },
 };
 
 static const struct marjoram_ini_key log_keys[] = {
-  { "level", MARJORAM_INI_WORD, offsetof (struct values, level), "info", 0, 0,
-    levels },
+  { "level", MARJORAM_INI_WORD, offsetof (struct parsed_settings, level),
+    "info", 0, 0, log_levels },
 };
 
 static const struct marjoram_ini_key limit_keys[] = {
-  { "max_body", MARJORAM_INI_SIZE, PLAIN (max_body), "4M", 1024,
+  { "max_body", MARJORAM_INI_SIZE, SETTING (max_body), "4M", 1024,
     BODY_BYTES_MAX, NULL },
-  { "max_headers", MARJORAM_INI_SIZE, PLAIN (max_headers), "16k", 1024,
+  { "max_headers", MARJORAM_INI_SIZE, SETTING (max_headers), "16k", 1024,
     HEADERS_BYTES_MAX, NULL },
-  { "read_timeout_ms", MARJORAM_INI_WHOLE, PLAIN (read_timeout_ms), "10000",
+  { "read_timeout_ms", MARJORAM_INI_WHOLE, SETTING (read_timeout_ms), "10000",
     100, 10 * MINUTE_MS, NULL },
-  { "drain_limit_ms", MARJORAM_INI_WHOLE, PLAIN (drain_limit_ms), "300000",
+  { "drain_limit_ms", MARJORAM_INI_WHOLE, SETTING (drain_limit_ms), "300000",
     SECOND_MS, 24 * HOUR_MS, NULL },
-  { "claim_retention_ms", MARJORAM_INI_WHOLE, PLAIN (claim_retention_ms),
+  { "claim_retention_ms", MARJORAM_INI_WHOLE, SETTING (claim_retention_ms),
     "86400000", MINUTE_MS, 7 * 24 * HOUR_MS, NULL },
-  { "max_requests", MARJORAM_INI_SIZE, PLAIN (max_requests), "4096", 1,
+  { "max_requests", MARJORAM_INI_SIZE, SETTING (max_requests), "4096", 1,
     REQUESTS_MAX, NULL },
 };
 
 static const struct marjoram_ini_key keeper_keys[] = {
-  { "first", MARJORAM_INI_NAMES, offsetof (struct values, first), NULL, 0, 0,
-    NULL },
+  { "first", MARJORAM_INI_NAMES,
+    offsetof (struct parsed_settings, first_keepers), NULL, 0, 0, NULL },
 };
 
-#define COUNT(array) (sizeof (array) / sizeof *(array))
+#define ARRAY_SIZE(array) (sizeof (array) / sizeof *(array))
 
-/* [peers] has the slots' names as keys and no table.  */
+/* [peers] has no key table: its keys are slot names.  */
 static const struct section_kind
 {
   const char *name;
   const struct marjoram_ini_key *keys;
   size_t key_count;
   bool required;
-} kinds[] = {
-  { "host", host_keys, COUNT (host_keys), true },
-  { "listen", listen_keys, COUNT (listen_keys), true },
-  { "log", log_keys, COUNT (log_keys), false },
-  { "limits", limit_keys, COUNT (limit_keys), false },
+} section_kinds[] = {
+  { "host", host_keys, ARRAY_SIZE (host_keys), true },
+  { "listen", listen_keys, ARRAY_SIZE (listen_keys), true },
+  { "log", log_keys, ARRAY_SIZE (log_keys), false },
+  { "limits", limit_keys, ARRAY_SIZE (limit_keys), false },
   { "peers", NULL, 0, false },
-  { "keepers", keeper_keys, COUNT (keeper_keys), false },
+  { "keepers", keeper_keys, ARRAY_SIZE (keeper_keys), false },
 };
 
 static bool
 known_kind (const char *name)
 {
-  for (size_t i = 0; i < COUNT (kinds); i++)
-    if (strcmp (kinds[i].name, name) == 0)
+  for (size_t i = 0; i < ARRAY_SIZE (section_kinds); i++)
+    if (strcmp (section_kinds[i].name, name) == 0)
       return true;
   return false;
 }
@@ -121,8 +121,8 @@
                              section->name);
       else if (first != section)
         marjoram_faults_add (faults, file->path, section->line,
-                             "section [%s] stands on line %d already; join "
-                             "them",
+                             "section [%s] is already defined on line %d; "
+                             "merge the two",
                              section->kind, first->line);
     }
 }
@@ -138,18 +138,17 @@
 
   if (!marjoram_name_valid (entry->key, false))
     marjoram_faults_add (faults, file->path, entry->line,
-                         "\"%s\" is no slot's name; use letters, digits, _ "
-                         "and -",
+                         "\"%s\" is not a valid slot name; use letters, "
+                         "digits, _ and -",
                          entry->key);
   else if (marjoram_ini_find (section, entry->key) != entry)
     marjoram_faults_add (faults, file->path, entry->line,
-                         "slot %s was given on line %d already; keep one of "
-                         "them",
+                         "slot %s is already listed on line %d; remove one",
                          entry->key, marjoram_ini_line (section, entry->key));
   else if (!address)
     marjoram_faults_add (faults, file->path, entry->line,
-                         "\"%.80s\" is no address; write an IP number and a "
-                         "port, for example 10.0.0.1:7000",
+                         "\"%.80s\" is not a valid address; write an IP "
+                         "address and a port, for example 10.0.0.1:7000",
                          entry->value);
   else
     {
@@ -177,24 +176,26 @@
 }
 
 static void
-read_sections (struct values *values, const struct marjoram_ini_file *file,
-               marjoram_faults *faults)
+read_sections (struct parsed_settings *values,
+               const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
   static struct marjoram_ini_section absent;
 
-  for (size_t i = 0; i < COUNT (kinds); i++)
+  for (size_t i = 0; i < ARRAY_SIZE (section_kinds); i++)
     {
       const struct marjoram_ini_section *section
-          = marjoram_ini_section (file, kinds[i].name);
+          = marjoram_ini_section (file, section_kinds[i].name);
 
-      if (!kinds[i].keys)
+      if (!section_kinds[i].keys)
         continue;
-      if (!section && kinds[i].required)
+      if (!section && section_kinds[i].required)
         marjoram_faults_add (faults, file->path, 0,
-                             "section [%s] is missing; add it", kinds[i].name);
-      else if (section || strcmp (kinds[i].name, "keepers") != 0)
-        marjoram_ini_read (file, section ? section : &absent, kinds[i].keys,
-                           kinds[i].key_count, values, faults);
+                             "section [%s] is missing; add it",
+                             section_kinds[i].name);
+      else if (section || strcmp (section_kinds[i].name, "keepers") != 0)
+        marjoram_ini_read (file, section ? section : &absent,
+                           section_kinds[i].keys, section_kinds[i].key_count,
+                           values, faults);
     }
 }
 
@@ -208,15 +209,15 @@
       = { settings->entry_address, settings->peer_address,
           settings->control_address };
 
-  for (size_t i = 1; i < COUNT (addresses); i++)
+  for (size_t i = 1; i < ARRAY_SIZE (addresses); i++)
     for (size_t k = 0; k < i; k++)
       if (addresses[i] && addresses[k]
           && strcmp (addresses[i], addresses[k]) == 0)
-        marjoram_faults_add (
-            faults, file->path,
-            marjoram_ini_line (section, listen_keys[i].name),
-            "%s and %s are both %s; give each a port of its own",
-            listen_keys[k].name, listen_keys[i].name, addresses[i]);
+        marjoram_faults_add (faults, file->path,
+                             marjoram_ini_line (section, listen_keys[i].name),
+                             "%s and %s are both %s; give each its own port",
+                             listen_keys[k].name, listen_keys[i].name,
+                             addresses[i]);
 }
 
 static void
@@ -232,8 +233,8 @@
     return;
   if (settings->keeper && !marjoram_ini_find (host, "data_folder"))
     marjoram_faults_add (faults, file->path, host->line,
-                         "a keeper needs a disk; add data_folder or set "
-                         "role_keeper = no");
+                         "a keeper needs a data folder; add data_folder or "
+                         "set role_keeper = no");
   if (!settings->keeper && settings->data_folder)
     marjoram_faults_add (faults, file->path,
                          marjoram_ini_line (host, "data_folder"),
@@ -241,8 +242,8 @@
                          "role_keeper = yes");
   if (settings->keeper && !keepers)
     marjoram_faults_add (faults, file->path, host->line,
-                         "a keeper must know the first keepers; add a section "
-                         "[keepers] with first = SLOT, SLOT, SLOT");
+                         "a keeper needs the list of initial keepers; add a "
+                         "section [keepers] with first = SLOT, SLOT, SLOT");
   if (settings->first_keeper_count > MARJORAM_KEEPERS_MAX)
     marjoram_faults_add (faults, file->path,
                          marjoram_ini_line (keepers, "first"),
@@ -250,22 +251,22 @@
                          settings->first_keeper_count, MARJORAM_KEEPERS_MAX);
 }
 
-/* A path that isn't absolute is taken from the settings file's folder, so that
-   the daemon may be started from anywhere.  */
+/* Resolves a relative path against the settings file's directory, so that it
+   doesn't depend on the working directory.  */
 static void
-resolve (char **place, const char *settings_path)
+resolve_path (char **place, const char *settings_path)
 {
   const char *slash = strrchr (settings_path, '/');
-  char *whole = NULL;
+  char *absolute = NULL;
 
   if (!*place || **place == '/' || !slash)
     return;
-  if (asprintf (&whole, "%.*s/%s", (int)(slash - settings_path), settings_path,
-                *place)
+  if (asprintf (&absolute, "%.*s/%s", (int)(slash - settings_path),
+                settings_path, *place)
       < 0)
     abort ();
   free (*place);
-  *place = whole;
+  *place = absolute;
 }
 
 static void
@@ -285,22 +286,22 @@
 }
 
 static void
-fill (struct marjoram_settings *settings, const struct marjoram_ini_file *file,
-      marjoram_faults *faults)
+read_settings (struct marjoram_settings *settings,
+               const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
-  struct values values = { 0 };
+  struct parsed_settings values = { 0 };
 
   check_sections (file, faults);
   read_sections (&values, file, faults);
-  *settings = values.plain;
+  *settings = values.base;
   settings->log_level = MARJORAM_LOG_ERROR + values.level;
-  settings->first_keepers = values.first.items;
-  settings->first_keeper_count = values.first.count;
+  settings->first_keepers = values.first_keepers.items;
+  settings->first_keeper_count = values.first_keepers.count;
   read_seeds (settings, file, faults);
   check_addresses (settings, file, faults);
   check_keeper (settings, file, faults);
-  resolve (&settings->secret_file, file->path);
-  resolve (&settings->data_folder, file->path);
+  resolve_path (&settings->secret_file, file->path);
+  resolve_path (&settings->data_folder, file->path);
   read_secret (settings, file, faults);
 }
 
@@ -315,7 +316,7 @@
   struct marjoram_settings *settings = marjoram_alloc (sizeof *settings);
 
   if (file)
-    fill (settings, file, found);
+    read_settings (settings, file, found);
   if (marjoram_faults_report (found, faults, err))
     return settings;
   marjoram_settings_destroy (settings);
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,5 +1,5 @@
-/* One daemon's own settings, from an INI file: who it is, where it listens,
-   which roles it has.  All else comes with the configuration.  */
+/* Per-process settings from an INI file: the host's identity, addresses, roles
+   and limits.  Everything else comes from the shared configuration.  */
 #ifndef MARJORAM_SETTINGS_H
 #define MARJORAM_SETTINGS_H
 
@@ -13,7 +13,7 @@
 struct marjoram_seed
 {
   char *slot;
-  char *address; /* IP:port; goes before the configuration's address */
+  char *address; /* IP:port; overrides the configuration's address */
 };
 
 struct marjoram_settings
@@ -38,17 +38,18 @@
   int64_t read_timeout_ms;
   int64_t drain_limit_ms;
   int64_t claim_retention_ms;
-  size_t max_requests; /* in progress at once */
-  /* [peers]: slot = IP:port, hosts to ask for the first configuration */
+  size_t max_requests; /* concurrent requests */
+  /* [peers]: slot = IP:port; hosts to fetch the first configuration from */
   struct marjoram_seed *seeds;
   size_t seed_count;
-  /* [keepers]: first = slot, slot, slot; used on a keeper's empty store */
+  /* [keepers]: first = slot, slot, slot; used if a keeper's store is empty */
   char **first_keepers;
   size_t first_keeper_count;
 };
 
-/* Null on failure, ERR names the first fault; FAULTS, unless null, becomes
-   malloc'd text with a line for each fault: file, line, fault, remedy.  */
+/* On failure, returns null, sets ERR to the first error and, unless FAULTS is
+   null, sets it to malloc'd text with one line per error: file, line, error,
+   remedy.  */
 struct marjoram_settings *marjoram_settings_load (const char *path,
                                                   char **faults,
                                                   struct marjoram_error *err);
