--- a/test/test_documents.c
+++ b/test/test_documents.c
@@ -1,5 +1,5 @@
-/* The operators' pages name every refusal reason, every counter, every setting
-   and every command.  */
+/* Checks that the documentation covers every refusal reason, counter, setting
+   and command.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -28,13 +28,13 @@
 }
 
 static void
-require (const char *page, const char *before, const char *word, size_t length,
-         const char *after)
+require_text (const char *page, const char *before, const char *word,
+              size_t length, const char *after)
 {
   char text[128];
 
   snprintf (text, sizeof text, "%s%.*s%s", before, (int)length, word, after);
-  ck_assert_msg (strstr (page, text) != NULL, "no \"%s\"", text);
+  ck_assert_msg (strstr (page, text) != NULL, "page lacks \"%s\"", text);
 }
 
 START_TEST (explain_every_reason_and_counter)
@@ -48,7 +48,7 @@
     {
       const char *name = marjoram_reason_name ((enum marjoram_reason)i);
 
-      require (page, "| `", name, strlen (name), "` |");
+      require_text (page, "| `", name, strlen (name), "` |");
     }
   for (const char *at = text; (at = strstr (at, prefix));)
     {
@@ -57,13 +57,14 @@
       at += strlen (prefix);
       length = (size_t)(strstr (at, "_total") - at);
       if (at[length + strlen ("_total")] == ' ')
-        require (page, "`", at, length, "`");
+        require_text (page, "`", at, length, "`");
     }
   marjoram_counters_destroy (counters);
 }
 END_TEST
 
-/* The example settings have every key but those of [peers].  */
+/* The example settings have every key.  Keys of [peers] are slot names and are
+   not documented.  */
 START_TEST (explain_every_setting)
 {
   marjoram_auto_free char *page = read_page ("man/marjoramd.ini.5");
@@ -78,12 +79,13 @@
     {
       const struct marjoram_ini_section *section = &file->sections[i];
 
-      require (page, ".SS [", section->kind, strlen (section->kind), "]\n");
+      require_text (page, ".SS [", section->kind, strlen (section->kind),
+                    "]\n");
       if (strcmp (section->kind, "peers") == 0)
         continue;
       for (size_t k = 0; k < section->entry_count; k++)
-        require (page, ".B ", section->entries[k].key,
-                 strlen (section->entries[k].key), "\n");
+        require_text (page, ".B ", section->entries[k].key,
+                      strlen (section->entries[k].key), "\n");
     }
 }
 END_TEST
@@ -103,7 +105,7 @@
       char bold[128];
       size_t used = 0;
 
-      /* Manual pages escape the hyphen.  */
+      /* Hyphens are escaped in manual pages.  */
       for (line += strspn (line, " "); *line && *line != ' '; line++)
         {
           if (*line == '-')
@@ -112,7 +114,7 @@
         }
       snprintf (bold, sizeof bold, "\n.B %s\n", word);
       if (!strstr (page, bold))
-        require (page, "\n\\fB", word, used, "\\fR ");
+        require_text (page, "\n\\fB", word, used, "\\fR ");
     }
   free (help);
 }
--- a/test/test_fuzz_input.c
+++ b/test/test_fuzz_input.c
@@ -1,6 +1,6 @@
-/* Mutated input of all that a daemon reads from outside: settings, operators'
-   files, and messages from peers.  Each is refused with a fault or read; the
-   process lives on.  Seeds are fixed; a failure names its own.  */
+/* Fuzzes everything that a daemon reads from outside: settings, operators'
+   files and messages from peers.  Each input must be accepted or rejected with
+   an error, without a crash.  Seeds are fixed; a failure prints its seed.  */
 #include "fuzz.h"
 #include "suite.h"
 
@@ -23,7 +23,7 @@
 };
 
 static void
-insert (struct input *in, size_t at, const void *data, size_t size)
+insert_bytes (struct input *in, size_t at, const void *data, size_t size)
 {
   if (in->size + size > INPUT_MAX)
     return;
@@ -33,7 +33,7 @@
 }
 
 static void
-cut (struct input *in, size_t at, size_t size)
+delete_bytes (struct input *in, size_t at, size_t size)
 {
   if (size > in->size - at)
     size = in->size - at;
@@ -41,9 +41,8 @@
   in->size -= size;
 }
 
-/* Bytes that begin msgpack items, large and small, and those that matter in
-   INI files.  */
-static const uint8_t special[]
+/* msgpack type bytes and characters with a meaning in INI files.  */
+static const uint8_t special_bytes[]
     = { 0x00, 0xff, 0x7f, 0x80, 0x8f, 0x90, 0x9f, 0xa0, 0xbf, 0xc0, 0xc1,
         0xc4, 0xc6, 0xc9, 0xca, 0xcf, 0xd3, 0xd8, 0xd9, 0xdb, 0xdc, 0xdd,
         0xde, 0xdf, '[',  ']',  '=',  ';',  '\n', '\r', ' ',  ',',  ':' };
@@ -63,13 +62,14 @@
       break;
     case 1:
       if (at < in->size)
-        in->data[at] = special[below (in, sizeof special)];
+        in->data[at] = special_bytes[below (in, sizeof special_bytes)];
       break;
     case 2:
-      insert (in, at, &special[below (in, sizeof special)], 1);
+      insert_bytes (in, at, &special_bytes[below (in, sizeof special_bytes)],
+                    1);
       break;
     case 3:
-      cut (in, at, 1 + below (in, 8));
+      delete_bytes (in, at, 1 + below (in, 8));
       break;
     case 4:
       in->size = at;
@@ -78,12 +78,12 @@
       if (size > in->size - at)
         size = in->size - at;
       memcpy (copy, in->data + at, size);
-      insert (in, below (in, in->size + 1), copy, size);
+      insert_bytes (in, below (in, in->size + 1), copy, size);
       break;
     }
 }
 
-/* The line that a random byte is in, its end included.  */
+/* Picks a random line; returns its length, line end included.  */
 static size_t
 random_line (struct input *in, size_t *start)
 {
@@ -109,28 +109,28 @@
           "[zone x y]\n", "=\n" };
   const char *value = values[below (in, sizeof values / sizeof *values)];
   uint8_t line[GROWTH_MAX];
-  size_t from;
-  size_t to;
-  size_t size = random_line (in, &from);
+  size_t source;
+  size_t target;
+  size_t size = random_line (in, &source);
 
   if (size > sizeof line)
     return;
-  memcpy (line, in->data + from, size);
-  random_line (in, &to);
+  memcpy (line, in->data + source, size);
+  random_line (in, &target);
   switch (below (in, 4))
     {
     case 0:
-      cut (in, from, size);
+      delete_bytes (in, source, size);
       break;
     case 1:
-      insert (in, to, line, size);
+      insert_bytes (in, target, line, size);
       break;
     case 2:
-      cut (in, from, size);
-      insert (in, to < in->size ? to : in->size, line, size);
+      delete_bytes (in, source, size);
+      insert_bytes (in, target < in->size ? target : in->size, line, size);
       break;
     default:
-      insert (in, from + below (in, size + 1), value, strlen (value));
+      insert_bytes (in, source + below (in, size + 1), value, strlen (value));
       break;
     }
 }
@@ -145,23 +145,23 @@
       mutate_bytes (in);
 }
 
-/* A fault names its file and ends with a remedy after a semicolon.  */
+/* Error messages must have a remedy after a semicolon.  */
 static void
 check_faults (const char *faults, int seed)
 {
   ck_assert_msg (faults && *faults && strchr (faults, ';'), "seed %d: %s",
-                 seed, faults ? faults : "no fault");
+                 seed, faults ? faults : "no error message");
 }
 
-/* Points the example's settings to the secret in their own folder.  */
+/* Makes the path of the secret relative to the settings file.  */
 static void
-move_secret (struct input *in)
+use_relative_secret_path (struct input *in)
 {
   static const char folder[] = "/etc/marjoram/";
   const uint8_t *place = memmem (in->data, in->size, folder, strlen (folder));
 
   ck_assert_ptr_nonnull (place);
-  cut (in, (size_t)(place - in->data), strlen (folder));
+  delete_bytes (in, (size_t)(place - in->data), strlen (folder));
 }
 
 START_TEST (settings_are_read_or_refused)
@@ -170,7 +170,7 @@
   char secret[96];
   char folder[64] = "/tmp/marjoram-fuzz-XXXXXX";
   char path[96];
-  int read = 0;
+  int accepted = 0;
 
   ck_assert_ptr_nonnull (mkdtemp (folder));
   snprintf (path, sizeof path, "%s/host.ini", folder);
@@ -184,13 +184,13 @@
 
       in.random = marjoram_random_create ((uint64_t)seed);
       load_input (&in, "examples/tatranska/ba-1-a.ini");
-      move_secret (&in);
+      use_relative_secret_path (&in);
       mutate_text (&in);
       fwrite (in.data, 1, in.size, out);
       fclose (out);
       settings = marjoram_settings_load (path, &faults, NULL);
       if (settings)
-        read++;
+        accepted++;
       else
         check_faults (faults, seed);
       marjoram_settings_destroy (settings);
@@ -199,12 +199,12 @@
   unlink (path);
   unlink (secret);
   rmdir (folder);
-  ck_assert_int_gt (read, 0);
-  ck_assert_int_lt (read, TEXT_SEEDS);
+  ck_assert_int_gt (accepted, 0);
+  ck_assert_int_lt (accepted, TEXT_SEEDS);
 }
 END_TEST
 
-/* Whatever was accepted must hold together.  */
+/* An accepted configuration must be consistent.  */
 static void
 check_config (const marjoram_config *config, int seed)
 {
@@ -245,7 +245,7 @@
 {
   static const char *const names[] = { "sites", "works", "callers" };
   static struct input in;
-  int read = 0;
+  int accepted = 0;
 
   for (int seed = 0; seed < TEXT_SEEDS; seed++)
     {
@@ -270,7 +270,7 @@
       config = marjoram_config_create (state, &faults, NULL);
       if (config)
         {
-          read++;
+          accepted++;
           check_config (config, seed);
         }
       else
@@ -279,21 +279,21 @@
       marjoram_state_destroy (state);
       marjoram_random_destroy (in.random);
     }
-  ck_assert_int_gt (read, 0);
-  ck_assert_int_lt (read, TEXT_SEEDS);
+  ck_assert_int_gt (accepted, 0);
+  ck_assert_int_lt (accepted, TEXT_SEEDS);
 }
 END_TEST
 
-/* Reads IN as a message.  What is read has to come out of a second packing and
-   reading the same.  */
+/* Unpacks IN as a message and returns whether it was accepted.  Repacking an
+   accepted message must be idempotent.  */
 static bool
 read_message (const struct marjoram_layout *layout, const struct input *in)
 {
   struct marjoram_error err = { 0 };
   void *message = marjoram_wire_unpack (layout, in->data, in->size, &err);
   marjoram_bytes *packed;
-  marjoram_bytes *again;
-  void *second;
+  marjoram_bytes *repacked;
+  void *unpacked;
 
   if (!message)
     {
@@ -301,18 +301,19 @@
       return false;
     }
   packed = marjoram_wire_pack (layout, message);
-  second = marjoram_wire_unpack (layout, marjoram_bytes_data (packed),
-                                 marjoram_bytes_size (packed), NULL);
-  ck_assert_msg (second != NULL, "%s", layout->name);
-  again = marjoram_wire_pack (layout, second);
-  ck_assert_uint_eq (marjoram_bytes_size (again),
+  unpacked = marjoram_wire_unpack (layout, marjoram_bytes_data (packed),
+                                   marjoram_bytes_size (packed), NULL);
+  ck_assert_msg (unpacked != NULL, "%s", layout->name);
+  repacked = marjoram_wire_pack (layout, unpacked);
+  ck_assert_uint_eq (marjoram_bytes_size (repacked),
                      marjoram_bytes_size (packed));
-  ck_assert_mem_eq (marjoram_bytes_data (again), marjoram_bytes_data (packed),
+  ck_assert_mem_eq (marjoram_bytes_data (repacked),
+                    marjoram_bytes_data (packed),
                     marjoram_bytes_size (packed));
   marjoram_wire_destroy (layout, message);
-  marjoram_wire_destroy (layout, second);
+  marjoram_wire_destroy (layout, unpacked);
   marjoram_bytes_release (packed);
-  marjoram_bytes_release (again);
+  marjoram_bytes_release (repacked);
   return true;
 }
 
@@ -336,7 +337,7 @@
   const struct marjoram_layout *layout
       = marjoram_frame_layout ((enum marjoram_frame_type)_i);
   static struct input in;
-  int refused = 0;
+  int rejected = 0;
 
   for (int seed = 0; seed < FRAME_SEEDS; seed++)
     {
@@ -347,16 +348,16 @@
       for (size_t n = 1 + below (&in, MUTATIONS_MAX); n > 0; n--)
         {
           mutate_bytes (&in);
-          refused += !read_message (layout, &in);
+          rejected += !read_message (layout, &in);
         }
       marjoram_random_destroy (in.random);
     }
-  ck_assert_int_gt (refused, 0);
+  ck_assert_int_gt (rejected, 0);
 }
 END_TEST
 
-/* Each passes for a hello in all but one point.  A name with a NUL inside
-   would be one name to the check and another to the log.  */
+/* Each input differs from a valid hello in one way.  Embedded NULs must be
+   rejected: code that treats the name as a C string would truncate it.  */
 START_TEST (known_bad_hellos_are_refused)
 {
   static const struct
@@ -366,26 +367,26 @@
   } hellos[] = {
     { "\x92\x01\xa3"
       "a\0b",
-      6 }, /* a NUL in a string */
+      6 }, /* embedded NUL */
     { "\x92\x01\xa2"
       "ab\xc0",
-      6 }, /* more after the end */
+      6 }, /* trailing data */
     { "\x92\x01\xa3"
       "ab",
-      5 }, /* cut off */
+      5 }, /* truncated */
     { "\x92\xff\xa2"
       "ab",
-      5 }, /* a negative number */
+      5 }, /* negative number */
     { "\x92\x01\xc4\x01"
       "a",
-      5 }, /* bytes for a string */
+      5 }, /* binary instead of string */
     { "\x92\x01\x91\xa1"
       "a",
-      5 }, /* an array for a string */
+      5 }, /* array instead of string */
     { "\x82\x01\xa1"
       "a\x01\xc0",
-      6 },                         /* a map */
-    { "\xdd\xff\xff\xff\xff", 5 }, /* a length bomb */
+      6 },                         /* map instead of array */
+    { "\xdd\xff\xff\xff\xff", 5 }, /* array length 2^32 - 1 */
     { "", 0 },
   };
   const struct marjoram_layout *layout
