--- a/src/ini_key.c
+++ b/src/ini_key.c
@@ -100,11 +100,11 @@
   char remedy[128];
   size_t length = strlen (r->value);
 
-  if (r->key->high > 0
-      && ((double)length < r->key->low || (double)length > r->key->high))
+  if (r->key->max > 0
+      && ((double)length < r->key->min || (double)length > r->key->max))
     {
       snprintf (remedy, sizeof remedy, "it needs %g to %g characters",
-                r->key->low, r->key->high);
+                r->key->min, r->key->max);
       reject_value (r, remedy);
       return;
     }
@@ -149,7 +149,7 @@
 
 /* Parses a number and checks it against the key's range.  */
 static bool
-read_number (const struct value_context *r, bool whole, bool suffix,
+read_number (const struct value_context *r, bool integer, bool suffix,
              double *number)
 {
   char remedy[128];
@@ -163,11 +163,11 @@
   *number *= factor;
   if (isdigit ((unsigned char)r->value[0]) && !strpbrk (r->value, "xXpPeE")
       && *end == 0 && errno == 0 && isfinite (*number)
-      && *number >= r->key->low && *number <= r->key->high
-      && (!whole || *number == floor (*number)))
+      && *number >= r->key->min && *number <= r->key->max
+      && (!integer || *number == floor (*number)))
     return true;
   snprintf (remedy, sizeof remedy, "write a %s from %.15g to %.15g%s",
-            whole ? "whole number" : "number", r->key->low, r->key->high,
+            integer ? "whole number" : "number", r->key->min, r->key->max,
             suffix ? ", optionally with suffix k or M" : "");
   reject_value (r, remedy);
   return false;
@@ -178,16 +178,17 @@
 {
   char remedy[128] = "write one of:";
 
-  for (int i = 0; r->key->words[i]; i++)
+  for (int i = 0; r->key->enum_names[i]; i++)
     {
       size_t used = strlen (remedy);
 
-      if (strcmp (r->value, r->key->words[i]) == 0)
+      if (strcmp (r->value, r->key->enum_names[i]) == 0)
         {
           *field = i;
           return;
         }
-      snprintf (remedy + used, sizeof remedy - used, " %s", r->key->words[i]);
+      snprintf (remedy + used, sizeof remedy - used, " %s",
+                r->key->enum_names[i]);
     }
   reject_value (r, remedy);
 }
@@ -324,7 +325,7 @@
       const struct marjoram_ini_entry *entry
           = marjoram_ini_find (section, keys[i].name);
       struct value_context r
-          = { file, &keys[i], keys[i].fallback,
+          = { file, &keys[i], keys[i].default_value,
               marjoram_ini_line (section, keys[i].name), faults };
 
       if (entry)
--- a/src/ini_key.h
+++ b/src/ini_key.h
@@ -19,7 +19,7 @@
   MARJORAM_INI_WHOLE,   /* int64_t */
   MARJORAM_INI_COUNT,   /* int */
   MARJORAM_INI_REAL,    /* double */
-  MARJORAM_INI_WORD,    /* int, index in the key's words */
+  MARJORAM_INI_WORD,    /* int, index in enum_names */
   MARJORAM_INI_NAMES    /* struct marjoram_names, separated by commas */
 };
 
@@ -34,11 +34,11 @@
 {
   const char *name;
   enum marjoram_ini_type type;
-  size_t offset;        /* of the field in the target struct */
-  const char *fallback; /* null: required; "": field left unchanged */
-  double low;           /* range of a number or of a text's length */
-  double high;
-  const char *const *words; /* null-terminated */
+  size_t offset;             /* of the field in the target struct */
+  const char *default_value; /* null: required; "": field left unchanged */
+  double min;                /* range of a number or of a text's length */
+  double max;
+  const char *const *enum_names; /* null-terminated */
 };
 
 /* Fills TARGET from SECTION.  Unknown, duplicate and missing keys and invalid
