--- a/src/config_check.c
+++ b/src/config_check.c
@@ -54,8 +54,8 @@
       if (region >= 0 && region < MARJORAM_REGIONS_MAX)
         set |= (uint64_t)1 << region;
     }
-  /* All names were unknown and have been reported; allowing all regions avoids
-     follow-up errors.  */
+  /* If no name could be resolved, that has been reported already; allowing all
+     regions avoids follow-up errors.  */
   return set ? set : UINT64_MAX;
 }
 
--- a/src/ini_file.c
+++ b/src/ini_file.c
@@ -27,9 +27,9 @@
 };
 
 static void
-add_fault (struct reader *r, const char *what)
+add_fault (struct reader *r, const char *error_text)
 {
-  marjoram_faults_add (r->faults, r->file->path, r->line, "%s", what);
+  marjoram_faults_add (r->faults, r->file->path, r->line, "%s", error_text);
 }
 
 static struct marjoram_ini_section *
@@ -176,7 +176,7 @@
 {
   struct reader *r = stream;
   const char *line;
-  const char *what = NULL;
+  const char *error_text = NULL;
   size_t length;
 
   if (r->marker_pending)
@@ -193,23 +193,24 @@
   if (!line)
     return NULL;
   if (length >= (size_t)size || length > MARJORAM_INI_LINE_MAX)
-    what = "the line is longer than 8000 characters; shorten it";
+    error_text = "the line is longer than 8000 characters; shorten it";
   else if (memchr (line, 0, length))
-    what = "the line contains a NUL character; save the file as plain text";
+    error_text
+        = "the line contains a NUL character; save the file as plain text";
   else if (*line == '[')
-    what = header_fault (line, length);
+    error_text = header_fault (line, length);
   else
-    what = entry_fault (line, length);
-  if (what)
-    add_fault (r, what);
+    error_text = entry_fault (line, length);
+  if (error_text)
+    add_fault (r, error_text);
   if (*line == '[')
     {
-      r->skipping = what != NULL;
-      r->marker_pending = !what;
+      r->skipping = error_text != NULL;
+      r->marker_pending = !error_text;
     }
   else
-    r->entry_pending = !what;
-  if (what)
+    r->entry_pending = !error_text;
+  if (error_text)
     return copy_line (buffer, size, *line == '[' ? ignored_header : "\n",
                       strlen (*line == '[' ? ignored_header : "\n"));
   return copy_line (buffer, size, line, length);
--- a/src/settings.c
+++ b/src/settings.c
@@ -176,7 +176,7 @@
 }
 
 static void
-read_sections (struct parsed_settings *values,
+read_sections (struct parsed_settings *parsed,
                const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
   static struct marjoram_ini_section absent;
@@ -195,7 +195,7 @@
       else if (section || strcmp (section_kinds[i].name, "keepers") != 0)
         marjoram_ini_read (file, section ? section : &absent,
                            section_kinds[i].keys, section_kinds[i].key_count,
-                           values, faults);
+                           parsed, faults);
     }
 }
 
@@ -254,19 +254,19 @@
 /* Resolves a relative path against the settings file's directory, so that it
    doesn't depend on the working directory.  */
 static void
-resolve_path (char **place, const char *settings_path)
+resolve_path (char **path, const char *settings_path)
 {
   const char *slash = strrchr (settings_path, '/');
   char *absolute = NULL;
 
-  if (!*place || **place == '/' || !slash)
+  if (!*path || **path == '/' || !slash)
     return;
   if (asprintf (&absolute, "%.*s/%s", (int)(slash - settings_path),
-                settings_path, *place)
+                settings_path, *path)
       < 0)
     abort ();
-  free (*place);
-  *place = absolute;
+  free (*path);
+  *path = absolute;
 }
 
 static void
@@ -289,14 +289,14 @@
 read_settings (struct marjoram_settings *settings,
                const struct marjoram_ini_file *file, marjoram_faults *faults)
 {
-  struct parsed_settings values = { 0 };
+  struct parsed_settings parsed = { 0 };
 
   check_sections (file, faults);
-  read_sections (&values, file, faults);
-  *settings = values.base;
-  settings->log_level = MARJORAM_LOG_ERROR + values.level;
-  settings->first_keepers = values.first_keepers.items;
-  settings->first_keeper_count = values.first_keepers.count;
+  read_sections (&parsed, file, faults);
+  *settings = parsed.base;
+  settings->log_level = MARJORAM_LOG_ERROR + parsed.level;
+  settings->first_keepers = parsed.first_keepers.items;
+  settings->first_keeper_count = parsed.first_keepers.count;
   read_seeds (settings, file, faults);
   check_addresses (settings, file, faults);
   check_keeper (settings, file, faults);
