--- a/src/change.c
+++ b/src/change.c
@@ -133,7 +133,7 @@
     return MARJORAM_CHANGE_INVALID;
   if (old && !marjoram_voters_find (&state->members, old))
     return MARJORAM_CHANGE_INVALID;
-  if (marjoram_voters_hold (&state->members, new, store_id))
+  if (marjoram_voters_contain (&state->members, new, store_id))
     return MARJORAM_CHANGE_SAME;
   if ((!old || strcmp (old, new) != 0)
       && marjoram_voters_find (&state->members, new))
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -30,7 +30,7 @@
 
 static void
 op_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_facts *facts)
+            const struct marjoram_fetch_stats *facts)
 {
   struct marjoram_entry *self = context;
 
@@ -43,7 +43,7 @@
 }
 
 static void
-op_failed (void *context, const struct marjoram_fetch_facts *facts,
+op_failed (void *context, const struct marjoram_fetch_stats *facts,
            const struct marjoram_error *err)
 {
   (void)context;
@@ -54,7 +54,8 @@
 }
 
 const struct marjoram_state_fetch_options marjoram_entry_fetch_options
-    = { .stalled_ms = STALLED_MS, .stalled_max_ms = STALLED_MAX_MS };
+    = { .piece_timeout_ms = STALLED_MS,
+        .piece_timeout_max_ms = STALLED_MAX_MS };
 
 const struct marjoram_state_fetch_ops marjoram_entry_fetch_ops
     = { .ask = op_ask, .fetched = op_fetched, .failed = op_failed };
@@ -73,8 +74,8 @@
 take_state_news (struct marjoram_entry *self, const char *host,
                  const struct marjoram_state_news *news)
 {
-  marjoram_state_fetch_heard (self->fetch, marjoram_entry_now (self), host,
-                              is_near (self, host), news->number);
+  marjoram_state_fetch_announced (self->fetch, marjoram_entry_now (self), host,
+                                  is_near (self, host), news->number);
 }
 
 /* ---- Upstreams and requests.  ---- */
@@ -212,8 +213,8 @@
       take_state_news (self, host, message);
       break;
     case MARJORAM_FRAME_STATE_PIECE:
-      marjoram_state_fetch_piece (self->fetch, marjoram_entry_now (self), host,
-                                  message);
+      marjoram_state_fetch_receive_piece (
+          self->fetch, marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_NEWS:
       take_news (self, host, session, message);
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -262,7 +262,7 @@
 {
   struct marjoram_entry *self = self_of (role);
 
-  marjoram_state_fetch_lost (self->fetch, host);
+  marjoram_state_fetch_disconnected (self->fetch, host);
   marjoram_gateway_link_lost (self->gateway, marjoram_entry_now (self), host);
 }
 
--- a/src/host_consensus.c
+++ b/src/host_consensus.c
@@ -127,7 +127,7 @@
 {
   marjoram_host *host = context;
 
-  marjoram_spread_local (host->spread, host->now, state);
+  marjoram_spread_set_local (host->spread, host->now, state);
 }
 
 static void
--- a/src/host_peer.c
+++ b/src/host_peer.c
@@ -47,7 +47,7 @@
   if (!link)
     return;
   link->up = false;
-  marjoram_spread_lost (host->spread, now, slot);
+  marjoram_spread_disconnected (host->spread, now, slot);
 }
 
 void
@@ -71,7 +71,7 @@
   if (sender && sender->session == session)
     {
       sender->session = 0;
-      marjoram_spread_lost (host->spread, now, slot);
+      marjoram_spread_disconnected (host->spread, now, slot);
     }
   marjoram_relay_session_closed (host, now, slot, session);
 }
@@ -87,7 +87,8 @@
     marjoram_members_record_heartbeat (host->members, now, ordinal,
                                        heartbeat->incarnation,
                                        heartbeat->draining);
-  marjoram_spread_heard (host->spread, now, slot, heartbeat->config_number);
+  marjoram_spread_announced (host->spread, now, slot,
+                             heartbeat->config_number);
   if (host->keeper && heartbeat->config_number > 0)
     marjoram_keeper_observe_number (host->keeper, heartbeat->config_number);
 }
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -572,9 +572,10 @@
   if (!value)
     return false;
   state = marjoram_value_state (value);
-  return marjoram_voters_hold (&state->members, keeper->slot, keeper->store_id)
-         || marjoram_voters_hold (&state->next_members, keeper->slot,
-                                  keeper->store_id);
+  return marjoram_voters_contain (&state->members, keeper->slot,
+                                  keeper->store_id)
+         || marjoram_voters_contain (&state->next_members, keeper->slot,
+                                     keeper->store_id);
 }
 
 bool
--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -81,7 +81,7 @@
 
       marjoram_voters_add (&state->members, vote->slot, vote->store_id);
       unchanged = unchanged
-                  && marjoram_voters_hold (
+                  && marjoram_voters_contain (
                       &marjoram_value_state (attempt->best)->members,
                       vote->slot, vote->store_id);
     }
--- a/src/register.c
+++ b/src/register.c
@@ -251,7 +251,7 @@
   size_t count = 0;
 
   for (size_t i = 0; i < members->count; i++)
-    if (marjoram_voters_hold (votes, items[i].slot, items[i].store_id))
+    if (marjoram_voters_contain (votes, items[i].slot, items[i].store_id))
       count++;
   return 2 * count > members->count;
 }
@@ -367,7 +367,7 @@
   const struct marjoram_keeper_member *items = members->items;
 
   for (size_t i = 0; i < members->count; i++)
-    if (!marjoram_voters_hold (votes, items[i].slot, items[i].store_id))
+    if (!marjoram_voters_contain (votes, items[i].slot, items[i].store_id))
       return false;
   return true;
 }
--- a/src/spread.c
+++ b/src/spread.c
@@ -155,14 +155,14 @@
   marjoram_state_destroy (spread->state);
   spread->state = state;
   marjoram_state_giver_set (spread->giver, state);
-  marjoram_state_fetch_hold (spread->fetch, spread->now, state);
+  marjoram_state_fetch_set_current (spread->fetch, spread->now, state);
   spread->ops->adopted (spread->context, state);
   update_ready (spread, spread->now);
 }
 
 static void
 on_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_facts *facts)
+            const struct marjoram_fetch_stats *facts)
 {
   marjoram_spread *spread = context;
 
@@ -177,7 +177,7 @@
 }
 
 static void
-on_fetch_failed (void *context, const struct marjoram_fetch_facts *facts,
+on_fetch_failed (void *context, const struct marjoram_fetch_stats *facts,
                  const struct marjoram_error *err)
 {
   marjoram_spread *spread = context;
@@ -203,13 +203,13 @@
 fetch_from (marjoram_spread *spread, const char *slot, uint64_t number)
 {
   if (number > own_number (spread) && spread->now >= spread->retry_at)
-    marjoram_state_fetch_heard (spread->fetch, spread->now, slot, true,
-                                number);
+    marjoram_state_fetch_announced (spread->fetch, spread->now, slot, true,
+                                    number);
 }
 
 void
-marjoram_spread_heard (marjoram_spread *spread, int64_t now, const char *slot,
-                       uint64_t number)
+marjoram_spread_announced (marjoram_spread *spread, int64_t now,
+                           const char *slot, uint64_t number)
 {
   struct peer *peer = find_or_add_peer (spread, slot);
 
@@ -239,7 +239,8 @@
 }
 
 void
-marjoram_spread_lost (marjoram_spread *spread, int64_t now, const char *slot)
+marjoram_spread_disconnected (marjoram_spread *spread, int64_t now,
+                              const char *slot)
 {
   struct peer *peer = find_peer (spread, slot);
 
@@ -247,7 +248,7 @@
   if (!peer)
     return;
   peer->number = 0;
-  marjoram_state_fetch_lost (spread->fetch, slot);
+  marjoram_state_fetch_disconnected (spread->fetch, slot);
   if (spread->source == peer)
     spread->source = best_source (spread);
   if (spread->source)
@@ -260,7 +261,7 @@
                                const struct marjoram_state_piece *piece)
 {
   spread->now = now;
-  marjoram_state_fetch_piece (spread->fetch, now, slot, piece);
+  marjoram_state_fetch_receive_piece (spread->fetch, now, slot, piece);
 }
 
 /* ---- Sending.  ---- */
@@ -287,8 +288,8 @@
                         int64_t now)
 {
   const struct marjoram_state_fetch_options fetch
-      = { .stalled_ms = PIECE_TIMEOUT_MS,
-          .stalled_max_ms = PIECE_TIMEOUT_MAX_MS };
+      = { .piece_timeout_ms = PIECE_TIMEOUT_MS,
+          .piece_timeout_max_ms = PIECE_TIMEOUT_MAX_MS };
   marjoram_spread *spread = marjoram_alloc (sizeof *spread);
 
   spread->ops = ops;
@@ -332,8 +333,8 @@
 }
 
 void
-marjoram_spread_local (marjoram_spread *spread, int64_t now,
-                       const struct marjoram_state *state)
+marjoram_spread_set_local (marjoram_spread *spread, int64_t now,
+                           const struct marjoram_state *state)
 {
   spread->now = now;
   if (state->number > own_number (spread))
--- a/src/spread.h
+++ b/src/spread.h
@@ -34,8 +34,8 @@
 void marjoram_spread_destroy (marjoram_spread *spread);
 
 /* The host in SLOT announced the number of its state, 0 for none.  */
-void marjoram_spread_heard (marjoram_spread *spread, int64_t now,
-                            const char *slot, uint64_t number);
+void marjoram_spread_announced (marjoram_spread *spread, int64_t now,
+                                const char *slot, uint64_t number);
 void marjoram_spread_receive_ask (marjoram_spread *spread, int64_t now,
                                   const char *slot,
                                   const struct marjoram_state_ask *ask);
@@ -43,11 +43,11 @@
                                     const char *slot,
                                     const struct marjoram_state_piece *piece);
 /* The session with the host in SLOT ended, and messages in flight are lost. */
-void marjoram_spread_lost (marjoram_spread *spread, int64_t now,
-                           const char *slot);
+void marjoram_spread_disconnected (marjoram_spread *spread, int64_t now,
+                                   const char *slot);
 /* The keeper on this host learned that STATE was chosen.  */
-void marjoram_spread_local (marjoram_spread *spread, int64_t now,
-                            const struct marjoram_state *state);
+void marjoram_spread_set_local (marjoram_spread *spread, int64_t now,
+                                const struct marjoram_state *state);
 /* To be called at least every 50 ms.  */
 void marjoram_spread_tick (marjoram_spread *spread, int64_t now);
 
--- a/src/state.c
+++ b/src/state.c
@@ -221,8 +221,8 @@
 }
 
 bool
-marjoram_voters_hold (const struct marjoram_array *members, const char *slot,
-                      const char *store_id)
+marjoram_voters_contain (const struct marjoram_array *members,
+                         const char *slot, const char *store_id)
 {
   const struct marjoram_keeper_member *member
       = marjoram_voters_find (members, slot);
--- a/src/state.h
+++ b/src/state.h
@@ -97,8 +97,8 @@
 struct marjoram_keeper_member *
 marjoram_voters_find (const struct marjoram_array *members, const char *slot);
 /* Returns whether SLOT is a member with the store STORE_ID.  */
-bool marjoram_voters_hold (const struct marjoram_array *members,
-                           const char *slot, const char *store_id);
+bool marjoram_voters_contain (const struct marjoram_array *members,
+                              const char *slot, const char *store_id);
 void marjoram_voters_copy (struct marjoram_array *target,
                            const struct marjoram_array *source);
 void marjoram_voters_clear (struct marjoram_array *members);
--- a/src/state_fetch.c
+++ b/src/state_fetch.c
@@ -58,7 +58,7 @@
   fetch->ops = ops;
   fetch->context = context;
   fetch->options = *options;
-  fetch->timeout_ms = options->stalled_ms;
+  fetch->timeout_ms = options->piece_timeout_ms;
   fetch->received = evbuffer_new ();
   return fetch;
 }
@@ -133,10 +133,10 @@
 {
   const struct marjoram_state_fetch_options *options = &fetch->options;
 
-  if (ms < options->stalled_ms)
-    ms = options->stalled_ms;
-  if (ms > options->stalled_max_ms)
-    ms = options->stalled_max_ms;
+  if (ms < options->piece_timeout_ms)
+    ms = options->piece_timeout_ms;
+  if (ms > options->piece_timeout_max_ms)
+    ms = options->piece_timeout_max_ms;
   fetch->timeout_ms = ms;
 }
 
@@ -148,9 +148,9 @@
 }
 
 void
-marjoram_state_fetch_heard (marjoram_state_fetch *fetch, int64_t now,
-                            const char *keeper, bool same_region,
-                            uint64_t number)
+marjoram_state_fetch_announced (marjoram_state_fetch *fetch, int64_t now,
+                                const char *keeper, bool same_region,
+                                uint64_t number)
 {
   if (number <= fetch->current.number)
     return;
@@ -167,10 +167,10 @@
   start_transfer (fetch, now, keeper, number);
 }
 
-static struct marjoram_fetch_facts
+static struct marjoram_fetch_stats
 stats_of (const marjoram_state_fetch *fetch, int64_t now)
 {
-  const struct marjoram_fetch_facts facts
+  const struct marjoram_fetch_stats facts
       = { fetch->keeper, fetch->base, fetch->size, fetch->pieces,
           now - fetch->started_at };
 
@@ -218,13 +218,13 @@
 static void
 finish (marjoram_state_fetch *fetch, int64_t now)
 {
-  struct marjoram_fetch_facts facts = stats_of (fetch, now);
+  struct marjoram_fetch_stats facts = stats_of (fetch, now);
   struct marjoram_packed_state packed = { 0 };
   struct marjoram_error err = { 0 };
   struct marjoram_state *state = unpack (fetch, &packed, &err);
 
   evbuffer_drain (fetch->received, evbuffer_get_length (fetch->received));
-  fetch->timeout_ms = fetch->options.stalled_ms;
+  fetch->timeout_ms = fetch->options.piece_timeout_ms;
   if (!state)
     {
       fetch->full = true;
@@ -291,9 +291,9 @@
 /* A late piece is accepted from any keeper, also if it was requested again
    from another one.  */
 void
-marjoram_state_fetch_piece (marjoram_state_fetch *fetch, int64_t now,
-                            const char *keeper,
-                            const struct marjoram_state_piece *piece)
+marjoram_state_fetch_receive_piece (marjoram_state_fetch *fetch, int64_t now,
+                                    const char *keeper,
+                                    const struct marjoram_state_piece *piece)
 {
   if (!fetch->keeper || fetch->ask_at > 0)
     return;
@@ -321,8 +321,8 @@
 /* Discards the received pieces: a delta against the former state can't be
    decoded any more.  */
 void
-marjoram_state_fetch_hold (marjoram_state_fetch *fetch, int64_t now,
-                           const struct marjoram_state *state)
+marjoram_state_fetch_set_current (marjoram_state_fetch *fetch, int64_t now,
+                                  const struct marjoram_state *state)
 {
   if (state->number <= fetch->current.number)
     return;
@@ -338,7 +338,8 @@
 }
 
 void
-marjoram_state_fetch_lost (marjoram_state_fetch *fetch, const char *keeper)
+marjoram_state_fetch_disconnected (marjoram_state_fetch *fetch,
+                                   const char *keeper)
 {
   if (fetch->keeper && strcmp (fetch->keeper, keeper) == 0)
     {
--- a/src/state_fetch.h
+++ b/src/state_fetch.h
@@ -13,7 +13,7 @@
 typedef struct marjoram_state_fetch marjoram_state_fetch;
 
 /* Statistics of a transfer, for the log.  */
-struct marjoram_fetch_facts
+struct marjoram_fetch_stats
 {
   const char *keeper;
   uint64_t base; /* number of the base state; 0: a full transfer */
@@ -26,10 +26,10 @@
 {
   /* Initial timeout for a piece, after which it is requested from the next
      peer that announces the state.  */
-  int64_t stalled_ms;
+  int64_t piece_timeout_ms;
   /* Upper limit of the timeout, which adapts to the time that pieces take and
      doubles when none arrives.  */
-  int64_t stalled_max_ms;
+  int64_t piece_timeout_max_ms;
 };
 
 struct marjoram_state_fetch_ops
@@ -42,10 +42,10 @@
                  struct marjoram_error *err);
   /* STATE is complete; its number is higher than that of any before.  */
   void (*fetched) (void *context, const struct marjoram_state *state,
-                   const struct marjoram_fetch_facts *facts);
+                   const struct marjoram_fetch_stats *facts);
   /* The received state is unreadable or was rejected; the next request is for
      a full transfer.  */
-  void (*failed) (void *context, const struct marjoram_fetch_facts *facts,
+  void (*failed) (void *context, const struct marjoram_fetch_stats *facts,
                   const struct marjoram_error *err);
 };
 
@@ -54,20 +54,22 @@
     const struct marjoram_state_fetch_ops *ops, void *context);
 void marjoram_state_fetch_destroy (marjoram_state_fetch *fetch);
 /* KEEPER has the state NUMBER.  NEAR: it is in the region of this host.  */
-void marjoram_state_fetch_heard (marjoram_state_fetch *fetch, int64_t now,
-                                 const char *keeper, bool same_region,
-                                 uint64_t number);
-void marjoram_state_fetch_piece (marjoram_state_fetch *fetch, int64_t now,
-                                 const char *keeper,
-                                 const struct marjoram_state_piece *piece);
+void marjoram_state_fetch_announced (marjoram_state_fetch *fetch, int64_t now,
+                                     const char *keeper, bool same_region,
+                                     uint64_t number);
+void
+marjoram_state_fetch_receive_piece (marjoram_state_fetch *fetch, int64_t now,
+                                    const char *keeper,
+                                    const struct marjoram_state_piece *piece);
 /* This host obtained STATE by other means.  Ignored unless its number is
    higher than that of the current state.  */
-void marjoram_state_fetch_hold (marjoram_state_fetch *fetch, int64_t now,
-                                const struct marjoram_state *state);
+void marjoram_state_fetch_set_current (marjoram_state_fetch *fetch,
+                                       int64_t now,
+                                       const struct marjoram_state *state);
 /* The connection to KEEPER was lost.  Received pieces are kept, and the
    transfer resumes with the next peer that announces the state.  */
-void marjoram_state_fetch_lost (marjoram_state_fetch *fetch,
-                                const char *keeper);
+void marjoram_state_fetch_disconnected (marjoram_state_fetch *fetch,
+                                        const char *keeper);
 /* To be called at least every 50 ms.  */
 void marjoram_state_fetch_tick (marjoram_state_fetch *fetch, int64_t now);
 
--- a/test/test_compress.c
+++ b/test/test_compress.c
@@ -56,7 +56,7 @@
 }
 END_TEST
 
-START_TEST (one_changed_route_costs_little)
+START_TEST (one_changed_route_needs_a_small_delta)
 {
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *base
       = make_config (-1);
@@ -114,7 +114,7 @@
   TCase *c = tcase_create ("compress");
 
   tcase_add_test (c, bytes_come_back);
-  tcase_add_test (c, one_changed_route_costs_little);
+  tcase_add_test (c, one_changed_route_needs_a_small_delta);
   tcase_add_test (c, another_base_is_an_error);
   tcase_add_test (c, what_is_too_large_or_not_ours_is_an_error);
   suite_add_tcase (s, c);
--- a/test/test_fuzz_state.c
+++ b/test/test_fuzz_state.c
@@ -43,14 +43,14 @@
 
 static void
 on_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_facts *facts)
+            const struct marjoram_fetch_stats *facts)
 {
   (void)facts;
   ((struct world *)context)->number = state->number;
 }
 
 static void
-on_failed (void *context, const struct marjoram_fetch_facts *facts,
+on_failed (void *context, const struct marjoram_fetch_stats *facts,
            const struct marjoram_error *err)
 {
   (void)context;
@@ -75,7 +75,7 @@
   ck_assert_uint_le (marjoram_bytes_size (piece.bytes),
                      MARJORAM_STATE_PIECE_MAX);
   if (keeper)
-    marjoram_state_fetch_piece (world->fetch, now, keeper, &piece);
+    marjoram_state_fetch_receive_piece (world->fetch, now, keeper, &piece);
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
@@ -100,18 +100,18 @@
   fill_message (in, &marjoram_state_ask_layout, (char *)&ask);
   respond (world, now, NULL, &ask);
   fill_message (in, &marjoram_state_news_layout, (char *)&news);
-  marjoram_state_fetch_heard (world->fetch, now, keeper, below (in, 2) == 0,
-                              news.number);
+  marjoram_state_fetch_announced (world->fetch, now, keeper,
+                                  below (in, 2) == 0, news.number);
   fill_message (in, &marjoram_state_piece_layout, (char *)&piece);
   if (below (in, 2) == 0)
     piece.number = world->ask.number;
-  marjoram_state_fetch_piece (world->fetch, now, keeper, &piece);
+  marjoram_state_fetch_receive_piece (world->fetch, now, keeper, &piece);
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
 /* Guards against a crash on random messages from a faulty peer, and against a
    host that can't fetch the state afterwards.  */
-START_TEST (state_comes_after_senseless_messages)
+START_TEST (state_arrives_after_malformed_messages)
 {
   static struct input in;
   struct world world = { 0 };
@@ -132,7 +132,7 @@
   world.asked = false;
   for (end = now + RECOVERY_MS; now < end; now += TICK_MS)
     {
-      marjoram_state_fetch_heard (world.fetch, now, "k0", true, MESSAGES);
+      marjoram_state_fetch_announced (world.fetch, now, "k0", true, MESSAGES);
       marjoram_state_fetch_tick (world.fetch, now);
       if (world.asked)
         {
@@ -154,7 +154,7 @@
   TCase *c = tcase_create ("fuzz_state");
 
   tcase_set_timeout (c, 60);
-  tcase_add_loop_test (c, state_comes_after_senseless_messages, 0, SEEDS);
+  tcase_add_loop_test (c, state_arrives_after_malformed_messages, 0, SEEDS);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -277,7 +277,7 @@
       = marjoram_keeper_chosen_state (nodes[observer].keeper);
 
   return state && state->next_members.count == 0
-         && marjoram_voters_hold (&state->members, slot, store);
+         && marjoram_voters_contain (&state->members, slot, store);
 }
 
 static void
--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -208,7 +208,7 @@
   const char *from = world->hosts[packet->from].slot;
 
   if (packet->kind == PACKET_NUMBER)
-    marjoram_spread_heard (host->spread, world->now, from, packet->number);
+    marjoram_spread_announced (host->spread, world->now, from, packet->number);
   else if (packet->kind == PACKET_PIECE)
     deliver_piece (host, from, packet->bytes);
   else
@@ -314,7 +314,7 @@
 {
   struct marjoram_state *state = make_state (number);
 
-  marjoram_spread_local (world->hosts[index].spread, world->now, state);
+  marjoram_spread_set_local (world->hosts[index].spread, world->now, state);
   marjoram_state_destroy (state);
 }
 
@@ -342,7 +342,7 @@
 {
   struct marjoram_state *state = make_large_state (number);
 
-  marjoram_spread_local (world->hosts[index].spread, world->now, state);
+  marjoram_spread_set_local (world->hosts[index].spread, world->now, state);
   marjoram_state_destroy (state);
 }
 
@@ -387,7 +387,7 @@
 
 /* Guards against a restarted host that serves an older state than the rest of
    its zone.  */
-START_TEST (restarted_host_serves_only_by_the_highest)
+START_TEST (restarted_host_serves_only_the_newest_state)
 {
   struct world *world = make_world (3, 10);
   struct host *host = &world->hosts[HOSTS - 1];
@@ -396,7 +396,7 @@
   run (world, 5000);
   marjoram_spread_destroy (host->spread);
   start (host);
-  marjoram_spread_heard (host->spread, world->now, "h60", 6);
+  marjoram_spread_announced (host->spread, world->now, "h60", 6);
   for (int ms = 0; ms < 5000; ms += STEP_MS)
     {
       run (world, STEP_MS);
@@ -410,7 +410,7 @@
 
 /* Guards against a host that can't restart in a partitioned zone, and against
    a zone that misses the newest state after the partition.  */
-START_TEST (cut_off_zone_serves_and_catches_up)
+START_TEST (partitioned_zone_serves_and_catches_up)
 {
   struct world *world = make_world (4, 0);
   struct host *host = &world->hosts[HOSTS - 1];
@@ -567,7 +567,7 @@
 
   piece.bytes = marjoram_compress (packed.bytes, NULL);
   piece.size = marjoram_bytes_size (piece.bytes);
-  marjoram_spread_heard (spread, now, "a", number);
+  marjoram_spread_announced (spread, now, "a", number);
   marjoram_spread_receive_piece (spread, now, "a", &piece);
   marjoram_bytes_release (piece.bytes);
   marjoram_packed_state_clear (&packed);
@@ -594,7 +594,7 @@
 }
 
 /* Guards against sending unchanged files or the results of changes.  */
-START_TEST (gives_what_is_lacking)
+START_TEST (sends_only_the_delta)
 {
   struct record record = { 0 };
   struct marjoram_state *old = make_large_state (1);
@@ -605,10 +605,10 @@
   marjoram_spread *b
       = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
-  marjoram_spread_local (a, 0, old);
-  marjoram_spread_local (a, 0, new);
-  marjoram_spread_local (b, 0, old);
-  marjoram_spread_heard (b, 0, "a", 2);
+  marjoram_spread_set_local (a, 0, old);
+  marjoram_spread_set_local (a, 0, new);
+  marjoram_spread_set_local (b, 0, old);
+  marjoram_spread_announced (b, 0, "a", 2);
   ck_assert_int_eq (record.asks, 1);
   marjoram_spread_receive_ask (a, 0, "b", &record.ask);
   ck_assert_uint_lt (marjoram_bytes_size (record.piece), 1000);
@@ -631,7 +631,7 @@
 /* Guards against accepting a file with a wrong digest or without text, or a
    state with a lower number; the request after a rejection is for a full
    transfer.  */
-START_TEST (checks_what_is_given)
+START_TEST (rejects_invalid_states)
 {
   struct record record = { 0 };
   struct marjoram_state *old = make_state (1), *new = make_state (2);
@@ -643,7 +643,7 @@
   files[1].text[0] ^= 1;
   inject_state (b, 0, 2, faulty);
   ck_assert_uint_eq (record.adopted, 0);
-  marjoram_spread_local (b, 0, old);
+  marjoram_spread_set_local (b, 0, old);
   inject_state (b, 1000, 2, faulty);
   ck_assert_uint_eq (record.adopted, 1);
   free (files[0].text);
@@ -668,7 +668,7 @@
 END_TEST
 
 /* Guards against applying a delta to another state than its base.  */
-START_TEST (takes_no_difference_from_another_state)
+START_TEST (rejects_delta_against_another_state)
 {
   struct record record_a = { 0 }, record_b = { 0 };
   struct marjoram_state *first = make_state (1), *second = make_state (2);
@@ -679,13 +679,13 @@
   marjoram_spread *b
       = marjoram_spread_create (&no_keepers, &recording_ops, &record_b, 0);
 
-  marjoram_spread_local (a, 0, first);
-  marjoram_spread_local (a, 0, third);
-  marjoram_spread_local (b, 0, first);
-  marjoram_spread_heard (b, 0, "a", 3);
+  marjoram_spread_set_local (a, 0, first);
+  marjoram_spread_set_local (a, 0, third);
+  marjoram_spread_set_local (b, 0, first);
+  marjoram_spread_announced (b, 0, "a", 3);
   ck_assert_uint_eq (record_b.ask.base, 1);
   marjoram_spread_receive_ask (a, 0, "b", &record_b.ask);
-  marjoram_spread_local (b, 0, second);
+  marjoram_spread_set_local (b, 0, second);
   ck_assert_uint_eq (record_b.ask.base, 2);
   piece = marjoram_wire_unpack (&marjoram_state_piece_layout,
                                 marjoram_bytes_data (record_a.piece),
@@ -712,21 +712,21 @@
 
 /* Guards against a wait for the timeout after a disconnection, and against
    requests to disconnected peers.  */
-START_TEST (another_is_asked_at_once_if_the_link_breaks)
+START_TEST (another_peer_is_asked_after_disconnection)
 {
   struct record record = { 0 };
   marjoram_spread *spread
       = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
-  marjoram_spread_heard (spread, 0, "a", 2);
-  marjoram_spread_heard (spread, 0, "b", 2);
+  marjoram_spread_announced (spread, 0, "a", 2);
+  marjoram_spread_announced (spread, 0, "b", 2);
   ck_assert_int_eq (record.asks, 1);
-  marjoram_spread_lost (spread, 10, "a");
+  marjoram_spread_disconnected (spread, 10, "a");
   ck_assert_int_eq (record.asks, 2);
-  marjoram_spread_lost (spread, 20, "b");
+  marjoram_spread_disconnected (spread, 20, "b");
   marjoram_spread_tick (spread, 5000);
   ck_assert_int_eq (record.asks, 2);
-  marjoram_spread_heard (spread, 6000, "a", 2);
+  marjoram_spread_announced (spread, 6000, "a", 2);
   ck_assert_int_eq (record.asks, 3);
   marjoram_spread_destroy (spread);
 }
@@ -734,17 +734,17 @@
 
 /* Guards against permanent congestion by requests repeated at a fixed
    interval.  */
-START_TEST (asks_again_after_doubled_waits)
+START_TEST (timeout_doubles_without_response)
 {
   struct record record = { 0 };
   marjoram_spread *spread
       = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
 
-  marjoram_spread_heard (spread, 0, "a", 2);
+  marjoram_spread_announced (spread, 0, "a", 2);
   for (int64_t now = 0; now < 20000; now += 50)
     {
       if (now % HEARTBEAT_MS == 0)
-        marjoram_spread_heard (spread, now, "a", 2);
+        marjoram_spread_announced (spread, now, "a", 2);
       marjoram_spread_tick (spread, now);
     }
   /* Repeated at 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s.  */
@@ -755,7 +755,7 @@
 END_TEST
 
 /* Guards against congestion by repeated transfers of a rejected state.  */
-START_TEST (faulty_state_is_asked_for_ever_less_often)
+START_TEST (retry_delay_grows_after_rejection)
 {
   struct record record = { 0 };
   struct marjoram_state *faulty = make_state (2);
@@ -776,7 +776,7 @@
 
 /* Guards against serving an older state than an announced one, and against
    waiting forever if no host can send that.  */
-START_TEST (waits_for_what_it_has_heard_of)
+START_TEST (waits_for_the_newest_announced_state)
 {
   static const char *const keepers[] = { "h0", "h12", "h24" };
   const struct marjoram_spread_options options = { keepers, 3 };
@@ -785,10 +785,10 @@
   marjoram_spread *a
       = marjoram_spread_create (&options, &recording_ops, &record, 0);
 
-  marjoram_spread_heard (a, 10, "neighbour", 2);
-  marjoram_spread_local (a, 20, state);
+  marjoram_spread_announced (a, 10, "neighbour", 2);
+  marjoram_spread_set_local (a, 20, state);
   for (int i = 0; i < 3; i++)
-    marjoram_spread_heard (a, 30, keepers[i], 1);
+    marjoram_spread_announced (a, 30, keepers[i], 1);
   ck_assert (!marjoram_spread_ready (a));
   marjoram_spread_tick (a, 9000);
   ck_assert (!marjoram_spread_ready (a));
@@ -807,17 +807,17 @@
 
   tcase_set_timeout (c, 60);
   tcase_add_loop_test (c, reaches_all_hosts, 0, SEEDS);
-  tcase_add_test (c, restarted_host_serves_only_by_the_highest);
-  tcase_add_test (c, cut_off_zone_serves_and_catches_up);
+  tcase_add_test (c, restarted_host_serves_only_the_newest_state);
+  tcase_add_test (c, partitioned_zone_serves_and_catches_up);
   tcase_add_test (c, slow_host_gets_a_large_state_once);
   tcase_add_test (c, slow_host_keeps_up_with_changes);
-  tcase_add_test (c, waits_for_what_it_has_heard_of);
-  tcase_add_test (c, gives_what_is_lacking);
-  tcase_add_test (c, checks_what_is_given);
-  tcase_add_test (c, takes_no_difference_from_another_state);
-  tcase_add_test (c, another_is_asked_at_once_if_the_link_breaks);
-  tcase_add_test (c, asks_again_after_doubled_waits);
-  tcase_add_test (c, faulty_state_is_asked_for_ever_less_often);
+  tcase_add_test (c, waits_for_the_newest_announced_state);
+  tcase_add_test (c, sends_only_the_delta);
+  tcase_add_test (c, rejects_invalid_states);
+  tcase_add_test (c, rejects_delta_against_another_state);
+  tcase_add_test (c, another_peer_is_asked_after_disconnection);
+  tcase_add_test (c, timeout_doubles_without_response);
+  tcase_add_test (c, retry_delay_grows_after_rejection);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_state.c
+++ b/test/test_state.c
@@ -47,8 +47,8 @@
   ck_assert_uint_eq (copy->files.count, 1);
   ck_assert_uint_eq (marjoram_state_file (copy, "a.ini")->version, 4);
   ck_assert_ptr_null (marjoram_state_file (copy, "b.ini"));
-  ck_assert (marjoram_voters_hold (&copy->members, "k1", "s1"));
-  ck_assert (!marjoram_voters_hold (&copy->members, "k1", "s2"));
+  ck_assert (marjoram_voters_contain (&copy->members, "k1", "s1"));
+  ck_assert (!marjoram_voters_contain (&copy->members, "k1", "s2"));
   marjoram_bytes_release (packed);
   marjoram_bytes_release (repacked);
   marjoram_state_destroy (copy);
--- a/test/test_state_transfer.c
+++ b/test/test_state_transfer.c
@@ -35,7 +35,7 @@
   size_t bytes;         /* of all received pieces */
   int outstanding_asks; /* unanswered requests after the last one */
   uint64_t number;
-  struct marjoram_fetch_facts facts;
+  struct marjoram_fetch_stats facts;
   char keeper[16]; /* source of the last transfer */
   int failures;
 };
@@ -56,7 +56,7 @@
 
 static void
 op_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_facts *facts)
+            const struct marjoram_fetch_stats *facts)
 {
   (void)context;
   w.number = state->number;
@@ -65,7 +65,7 @@
 }
 
 static void
-op_failed (void *context, const struct marjoram_fetch_facts *facts,
+op_failed (void *context, const struct marjoram_fetch_stats *facts,
            const struct marjoram_error *err)
 {
   (void)context;
@@ -78,7 +78,7 @@
     = { .ask = op_ask, .fetched = op_fetched, .failed = op_failed };
 
 static const struct marjoram_state_fetch_options options
-    = { .stalled_ms = 2000, .stalled_max_ms = 8000 };
+    = { .piece_timeout_ms = 2000, .piece_timeout_max_ms = 8000 };
 
 /* Returns state NUMBER with ROUTES routes, whose names compress badly.  The
    first route has TIMEOUT.  */
@@ -128,9 +128,9 @@
 static void
 announce (int keeper)
 {
-  marjoram_state_fetch_heard (w.fetch, w.now, name_of (keeper),
-                              keeper < LOCAL_KEEPERS,
-                              marjoram_state_giver_number (w.givers[keeper]));
+  marjoram_state_fetch_announced (
+      w.fetch, w.now, name_of (keeper), keeper < LOCAL_KEEPERS,
+      marjoram_state_giver_number (w.givers[keeper]));
 }
 
 static void
@@ -142,7 +142,8 @@
   w.asked = -1;
   ck_assert (marjoram_state_giver_answer (w.givers[keeper], &w.ask, &piece));
   w.bytes += marjoram_bytes_size (piece.bytes);
-  marjoram_state_fetch_piece (w.fetch, w.now, name_of (keeper), &piece);
+  marjoram_state_fetch_receive_piece (w.fetch, w.now, name_of (keeper),
+                                      &piece);
   marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
 }
 
@@ -182,7 +183,7 @@
 
 /* Guards against duplicate transfers that congest a slow link: however often
    keepers announce a state, it is sent once, one piece at a time.  */
-START_TEST (state_is_on_its_way_once)
+START_TEST (state_is_transferred_once)
 {
   size_t size;
 
@@ -203,7 +204,7 @@
 END_TEST
 
 /* Guards against a transfer that uses more than half of a slow link.  */
-START_TEST (host_rests_as_long_as_a_piece_took)
+START_TEST (host_pauses_as_long_as_a_piece_took)
 {
   choose (1, 10, 500);
   run (SECONDS (1), 0, 1);
@@ -219,7 +220,7 @@
 
 /* Guards against a delayed start: a host without a state fetches it at full
    speed.  */
-START_TEST (new_host_does_not_rest)
+START_TEST (new_host_does_not_pause)
 {
   int64_t began = w.now;
 
@@ -232,7 +233,7 @@
 }
 END_TEST
 
-START_TEST (one_changed_route_costs_little)
+START_TEST (one_changed_route_needs_a_small_delta)
 {
   choose (1, 5600, 500);
   run (SECONDS (10), 0, 1);
@@ -247,7 +248,7 @@
 
 /* A keeper of another region is asked only if none of the host's own region
    announces the state.  */
-START_TEST (far_keeper_is_asked_if_no_near_one_offers)
+START_TEST (remote_keeper_is_asked_if_no_local_one_announces)
 {
   choose (1, 10, 500);
   announce (LOCAL_KEEPERS);
@@ -258,7 +259,7 @@
 }
 END_TEST
 
-START_TEST (near_keeper_is_asked_at_once)
+START_TEST (local_keeper_is_asked_at_once)
 {
   choose (1, 10, 500);
   announce (LOCAL_KEEPERS);
@@ -269,7 +270,7 @@
 END_TEST
 
 /* Guards against a transfer that ends when its keeper fails.  */
-START_TEST (another_keeper_goes_on)
+START_TEST (another_keeper_resumes_transfer)
 {
   choose (2, 4200, 500);
   w.piece_ms = 100;
@@ -277,7 +278,7 @@
   run (150, 0, 0);
   ck_assert_int_gt (w.asks, 1);
   w.asked = -1;
-  marjoram_state_fetch_lost (w.fetch, "k0");
+  marjoram_state_fetch_disconnected (w.fetch, "k0");
   run (SECONDS (5), 1, 1);
   ck_assert_uint_eq (w.number, 2);
   ck_assert_str_eq (w.keeper, "k1");
@@ -286,7 +287,7 @@
 
 /* Guards against repeated transfer of received pieces over an unstable
    link.  */
-START_TEST (break_costs_no_piece_that_came)
+START_TEST (disconnection_keeps_received_pieces)
 {
   choose (2, 4200, 500);
   w.piece_ms = 100;
@@ -294,7 +295,7 @@
   run (350, 0, 0);
   ck_assert_uint_gt (w.bytes, MARJORAM_STATE_PIECE_MAX);
   w.asked = -1;
-  marjoram_state_fetch_lost (w.fetch, "k0");
+  marjoram_state_fetch_disconnected (w.fetch, "k0");
   run (SECONDS (5), 1, 1);
   ck_assert_uint_eq (w.number, 2);
   ck_assert_uint_eq (w.bytes, w.facts.bytes);
@@ -302,7 +303,7 @@
 END_TEST
 
 /* The second keeper lacks the base, and so encodes the state differently.  */
-START_TEST (pieces_of_two_packs_are_not_mixed)
+START_TEST (pieces_of_two_encodings_are_not_mixed)
 {
   struct marjoram_state *state = make_state (2, 4200, 500);
 
@@ -318,7 +319,7 @@
   run (350, 0, 0);
   ck_assert_uint_gt (w.bytes, MARJORAM_STATE_PIECE_MAX);
   w.asked = -1;
-  marjoram_state_fetch_lost (w.fetch, "k0");
+  marjoram_state_fetch_disconnected (w.fetch, "k0");
   run (SECONDS (5), 1, 1);
   ck_assert_uint_eq (w.number, 2);
   ck_assert_uint_eq (w.facts.base, 0);
@@ -328,7 +329,7 @@
 
 /* Guards against discarding a late piece that was requested again from another
    keeper, which would add to the congestion that delayed it.  */
-START_TEST (late_piece_is_taken)
+START_TEST (late_piece_is_accepted)
 {
   choose (2, 10, 500);
   announce (0);
@@ -342,7 +343,7 @@
 END_TEST
 
 /* The keeper doesn't respond, but its connection is not closed.  */
-START_TEST (stalled_keeper_is_left)
+START_TEST (stalled_keeper_is_replaced)
 {
   choose (2, 10, 500);
   announce (0);
@@ -371,7 +372,7 @@
 END_TEST
 
 /* The host's state is older than any base that the keepers have.  */
-START_TEST (old_host_gets_it_whole)
+START_TEST (outdated_host_gets_a_full_transfer)
 {
   choose (1, 10, 500);
   run (SECONDS (1), 0, 1);
@@ -385,7 +386,7 @@
 
 /* Guards against a delta from a keeper that has a different state with the
    same number.  */
-START_TEST (another_base_is_not_used)
+START_TEST (mismatched_base_is_not_used)
 {
   struct marjoram_state *other = make_state (1, 10, 999);
   struct marjoram_state *next = make_state (2, 10, 500);
@@ -406,7 +407,7 @@
 
 /* Guards against a transfer that never completes because each piece takes
    longer than the timeout.  */
-START_TEST (slow_pieces_come_in_the_end)
+START_TEST (slow_pieces_arrive_eventually)
 {
   static struct marjoram_state_ask asks[ASKS_MAX];
   static int keepers[ASKS_MAX];
@@ -450,7 +451,7 @@
 
   choose (1, 10, 500);
   announce (0);
-  marjoram_state_fetch_piece (w.fetch, w.now, "k0", &piece);
+  marjoram_state_fetch_receive_piece (w.fetch, w.now, "k0", &piece);
   ck_assert_int_eq (w.asks, 1);
   w.asked = -1;
   run (SECONDS (4), 1, 1);
@@ -491,7 +492,7 @@
 END_TEST
 
 /* An unreadable state is rejected and requested again.  */
-START_TEST (damaged_piece_is_not_taken)
+START_TEST (damaged_piece_is_rejected)
 {
   struct marjoram_state_piece piece
       = { .number = 1, .size = 4, .bytes = marjoram_bytes_create ("oops", 4) };
@@ -499,7 +500,7 @@
   choose (1, 10, 500);
   announce (0);
   w.asked = -1;
-  marjoram_state_fetch_piece (w.fetch, w.now, "k0", &piece);
+  marjoram_state_fetch_receive_piece (w.fetch, w.now, "k0", &piece);
   ck_assert_int_eq (w.failures, 1);
   ck_assert_uint_eq (w.number, 0);
   run (SECONDS (1), 0, 1);
@@ -516,24 +517,24 @@
 
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, state_is_on_its_way_once);
-  tcase_add_test (c, host_rests_as_long_as_a_piece_took);
-  tcase_add_test (c, new_host_does_not_rest);
-  tcase_add_test (c, one_changed_route_costs_little);
-  tcase_add_test (c, far_keeper_is_asked_if_no_near_one_offers);
-  tcase_add_test (c, near_keeper_is_asked_at_once);
-  tcase_add_test (c, another_keeper_goes_on);
-  tcase_add_test (c, break_costs_no_piece_that_came);
-  tcase_add_test (c, pieces_of_two_packs_are_not_mixed);
-  tcase_add_test (c, late_piece_is_taken);
-  tcase_add_test (c, stalled_keeper_is_left);
+  tcase_add_test (c, state_is_transferred_once);
+  tcase_add_test (c, host_pauses_as_long_as_a_piece_took);
+  tcase_add_test (c, new_host_does_not_pause);
+  tcase_add_test (c, one_changed_route_needs_a_small_delta);
+  tcase_add_test (c, remote_keeper_is_asked_if_no_local_one_announces);
+  tcase_add_test (c, local_keeper_is_asked_at_once);
+  tcase_add_test (c, another_keeper_resumes_transfer);
+  tcase_add_test (c, disconnection_keeps_received_pieces);
+  tcase_add_test (c, pieces_of_two_encodings_are_not_mixed);
+  tcase_add_test (c, late_piece_is_accepted);
+  tcase_add_test (c, stalled_keeper_is_replaced);
   tcase_add_test (c, newer_states_do_not_starve_a_fetch);
-  tcase_add_test (c, old_host_gets_it_whole);
-  tcase_add_test (c, another_base_is_not_used);
-  tcase_add_test (c, slow_pieces_come_in_the_end);
+  tcase_add_test (c, outdated_host_gets_a_full_transfer);
+  tcase_add_test (c, mismatched_base_is_not_used);
+  tcase_add_test (c, slow_pieces_arrive_eventually);
   tcase_add_test (c, size_over_the_limit_is_not_fetched);
   tcase_add_test (c, dropped_base_does_not_stall);
-  tcase_add_test (c, damaged_piece_is_not_taken);
+  tcase_add_test (c, damaged_piece_is_rejected);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_store.c
+++ b/test/test_store.c
@@ -127,7 +127,7 @@
 
 /* Guards against a keeper that uses a damaged record, or starts empty instead.
    The message has to name the file and the repair.  */
-START_TEST (finds_every_flipped_bit_and_every_cut)
+START_TEST (detects_every_bit_flip_and_truncation)
 {
   char good[FILE_SIZE_MAX], bad[FILE_SIZE_MAX];
   marjoram_store *store = marjoram_store_open (folder, &err);
@@ -155,7 +155,7 @@
 }
 END_TEST
 
-START_TEST (does_not_start_empty_where_a_store_was)
+START_TEST (refuses_a_folder_whose_store_is_missing)
 {
   marjoram_store_close (marjoram_store_open (folder, &err));
   unlink (path ("store"));
@@ -165,7 +165,7 @@
 
 /* Guards against loss of an acknowledged record by a power failure during the
    next write.  */
-START_TEST (keeps_the_earlier_record_when_a_write_breaks_off)
+START_TEST (keeps_the_earlier_record_when_a_write_is_interrupted)
 {
   marjoram_store *store = marjoram_store_open (folder, &err);
 
@@ -265,9 +265,9 @@
   tcase_add_checked_fixture (c, make_folder, remove_folder);
   tcase_add_test (c, keeps_id_and_record_and_grows_incarnation);
   tcase_add_test (c, refuses_a_folder_in_use);
-  tcase_add_test (c, finds_every_flipped_bit_and_every_cut);
-  tcase_add_test (c, does_not_start_empty_where_a_store_was);
-  tcase_add_test (c, keeps_the_earlier_record_when_a_write_breaks_off);
+  tcase_add_test (c, detects_every_bit_flip_and_truncation);
+  tcase_add_test (c, refuses_a_folder_whose_store_is_missing);
+  tcase_add_test (c, keeps_the_earlier_record_when_a_write_is_interrupted);
   tcase_add_test (c, size_does_not_grow_with_writes);
   tcase_add_test (c, reports_a_write_that_fails);
   tcase_add_test (c, disk_task_reports_writes_in_order_and_finishes_the_rest);
