--- a/api_test/api_test_marjoram.c
+++ b/api_test/api_test_marjoram.c
@@ -80,8 +80,8 @@
   ck_assert_uint_eq (
       marjoram_config_allowed (
           config,
-          marjoram_config_find_caller_name (config,
-                                            deployments[_i].bound_caller),
+          marjoram_config_find_caller_by_name (config,
+                                               deployments[_i].bound_caller),
           marjoram_config_find_work (config, deployments[_i].bound_work))
               >> marjoram_config_find_region (config,
                                               deployments[_i].forbidden)
--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -123,7 +123,7 @@
 
       snprintf (token, sizeof token, "0123456789abcdef0123456789-%d",
                 i % size->callers);
-      caller = marjoram_config_find_caller (config, token);
+      caller = marjoram_config_find_caller_by_token (config, token);
       sum += marjoram_config_allowed (config, caller, i % size->works);
     }
   print ("admit_lookup", size, (double)(now_ns () - start) / LOOKUPS, "ns");
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -127,7 +127,8 @@
   const struct marjoram_call *call = request->call;
 
   memset (q, 0, sizeof *q);
-  q->caller = marjoram_config_find_caller_name (host->config, request->caller);
+  q->caller
+      = marjoram_config_find_caller_by_name (host->config, request->caller);
   q->work = marjoram_config_find_work (host->config, call->work);
   q->class = call->class;
   q->deadline = request->deadline;
--- a/src/config.c
+++ b/src/config.c
@@ -332,7 +332,7 @@
 }
 
 bool
-marjoram_config_fences (const marjoram_config *config, int work)
+marjoram_config_supports_fencing (const marjoram_config *config, int work)
 {
   const struct marjoram_upstream_class *class = marjoram_config_work_class (
       config, work);
@@ -365,14 +365,15 @@
 }
 
 int
-marjoram_config_find_caller (const marjoram_config *config, const char *token)
+marjoram_config_find_caller_by_token (const marjoram_config *config,
+                                      const char *token)
 {
   return find_in_table (&config->tokens, token);
 }
 
 int
-marjoram_config_find_caller_name (const marjoram_config *config,
-                                  const char *name)
+marjoram_config_find_caller_by_name (const marjoram_config *config,
+                                     const char *name)
 {
   return find_in_table (&config->caller_names, name);
 }
--- a/src/config.h
+++ b/src/config.h
@@ -122,7 +122,8 @@
 marjoram_config_work_class (const marjoram_config *config, int work);
 /* Whether engines that run WORK can be trusted to reject orders with a stale
    fencing number.  The engine must also announce support.  */
-bool marjoram_config_fences (const marjoram_config *config, int work);
+bool marjoram_config_supports_fencing (const marjoram_config *config,
+                                       int work);
 
 /* Hash lookups by name or token.  Return the index, or -1 if there is no
    match.  */
@@ -134,10 +135,10 @@
                                const char *name);
 int marjoram_config_find_work (const marjoram_config *config,
                                const char *name);
-int marjoram_config_find_caller (const marjoram_config *config,
-                                 const char *token);
-int marjoram_config_find_caller_name (const marjoram_config *config,
-                                      const char *name);
+int marjoram_config_find_caller_by_token (const marjoram_config *config,
+                                          const char *token);
+int marjoram_config_find_caller_by_name (const marjoram_config *config,
+                                         const char *name);
 
 /* The mask of regions where CALLER's request for WORK may run.  */
 uint64_t marjoram_config_allowed (const marjoram_config *config, int caller,
--- a/src/config_check.c
+++ b/src/config_check.c
@@ -44,7 +44,7 @@
 {
   uint64_t set = 0;
 
-  if (names->count == 0 || marjoram_names_all (names))
+  if (names->count == 0 || marjoram_names_is_all (names))
     return UINT64_MAX;
   for (size_t i = 0; i < names->count; i++)
     {
@@ -151,7 +151,7 @@
 check_addresses (struct marjoram_draft *draft, marjoram_faults *faults)
 {
   size_t slots = marjoram_draft_count (draft, MARJORAM_DRAFT_SLOT);
-  struct marjoram_draft_text *texts
+  struct marjoram_draft_unique_value *texts
       = marjoram_alloc (2 * slots * sizeof *texts);
   size_t count = 0;
 
@@ -164,10 +164,10 @@
 
       for (size_t k = 0; k < 2; k++)
         if (addresses[k])
-          texts[count++]
-              = (struct marjoram_draft_text){ addresses[k], &slot->head };
+          texts[count++] = (struct marjoram_draft_unique_value){ addresses[k],
+                                                                 &slot->head };
     }
-  marjoram_draft_unique (texts, count, "address", true, faults);
+  marjoram_draft_check_unique (texts, count, "address", true, faults);
   free (texts);
 }
 
@@ -265,7 +265,8 @@
 check_tokens (struct marjoram_draft *draft, marjoram_faults *faults)
 {
   size_t callers = marjoram_draft_count (draft, MARJORAM_DRAFT_CALLER);
-  struct marjoram_draft_text *texts = marjoram_alloc (callers * sizeof *texts);
+  struct marjoram_draft_unique_value *texts
+      = marjoram_alloc (callers * sizeof *texts);
   size_t count = 0;
 
   for (size_t i = 0; i < callers; i++)
@@ -274,10 +275,11 @@
           = marjoram_draft_at (draft, MARJORAM_DRAFT_CALLER, i);
 
       if (caller->value.token)
-        texts[count++] = (struct marjoram_draft_text){ caller->value.token,
-                                                       &caller->head };
+        texts[count++]
+            = (struct marjoram_draft_unique_value){ caller->value.token,
+                                                    &caller->head };
     }
-  marjoram_draft_unique (texts, count, "token", false, faults);
+  marjoram_draft_check_unique (texts, count, "token", false, faults);
   free (texts);
 }
 
@@ -322,7 +324,7 @@
 {
   struct index_list list = { NULL, 0 };
 
-  if (names->count == 0 || marjoram_names_all (names))
+  if (names->count == 0 || marjoram_names_is_all (names))
     return list;
   list.items = marjoram_alloc (names->count * sizeof *list.items);
   for (size_t i = 0; i < names->count; i++)
--- a/src/config_draft.c
+++ b/src/config_draft.c
@@ -31,33 +31,35 @@
 };
 
 static const struct marjoram_ini_key model_keys[] = {
-  { "regions", MARJORAM_INI_NAMES, FIELD (work, regions), "all", 0, 0, NULL },
-  { "deadline_ms", MARJORAM_INI_WHOLE, FIELD (work, value.deadline_ms),
+  { "regions", MARJORAM_INI_NAME_LIST, FIELD (work, regions), "all", 0, 0,
+    NULL },
+  { "deadline_ms", MARJORAM_INI_INT64, FIELD (work, value.deadline_ms),
     "30000", 1, DAY_MS, NULL },
-  { "prefill_rate", MARJORAM_INI_REAL, FIELD (work, value.prefill_rate),
+  { "prefill_rate", MARJORAM_INI_DOUBLE, FIELD (work, value.prefill_rate),
     "2000", 0.01, RATE_MAX, NULL },
-  { "decode_rate", MARJORAM_INI_REAL, FIELD (work, value.decode_rate), "30",
+  { "decode_rate", MARJORAM_INI_DOUBLE, FIELD (work, value.decode_rate), "30",
     0.01, RATE_MAX, NULL },
-  { "load_ms", MARJORAM_INI_WHOLE, FIELD (work, value.load_ms), "60000", 0,
+  { "load_ms", MARJORAM_INI_INT64, FIELD (work, value.load_ms), "60000", 0,
     DAY_MS, NULL },
-  { "copies", MARJORAM_INI_COUNT, FIELD (work, value.copies), "1", 0,
-    COPIES_MAX, NULL },
+  { "copies", MARJORAM_INI_INT, FIELD (work, value.copies), "1", 0, COPIES_MAX,
+    NULL },
 };
 
 static const struct marjoram_ini_key service_keys[] = {
-  { "regions", MARJORAM_INI_NAMES, FIELD (work, regions), "all", 0, 0, NULL },
-  { "deadline_ms", MARJORAM_INI_WHOLE, FIELD (work, value.deadline_ms), "5000",
+  { "regions", MARJORAM_INI_NAME_LIST, FIELD (work, regions), "all", 0, 0,
+    NULL },
+  { "deadline_ms", MARJORAM_INI_INT64, FIELD (work, value.deadline_ms), "5000",
     1, DAY_MS, NULL },
-  { "copies", MARJORAM_INI_COUNT, FIELD (work, value.copies), "1", 0,
-    COPIES_MAX, NULL },
+  { "copies", MARJORAM_INI_INT, FIELD (work, value.copies), "1", 0, COPIES_MAX,
+    NULL },
 };
 
 static const char *const class_words[] = { "service", "engine", NULL };
 
 static const struct marjoram_ini_key class_keys[] = {
-  { "kind", MARJORAM_INI_WORD, FIELD (class, value.kind), NULL, 0, 0,
+  { "kind", MARJORAM_INI_ENUM, FIELD (class, value.kind), NULL, 0, 0,
     class_words },
-  { "works", MARJORAM_INI_NAMES, FIELD (class, works), NULL, 0, 0, NULL },
+  { "works", MARJORAM_INI_NAME_LIST, FIELD (class, works), NULL, 0, 0, NULL },
   { "fences", MARJORAM_INI_BOOL, FIELD (class, value.fences), "no", 0, 0,
     NULL },
 };
@@ -66,20 +68,22 @@
   { "token", MARJORAM_INI_TEXT, FIELD (caller, value.token), NULL, TOKEN_MIN,
     TOKEN_MAX, NULL },
   { "home", MARJORAM_INI_LABEL, FIELD (caller, home), NULL, 0, 0, NULL },
-  { "regions", MARJORAM_INI_NAMES, FIELD (caller, regions), "all", 0, 0,
+  { "regions", MARJORAM_INI_NAME_LIST, FIELD (caller, regions), "all", 0, 0,
     NULL },
-  { "rate", MARJORAM_INI_REAL, FIELD (caller, value.rate), NULL, 0.001,
+  { "rate", MARJORAM_INI_DOUBLE, FIELD (caller, value.rate), NULL, 0.001,
     RATE_MAX, NULL },
-  { "burst", MARJORAM_INI_REAL, FIELD (caller, value.burst), "", 1, RATE_MAX,
-    NULL },
-  { "weight", MARJORAM_INI_REAL, FIELD (caller, value.weight), "1", 0.01, 1000,
+  { "burst", MARJORAM_INI_DOUBLE, FIELD (caller, value.burst), "", 1, RATE_MAX,
     NULL },
+  { "weight", MARJORAM_INI_DOUBLE, FIELD (caller, value.weight), "1", 0.01,
+    1000, NULL },
 };
 
 static const struct marjoram_ini_key rule_keys[] = {
-  { "callers", MARJORAM_INI_NAMES, FIELD (rule, callers), "all", 0, 0, NULL },
-  { "works", MARJORAM_INI_NAMES, FIELD (rule, works), "all", 0, 0, NULL },
-  { "regions", MARJORAM_INI_NAMES, FIELD (rule, regions), NULL, 0, 0, NULL },
+  { "callers", MARJORAM_INI_NAME_LIST, FIELD (rule, callers), "all", 0, 0,
+    NULL },
+  { "works", MARJORAM_INI_NAME_LIST, FIELD (rule, works), "all", 0, 0, NULL },
+  { "regions", MARJORAM_INI_NAME_LIST, FIELD (rule, regions), NULL, 0, 0,
+    NULL },
 };
 
 /* Names of regions, zones and slots can't contain dots, which separate the
@@ -112,7 +116,7 @@
   const char *name; /* for error messages */
   size_t size;
   size_t max_count;
-} lists[MARJORAM_DRAFT_KINDS] = {
+} lists[MARJORAM_DRAFT_KIND_COUNT] = {
   { "cluster", sizeof (struct marjoram_draft_head), 1 },
   { "region", sizeof (struct marjoram_draft_region), MARJORAM_REGIONS_MAX },
   { "zone", sizeof (struct marjoram_draft_zone), MARJORAM_ZONES_MAX },
@@ -218,7 +222,7 @@
   marjoram_auto_free char *name = NULL;
   uint64_t version;
 
-  marjoram_config_file_head (file, &name, &version, faults);
+  marjoram_config_file_header (file, &name, &version, faults);
   if (name && strcmp (name, source->name) != 0)
     marjoram_faults_add (faults, file->path,
                          marjoram_ini_line (section, "name"),
@@ -276,8 +280,8 @@
 static int
 compare_texts (const void *a, const void *b)
 {
-  const struct marjoram_draft_text *x = a;
-  const struct marjoram_draft_text *y = b;
+  const struct marjoram_draft_unique_value *x = a;
+  const struct marjoram_draft_unique_value *y = b;
   int order = strcmp (x->text, y->text);
 
   if (order == 0)
@@ -286,8 +290,9 @@
 }
 
 void
-marjoram_draft_unique (struct marjoram_draft_text *texts, size_t count,
-                       const char *what, bool shown, marjoram_faults *faults)
+marjoram_draft_check_unique (struct marjoram_draft_unique_value *texts,
+                             size_t count, const char *what, bool shown,
+                             marjoram_faults *faults)
 {
   if (count == 0)
     return;
@@ -307,7 +312,7 @@
             marjoram_faults *faults)
 {
   struct marjoram_draft_list *list = &draft->lists[kind];
-  struct marjoram_draft_text *texts;
+  struct marjoram_draft_unique_value *texts;
 
   if (list->count == 0)
     return;
@@ -319,7 +324,7 @@
       texts[i].head = marjoram_draft_at (draft, kind, i);
       texts[i].text = texts[i].head->name;
     }
-  marjoram_draft_unique (texts, list->count, "name", true, faults);
+  marjoram_draft_check_unique (texts, list->count, "name", true, faults);
   if (list->count > lists[kind].max_count)
     {
       const struct marjoram_draft_head *head
@@ -343,7 +348,7 @@
   draft->files = marjoram_alloc (state->files.count * sizeof (void *));
   for (size_t i = 0; i < state->files.count; i++)
     read_file (draft, &files[i], faults);
-  for (int kind = 0; kind < MARJORAM_DRAFT_KINDS; kind++)
+  for (int kind = 0; kind < MARJORAM_DRAFT_KIND_COUNT; kind++)
     check_list (draft, (enum marjoram_draft_kind)kind, faults);
   return draft;
 }
@@ -394,7 +399,7 @@
 {
   if (!draft)
     return;
-  for (int kind = 0; kind < MARJORAM_DRAFT_KINDS; kind++)
+  for (int kind = 0; kind < MARJORAM_DRAFT_KIND_COUNT; kind++)
     clear_list (draft, (enum marjoram_draft_kind)kind);
   for (size_t i = 0; i < draft->file_count; i++)
     marjoram_ini_destroy (draft->files[i]);
--- a/src/config_draft.h
+++ b/src/config_draft.h
@@ -19,7 +19,7 @@
   MARJORAM_DRAFT_CLASS,
   MARJORAM_DRAFT_CALLER,
   MARJORAM_DRAFT_RULE,
-  MARJORAM_DRAFT_KINDS
+  MARJORAM_DRAFT_KIND_COUNT
 };
 
 /* Name and source location; the first member of each item.  */
@@ -90,7 +90,7 @@
 {
   struct marjoram_ini_file **files;
   size_t file_count;
-  struct marjoram_draft_list lists[MARJORAM_DRAFT_KINDS];
+  struct marjoram_draft_list lists[MARJORAM_DRAFT_KIND_COUNT];
   marjoram_residency *residency; /* created by marjoram_draft_check */
   int *work_classes;             /* index of each work's class, or -1 */
 };
@@ -113,16 +113,16 @@
                          enum marjoram_draft_kind kind, const char *name);
 
 /* A value that must be unique, and the item that it belongs to.  */
-struct marjoram_draft_text
+struct marjoram_draft_unique_value
 {
   const char *text;
   const struct marjoram_draft_head *head;
 };
 /* Sorts TEXTS and reports each duplicate.  Error messages include the text
    only if SHOWN is set.  */
-void marjoram_draft_unique (struct marjoram_draft_text *texts, size_t count,
-                            const char *what, bool shown,
-                            marjoram_faults *faults);
+void marjoram_draft_check_unique (struct marjoram_draft_unique_value *texts,
+                                  size_t count, const char *what, bool shown,
+                                  marjoram_faults *faults);
 
 /* Cross-validates the items, resolves their references to indexes and region
    masks, and creates the draft's residency.  */
--- a/src/config_file.c
+++ b/src/config_file.c
@@ -18,7 +18,7 @@
 static const struct marjoram_ini_key file_keys[] = {
   { "name", MARJORAM_INI_NAME, offsetof (struct file_section, name), NULL, 0,
     0, NULL },
-  { "version", MARJORAM_INI_WHOLE, offsetof (struct file_section, version),
+  { "version", MARJORAM_INI_INT64, offsetof (struct file_section, version),
     NULL, 1, VERSION_MAX, NULL },
 };
 
@@ -28,8 +28,8 @@
 };
 
 void
-marjoram_config_file_head (const struct marjoram_ini_file *ini, char **name,
-                           uint64_t *version, marjoram_faults *faults)
+marjoram_config_file_header (const struct marjoram_ini_file *ini, char **name,
+                             uint64_t *version, marjoram_faults *faults)
 {
   struct file_section section = { 0 };
 
@@ -60,7 +60,7 @@
                                "%s is larger than %d bytes; split it into "
                                "several files",
                                path, MARJORAM_FILE_TEXT_MAX);
-  marjoram_config_file_head (ini, &name, &file->version, faults);
+  marjoram_config_file_header (ini, &name, &file->version, faults);
   if (!marjoram_faults_report (faults, NULL, err))
     {
       free (name);
@@ -141,7 +141,7 @@
     {
       const struct marjoram_ini_entry *entry = &section->entries[i];
       const struct marjoram_ini_entry *match
-          = marjoram_ini_find (other, entry->key);
+          = marjoram_ini_find_entry (other, entry->key);
 
       if (match && strcmp (match->value, entry->value) == 0)
         continue;
--- a/src/config_file.h
+++ b/src/config_file.h
@@ -8,9 +8,9 @@
 
 /* Reads the [file] section, which must come first.  NAME is malloc'd; an
    invalid name is returned as null, an invalid version as 0.  */
-void marjoram_config_file_head (const struct marjoram_ini_file *ini,
-                                char **name, uint64_t *version,
-                                marjoram_faults *faults);
+void marjoram_config_file_header (const struct marjoram_ini_file *ini,
+                                  char **name, uint64_t *version,
+                                  marjoram_faults *faults);
 /* Fills FILE from TEXT of SIZE bytes; PATH prefixes error messages.  Clear
    FILE with marjoram_file_layout.  Only the [file] section is validated.  */
 bool marjoram_config_file_parse (const char *path, const char *text,
--- a/src/fair.c
+++ b/src/fair.c
@@ -56,7 +56,7 @@
     {
       const char *name = marjoram_config_caller (config, i)->name;
       int old = fair->config
-                    ? marjoram_config_find_caller_name (fair->config, name)
+                    ? marjoram_config_find_caller_by_name (fair->config, name)
                     : -1;
 
       if (old >= 0)
--- a/src/forward.c
+++ b/src/forward.c
@@ -43,7 +43,7 @@
               const struct marjoram_request *request, int zone)
 {
   int caller
-      = marjoram_config_find_caller_name (host->config, request->caller);
+      = marjoram_config_find_caller_by_name (host->config, request->caller);
   int work = marjoram_config_find_work (host->config, request->call->work);
   int region = marjoram_config_zone (host->config, zone)->region;
 
--- a/src/gateway_settings.c
+++ b/src/gateway_settings.c
@@ -21,7 +21,7 @@
 static const char *const roles[] = { "entry", "keeper", NULL };
 
 static const struct marjoram_ini_key gateway_keys[] = {
-  { "role", MARJORAM_INI_WORD, FIELD (role), NULL, 0, 0, roles },
+  { "role", MARJORAM_INI_ENUM, FIELD (role), NULL, 0, 0, roles },
   { "name", MARJORAM_INI_NAME, FIELD (name), NULL, 0, 0, NULL },
   { "ip", MARJORAM_INI_NAME, FIELD (ip), NULL, 0, 0, NULL },
   { "zone", MARJORAM_INI_LABEL, FIELD (zone), NULL, 0, 0, NULL },
@@ -42,17 +42,17 @@
 
 /* Default repeat budget: 20 % of the requests plus 10 in 10 s.  */
 static const struct marjoram_ini_key limit_keys[] = {
-  { "repeat_ratio", MARJORAM_INI_REAL, FIELD (repeat_ratio), "0.2", 0, 1,
+  { "repeat_ratio", MARJORAM_INI_DOUBLE, FIELD (repeat_ratio), "0.2", 0, 1,
     NULL },
-  { "repeat_allowance", MARJORAM_INI_REAL, FIELD (repeat_allowance), "10", 0,
+  { "repeat_allowance", MARJORAM_INI_DOUBLE, FIELD (repeat_allowance), "10", 0,
     ALLOWANCE_MAX, NULL },
-  { "repeat_window_ms", MARJORAM_INI_WHOLE, FIELD (repeat_window_ms), "10000",
+  { "repeat_window_ms", MARJORAM_INI_INT64, FIELD (repeat_window_ms), "10000",
     100, HOUR_MS, NULL },
-  { "drain_limit_ms", MARJORAM_INI_WHOLE, FIELD (drain_limit_ms), "8000", 1000,
+  { "drain_limit_ms", MARJORAM_INI_INT64, FIELD (drain_limit_ms), "8000", 1000,
     HOUR_MS, NULL },
-  { "lookup_valid_s", MARJORAM_INI_WHOLE, FIELD (lookup_valid_s), "2", 1,
+  { "lookup_valid_s", MARJORAM_INI_INT64, FIELD (lookup_valid_s), "2", 1,
     LOOKUP_VALID_MAX_S, NULL },
-  { "disk_losses", MARJORAM_INI_WHOLE, FIELD (disk_losses), "1", 0,
+  { "disk_losses", MARJORAM_INI_INT64, FIELD (disk_losses), "1", 0,
     DISK_LOSSES_MAX, NULL },
 };
 
@@ -101,7 +101,7 @@
   const struct marjoram_ini_section *section
       = marjoram_ini_section (file, "seeds");
   const struct marjoram_ini_entry *entry
-      = section ? marjoram_ini_find (section, "keepers") : NULL;
+      = section ? marjoram_ini_find_entry (section, "keepers") : NULL;
   struct marjoram_names names;
 
   if (!entry)
--- a/src/host_caller.c
+++ b/src/host_caller.c
@@ -71,7 +71,7 @@
   if (host->requests->count > host->settings->max_requests)
     return MARJORAM_REASON_OVERLOAD;
   *retry_ms = 0;
-  caller = marjoram_config_find_caller (host->config, call->token);
+  caller = marjoram_config_find_caller_by_token (host->config, call->token);
   if (caller < 0)
     return MARJORAM_REASON_UNKNOWN_CALLER;
   work = marjoram_config_find_work (host->config, call->work);
--- a/src/ini_file.c
+++ b/src/ini_file.c
@@ -119,7 +119,7 @@
 
   if (!close)
     return "a section header without closing bracket; write [NAME]";
-  if (close - line - 1 > MARJORAM_INI_WORD_MAX)
+  if (close - line - 1 > MARJORAM_INI_NAME_MAX)
     return "the section header is longer than 48 characters; shorten the name";
   for (const char *p = close + 1; p < line + length; p++)
     {
@@ -139,7 +139,7 @@
 
   while (key < length && line[key] != '=' && line[key] != ':')
     key++;
-  if (key > MARJORAM_INI_WORD_MAX)
+  if (key > MARJORAM_INI_NAME_MAX)
     return "the key is longer than 48 characters; use one of the documented "
            "keys";
   if (line[0] == ']')
@@ -269,7 +269,8 @@
 }
 
 const struct marjoram_ini_entry *
-marjoram_ini_find (const struct marjoram_ini_section *section, const char *key)
+marjoram_ini_find_entry (const struct marjoram_ini_section *section,
+                         const char *key)
 {
   for (size_t i = 0; i < section->entry_count; i++)
     if (strcmp (section->entries[i].key, key) == 0)
@@ -280,7 +281,8 @@
 int
 marjoram_ini_line (const struct marjoram_ini_section *section, const char *key)
 {
-  const struct marjoram_ini_entry *entry = marjoram_ini_find (section, key);
+  const struct marjoram_ini_entry *entry
+      = marjoram_ini_find_entry (section, key);
 
   return entry ? entry->line : section->line;
 }
--- a/src/ini_file.h
+++ b/src/ini_file.h
@@ -12,7 +12,7 @@
 {
   /* Maximum length of section headers and keys.  inih silently truncates
      longer ones, so they are rejected before it reads them.  */
-  MARJORAM_INI_WORD_MAX = 48,
+  MARJORAM_INI_NAME_MAX = 48,
   MARJORAM_INI_LINE_MAX = 8000,
   /* Maximum size of a settings file in bytes; bounds memory use if the path
      names the wrong file.  */
@@ -60,8 +60,8 @@
 marjoram_ini_section (const struct marjoram_ini_file *file, const char *kind);
 /* The first entry of KEY, or null.  */
 const struct marjoram_ini_entry *
-marjoram_ini_find (const struct marjoram_ini_section *section,
-                   const char *key);
+marjoram_ini_find_entry (const struct marjoram_ini_section *section,
+                         const char *key);
 /* The line of KEY, or of the section if KEY is missing.  */
 int marjoram_ini_line (const struct marjoram_ini_section *section,
                        const char *key);
--- a/src/ini_key.c
+++ b/src/ini_key.c
@@ -14,7 +14,7 @@
 {
   size_t length = strlen (text);
 
-  if (length == 0 || length > MARJORAM_INI_WORD_MAX
+  if (length == 0 || length > MARJORAM_INI_NAME_MAX
       || !isalnum ((unsigned char)text[0]))
     return false;
   for (size_t i = 0; i < length; i++)
@@ -64,7 +64,7 @@
 }
 
 bool
-marjoram_names_all (const struct marjoram_names *names)
+marjoram_names_is_all (const struct marjoram_names *names)
 {
   return names->count == 1 && strcmp (names->items[0], "all") == 0;
 }
@@ -240,22 +240,22 @@
       if (read_number (r, true, true, &number))
         *(size_t *)field = (size_t)number;
       break;
-    case MARJORAM_INI_WHOLE:
+    case MARJORAM_INI_INT64:
       if (read_number (r, true, false, &number))
         *(int64_t *)field = (int64_t)number;
       break;
-    case MARJORAM_INI_COUNT:
+    case MARJORAM_INI_INT:
       if (read_number (r, true, false, &number))
         *(int *)field = (int)number;
       break;
-    case MARJORAM_INI_REAL:
+    case MARJORAM_INI_DOUBLE:
       if (read_number (r, false, false, &number))
         *(double *)field = number;
       break;
-    case MARJORAM_INI_WORD:
+    case MARJORAM_INI_ENUM:
       read_enum (r, (int *)field);
       break;
-    case MARJORAM_INI_NAMES:
+    case MARJORAM_INI_NAME_LIST:
       read_names (r, (struct marjoram_names *)field);
       break;
     }
@@ -301,7 +301,7 @@
     {
       const struct marjoram_ini_entry *entry = &section->entries[i];
       const struct marjoram_ini_entry *first
-          = marjoram_ini_find (section, entry->key);
+          = marjoram_ini_find_entry (section, entry->key);
 
       if (!find_key (keys, count, entry->key))
         report_unknown_key (file, section, entry, keys, count, faults);
@@ -323,7 +323,7 @@
   for (size_t i = 0; i < key_count; i++)
     {
       const struct marjoram_ini_entry *entry
-          = marjoram_ini_find (section, keys[i].name);
+          = marjoram_ini_find_entry (section, keys[i].name);
       struct value_context r
           = { file, &keys[i], keys[i].default_value,
               marjoram_ini_line (section, keys[i].name), faults };
@@ -356,7 +356,7 @@
         case MARJORAM_INI_ADDRESS:
           set_text ((char **)field, NULL);
           break;
-        case MARJORAM_INI_NAMES:
+        case MARJORAM_INI_NAME_LIST:
           marjoram_names_clear ((struct marjoram_names *)field);
           break;
         default:
--- a/src/ini_key.h
+++ b/src/ini_key.h
@@ -10,17 +10,17 @@
 
 enum marjoram_ini_type
 {
-  MARJORAM_INI_NAME,    /* char *, letters, digits and ._- */
-  MARJORAM_INI_LABEL,   /* char *, as NAME but without dots */
-  MARJORAM_INI_TEXT,    /* char * */
-  MARJORAM_INI_ADDRESS, /* char *, IP:port in canonical form */
-  MARJORAM_INI_BOOL,    /* bool, yes or no */
-  MARJORAM_INI_SIZE,    /* size_t, optional suffix k or M */
-  MARJORAM_INI_WHOLE,   /* int64_t */
-  MARJORAM_INI_COUNT,   /* int */
-  MARJORAM_INI_REAL,    /* double */
-  MARJORAM_INI_WORD,    /* int, index in enum_names */
-  MARJORAM_INI_NAMES    /* struct marjoram_names, separated by commas */
+  MARJORAM_INI_NAME,     /* char *, letters, digits and ._- */
+  MARJORAM_INI_LABEL,    /* char *, as NAME but without dots */
+  MARJORAM_INI_TEXT,     /* char * */
+  MARJORAM_INI_ADDRESS,  /* char *, IP:port in canonical form */
+  MARJORAM_INI_BOOL,     /* bool, yes or no */
+  MARJORAM_INI_SIZE,     /* size_t, optional suffix k or M */
+  MARJORAM_INI_INT64,    /* int64_t */
+  MARJORAM_INI_INT,      /* int */
+  MARJORAM_INI_DOUBLE,   /* double */
+  MARJORAM_INI_ENUM,     /* int, index in enum_names */
+  MARJORAM_INI_NAME_LIST /* struct marjoram_names, separated by commas */
 };
 
 /* A list of names, null-terminated.  */
@@ -57,6 +57,6 @@
 struct marjoram_names marjoram_names_parse (const char *text);
 void marjoram_names_clear (struct marjoram_names *names);
 /* Whether the list consists of the single name "all".  */
-bool marjoram_names_all (const struct marjoram_names *names);
+bool marjoram_names_is_all (const struct marjoram_names *names);
 
 #endif
--- a/src/limit.c
+++ b/src/limit.c
@@ -120,7 +120,7 @@
     {
       const struct marjoram_caller *caller
           = marjoram_config_caller (config, i);
-      int old = limits->config ? marjoram_config_find_caller_name (
+      int old = limits->config ? marjoram_config_find_caller_by_name (
                     limits->config, caller->name)
                                : -1;
 
@@ -345,7 +345,7 @@
       = marjoram_alloc ((usages->count + 1) * sizeof *source->reports);
   for (size_t i = 0; i < usages->count; i++)
     {
-      int caller = items[i].caller ? marjoram_config_find_caller_name (
+      int caller = items[i].caller ? marjoram_config_find_caller_by_name (
                        limits->config, items[i].caller)
                                    : -1;
 
--- a/src/place.c
+++ b/src/place.c
@@ -242,7 +242,8 @@
 fence_for (const marjoram_config *config, const marjoram_orders *orders,
            int64_t now, int work, const struct marjoram_announcement *engine)
 {
-  bool enforced = engine->fences && marjoram_config_fences (config, work);
+  bool enforced
+      = engine->fences && marjoram_config_supports_fencing (config, work);
 
   return marjoram_orders_fence (orders, now, enforced);
 }
--- a/src/relay.c
+++ b/src/relay.c
@@ -140,7 +140,7 @@
     return MARJORAM_REASON_DRAINING;
   if (!forward->caller || !forward->work || !forward->id)
     return MARJORAM_REASON_BAD_REQUEST;
-  caller = marjoram_config_find_caller_name (host->config, forward->caller);
+  caller = marjoram_config_find_caller_by_name (host->config, forward->caller);
   work = marjoram_config_find_work (host->config, forward->work);
   if (caller < 0 || work < 0)
     return MARJORAM_REASON_CONFIG_CHANGED;
--- a/src/report.c
+++ b/src/report.c
@@ -195,7 +195,7 @@
 
   if (!host->config || host->zone < 0)
     return explain_failure ("this host has no configuration yet");
-  q.caller = marjoram_config_find_caller_name (host->config, query->caller);
+  q.caller = marjoram_config_find_caller_by_name (host->config, query->caller);
   q.work = marjoram_config_find_work (host->config, query->work);
   if (q.caller < 0)
     return explain_failure ("unknown caller; use one from the callers file");
--- a/src/route_file.c
+++ b/src/route_file.c
@@ -57,7 +57,7 @@
 #define COUNT(array) (sizeof (array) / sizeof *(array))
 
 static const struct marjoram_ini_key routes_keys[] = {
-  { "version", MARJORAM_INI_WHOLE, offsetof (struct routes_section, version),
+  { "version", MARJORAM_INI_INT64, offsetof (struct routes_section, version),
     NULL, 1, 9e15, NULL },
 };
 
@@ -67,49 +67,49 @@
     NULL },
   { "prefix", MARJORAM_INI_TEXT, ROUTE_OFFSET (prefix), NULL, 1, PATH_TEXT_MAX,
     NULL },
-  { "kind", MARJORAM_INI_WORD, ROUTE_OFFSET (kind), NULL, 0, 0, kind_names },
-  { "timeout_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (timeout_ms), NULL, 1,
+  { "kind", MARJORAM_INI_ENUM, ROUTE_OFFSET (kind), NULL, 0, 0, kind_names },
+  { "timeout_ms", MARJORAM_INI_INT64, ROUTE_OFFSET (timeout_ms), NULL, 1,
     HOUR_MS, NULL },
-  { "objective_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (objective_ms), "0", 0,
+  { "objective_ms", MARJORAM_INI_INT64, ROUTE_OFFSET (objective_ms), "0", 0,
     HOUR_MS, NULL },
-  { "gap_ms", MARJORAM_INI_WHOLE, ROUTE_OFFSET (gap_ms), "0", 0, HOUR_MS,
+  { "gap_ms", MARJORAM_INI_INT64, ROUTE_OFFSET (gap_ms), "0", 0, HOUR_MS,
     NULL },
-  { "priority", MARJORAM_INI_COUNT, ROUTE_OFFSET (priority), "0", 0,
+  { "priority", MARJORAM_INI_INT, ROUTE_OFFSET (priority), "0", 0,
     PRIORITY_MAX, NULL },
-  { "max_upstreams", MARJORAM_INI_COUNT, ROUTE_OFFSET (max_upstreams), "1", 1,
+  { "max_upstreams", MARJORAM_INI_INT, ROUTE_OFFSET (max_upstreams), "1", 1,
     UPSTREAMS_MAX, NULL },
   { "services", MARJORAM_INI_TEXT, ROUTE_OFFSET (services), NULL, 1,
     PATH_TEXT_MAX, NULL },
-  { "homes", MARJORAM_INI_NAMES, ROUTE_OFFSET (homes), "", 0, 0, NULL },
+  { "homes", MARJORAM_INI_NAME_LIST, ROUTE_OFFSET (homes), "", 0, 0, NULL },
 };
 
 static const struct marjoram_ini_key service_keys[] = {
   { "health_path", MARJORAM_INI_TEXT, SERVICE_OFFSET (health_path), "/health",
     1, PATH_TEXT_MAX, NULL },
-  { "max_connections", MARJORAM_INI_WHOLE, SERVICE_OFFSET (max_connections),
+  { "max_connections", MARJORAM_INI_INT64, SERVICE_OFFSET (max_connections),
     "0", 0, SLOTS_MAX, NULL },
-  { "cold_ms", MARJORAM_INI_WHOLE, SERVICE_OFFSET (cold_ms), "0", 0, HOUR_MS,
+  { "cold_ms", MARJORAM_INI_INT64, SERVICE_OFFSET (cold_ms), "0", 0, HOUR_MS,
     NULL },
-  { "cold_per_s", MARJORAM_INI_REAL, SERVICE_OFFSET (cold_per_s), "0", 0,
+  { "cold_per_s", MARJORAM_INI_DOUBLE, SERVICE_OFFSET (cold_per_s), "0", 0,
     SLOTS_MAX, NULL },
   { "engine", MARJORAM_INI_BOOL, SERVICE_OFFSET (has_engine), "no", 0, 0,
     NULL },
-  { "engine_slots", MARJORAM_INI_WHOLE, SERVICE_OFFSET (engine.slots), "0", 0,
+  { "engine_slots", MARJORAM_INI_INT64, SERVICE_OFFSET (engine.slots), "0", 0,
     SLOTS_MAX, NULL },
-  { "engine_tokens", MARJORAM_INI_WHOLE, SERVICE_OFFSET (engine.kv_capacity),
-    "0", 0, TOKENS_MAX, NULL },
-  { "copied_per_ms", MARJORAM_INI_REAL, SERVICE_OFFSET (engine.copied_per_ms),
+  { "engine_tokens", MARJORAM_INI_INT64, SERVICE_OFFSET (engine.kv_capacity),
     "0", 0, TOKENS_MAX, NULL },
+  { "copied_per_ms", MARJORAM_INI_DOUBLE,
+    SERVICE_OFFSET (engine.copied_per_ms), "0", 0, TOKENS_MAX, NULL },
 };
 
 static const struct marjoram_ini_key caller_keys[] = {
-  { "head_bytes", MARJORAM_INI_WHOLE, CALLERS_OFFSET (head_bytes), "16384",
+  { "head_bytes", MARJORAM_INI_INT64, CALLERS_OFFSET (head_bytes), "16384",
     1024, MEGABYTE, NULL },
-  { "body_bytes", MARJORAM_INI_WHOLE, CALLERS_OFFSET (body_bytes), "4194304",
+  { "body_bytes", MARJORAM_INI_INT64, CALLERS_OFFSET (body_bytes), "4194304",
     0, 64.0 * MEGABYTE, NULL },
-  { "head_timeout_ms", MARJORAM_INI_WHOLE, CALLERS_OFFSET (head_timeout_ms),
+  { "head_timeout_ms", MARJORAM_INI_INT64, CALLERS_OFFSET (head_timeout_ms),
     "3000", 100, HOUR_MS, NULL },
-  { "idle_timeout_ms", MARJORAM_INI_WHOLE, CALLERS_OFFSET (idle_timeout_ms),
+  { "idle_timeout_ms", MARJORAM_INI_INT64, CALLERS_OFFSET (idle_timeout_ms),
     "15000", 100, HOUR_MS, NULL },
 };
 
@@ -158,7 +158,7 @@
               struct marjoram_route_rule *route)
 {
   const struct marjoram_ini_entry *entry
-      = marjoram_ini_find (section, "services");
+      = marjoram_ini_find_entry (section, "services");
   struct marjoram_names names = { 0 };
   struct marjoram_route_target *targets;
 
--- a/src/settings.c
+++ b/src/settings.c
@@ -53,7 +53,7 @@
 };
 
 static const struct marjoram_ini_key log_keys[] = {
-  { "level", MARJORAM_INI_WORD, offsetof (struct parsed_settings, level),
+  { "level", MARJORAM_INI_ENUM, offsetof (struct parsed_settings, level),
     "info", 0, 0, log_levels },
 };
 
@@ -62,18 +62,18 @@
     BODY_BYTES_MAX, NULL },
   { "max_headers", MARJORAM_INI_SIZE, SETTING (max_headers), "16k", 1024,
     HEADERS_BYTES_MAX, NULL },
-  { "read_timeout_ms", MARJORAM_INI_WHOLE, SETTING (read_timeout_ms), "10000",
+  { "read_timeout_ms", MARJORAM_INI_INT64, SETTING (read_timeout_ms), "10000",
     100, 10 * MINUTE_MS, NULL },
-  { "drain_limit_ms", MARJORAM_INI_WHOLE, SETTING (drain_limit_ms), "300000",
+  { "drain_limit_ms", MARJORAM_INI_INT64, SETTING (drain_limit_ms), "300000",
     SECOND_MS, 24 * HOUR_MS, NULL },
-  { "claim_retention_ms", MARJORAM_INI_WHOLE, SETTING (claim_retention_ms),
+  { "claim_retention_ms", MARJORAM_INI_INT64, SETTING (claim_retention_ms),
     "86400000", MINUTE_MS, 7 * 24 * HOUR_MS, NULL },
   { "max_requests", MARJORAM_INI_SIZE, SETTING (max_requests), "4096", 1,
     REQUESTS_MAX, NULL },
 };
 
 static const struct marjoram_ini_key keeper_keys[] = {
-  { "first", MARJORAM_INI_NAMES,
+  { "first", MARJORAM_INI_NAME_LIST,
     offsetof (struct parsed_settings, first_keepers), NULL, 0, 0, NULL },
 };
 
@@ -141,7 +141,7 @@
                          "\"%s\" is not a valid slot name; use letters, "
                          "digits, _ and -",
                          entry->key);
-  else if (marjoram_ini_find (section, entry->key) != entry)
+  else if (marjoram_ini_find_entry (section, entry->key) != entry)
     marjoram_faults_add (faults, file->path, entry->line,
                          "slot %s is already listed on line %d; remove one",
                          entry->key, marjoram_ini_line (section, entry->key));
@@ -231,7 +231,7 @@
 
   if (!host)
     return;
-  if (settings->keeper && !marjoram_ini_find (host, "data_folder"))
+  if (settings->keeper && !marjoram_ini_find_entry (host, "data_folder"))
     marjoram_faults_add (faults, file->path, host->line,
                          "a keeper needs a data folder; add data_folder or "
                          "set role_keeper = no");
--- a/test/test_config.c
+++ b/test/test_config.c
@@ -100,14 +100,14 @@
   ck_assert_int_eq (marjoram_config_work (config, chat)->copies, 2);
   ck_assert (marjoram_config_work (config, chat)->decode_rate > 12.4);
   ck_assert_uint_eq (marjoram_config_work (config, chat)->allowed, 1);
-  ck_assert (marjoram_config_fences (config, chat));
+  ck_assert (marjoram_config_supports_fencing (config, chat));
   ck_assert_str_eq (marjoram_config_work_class (config, chat)->name, "lm");
-  ck_assert (!marjoram_config_fences (
+  ck_assert (!marjoram_config_supports_fencing (
       config, marjoram_config_find_work (config, "flip")));
   ck_assert_int_eq (
-      marjoram_config_find_caller (config, "desk-0123456789abcdef"),
-      marjoram_config_find_caller_name (config, "desk"));
-  ck_assert_int_eq (marjoram_config_find_caller (config, "desk"), -1);
+      marjoram_config_find_caller_by_token (config, "desk-0123456789abcdef"),
+      marjoram_config_find_caller_by_name (config, "desk"));
+  ck_assert_int_eq (marjoram_config_find_caller_by_token (config, "desk"), -1);
   ck_assert_uint_eq (marjoram_config_caller (config, 0)->allowed, 3);
   ck_assert (marjoram_config_caller (config, 0)->burst == 5);
   ck_assert (marjoram_config_caller (config, 1)->burst == 9);
@@ -119,7 +119,7 @@
 
 /* Files are applied one at a time, so an incomplete set without unresolved
    references must be valid.  */
-START_TEST (takes_incomplete_sets)
+START_TEST (accepts_incomplete_sets)
 {
   static const char *const sets[][FILES_MAX + 1] = {
     { NULL },
@@ -249,7 +249,7 @@
 END_TEST
 
 /* Guards the limits on keepers and on slots per zone.  */
-START_TEST (refuses_sites_over_the_limits)
+START_TEST (rejects_too_many_keepers_and_slots)
 {
   marjoram_auto_free char *faults = NULL;
   marjoram_auto_free char *text = marjoram_alloc (8192);
@@ -318,7 +318,7 @@
 
 /* Guards against ignoring one of several matching rules: the allowed regions
    of every caller and work must be the intersection of all that apply.  */
-START_TEST (allows_what_all_rules_allow)
+START_TEST (intersects_all_matching_rules)
 {
   marjoram_random *random = marjoram_random_create ((uint64_t)_i);
   char text[8192] = "[cluster t]\n";
@@ -378,12 +378,12 @@
   TCase *c = tcase_create ("config");
 
   tcase_add_test (c, reads_files_as_one_configuration);
-  tcase_add_test (c, takes_incomplete_sets);
+  tcase_add_test (c, accepts_incomplete_sets);
   tcase_add_loop_test (c, lists_every_fault_of_a_set, 0,
                        sizeof bad_sets / sizeof *bad_sets);
   tcase_add_test (c, checks_name_and_version_of_a_file);
-  tcase_add_test (c, refuses_sites_over_the_limits);
-  tcase_add_loop_test (c, allows_what_all_rules_allow, 0, SEED_COUNT);
+  tcase_add_test (c, rejects_too_many_keepers_and_slots);
+  tcase_add_loop_test (c, intersects_all_matching_rules, 0, SEED_COUNT);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_fuzz_input.c
+++ b/test/test_fuzz_input.c
@@ -236,8 +236,8 @@
           = marjoram_config_caller (config, c);
 
       ck_assert_msg (caller->allowed >> caller->home & 1, "seed %d", seed);
-      ck_assert_int_eq (marjoram_config_find_caller (config, caller->token),
-                        c);
+      ck_assert_int_eq (
+          marjoram_config_find_caller_by_token (config, caller->token), c);
     }
 }
 
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -188,7 +188,7 @@
 }
 END_TEST
 
-START_TEST (proves_the_secret_over_exactly_its_data)
+START_TEST (verifies_proof_only_for_same_data)
 {
   uint8_t code[MARJORAM_PROOF_SIZE];
   const char *secret = "0123456789abcdef0123456789abcdef";
@@ -214,7 +214,7 @@
   tcase_add_loop_test (c, lists_every_fault_with_line_and_remedy, 0,
                        sizeof bad_files / sizeof *bad_files);
   tcase_add_test (c, refuses_open_or_short_secret);
-  tcase_add_test (c, proves_the_secret_over_exactly_its_data);
+  tcase_add_test (c, verifies_proof_only_for_same_data);
   suite_add_tcase (s, c);
   return s;
 }
