--- a/src/request.h
+++ b/src/request.h
@@ -1,6 +1,6 @@
-/* A request's life on one host, from its arrival, from a caller or from
-   another zone's host, through claim, choice and attempts to its one answer.
-   Used by the host only.  */
+/* Request state machine of a host: a request arrives from a caller or from a
+   host of another zone, is claimed if it isn't idempotent, is routed, and is
+   attempted until it has exactly one answer.  Internal to the host module.  */
 #ifndef MARJORAM_REQUEST_H
 #define MARJORAM_REQUEST_H
 
@@ -11,15 +11,15 @@
 
 enum marjoram_request_state
 {
-  MARJORAM_REQUEST_CLAIMING,  /* waits for the claim's verdict */
-  MARJORAM_REQUEST_WAITING,   /* a suspect, waits for a place to be free */
-  MARJORAM_REQUEST_RESERVING, /* a suspect, waits to be alone at its place */
-  MARJORAM_REQUEST_LOCAL,     /* runs at an upstream of this zone */
-  MARJORAM_REQUEST_REMOTE,    /* sent to a host of another zone */
-  MARJORAM_REQUEST_PROBING    /* its upstream broke off; is it dead?  */
+  MARJORAM_REQUEST_CLAIMING,  /* waiting for the claim's verdict */
+  MARJORAM_REQUEST_WAITING,   /* suspect, no upstream free of other suspects */
+  MARJORAM_REQUEST_RESERVING, /* suspect, reserving its upstream */
+  MARJORAM_REQUEST_LOCAL,     /* running at an upstream of this zone */
+  MARJORAM_REQUEST_REMOTE,    /* forwarded to a host of another zone */
+  MARJORAM_REQUEST_PROBING    /* upstream connection lost, probe pending */
 };
 
-/* A piece of an answer, kept until it may be passed on.  */
+/* A buffered part of an answer's body.  */
 struct marjoram_piece
 {
   marjoram_bytes *bytes;
@@ -29,7 +29,7 @@
 
 struct marjoram_request;
 
-/* Where a request came from and its answer goes.  */
+/* Delivers the answer to the caller or host that sent the request.  */
 struct marjoram_origin_ops
 {
   void (*head) (marjoram_host *host, struct marjoram_request *request,
@@ -37,7 +37,8 @@
   void (*data) (marjoram_host *host, struct marjoram_request *request,
                 marjoram_bytes *bytes);
   void (*end) (marjoram_host *host, struct marjoram_request *request);
-  /* Ended without a whole answer: REQUEST's outcome and reason say how.  */
+  /* The request ended without a complete answer; see its outcome and
+     reason.  */
   void (*fail) (marjoram_host *host, struct marjoram_request *request,
                 int64_t retry_ms);
 };
@@ -50,31 +51,30 @@
   char digest[33];
   char *caller; /* name */
 
-  /* For a request of another host.  */
+  /* Set for a request forwarded by another host.  */
   char *peer;
   uint64_t peer_incarnation;
   uint64_t peer_session; /* 0 while its link is down */
-  uint64_t peer_number;
-  int64_t orphaned;
+  uint64_t peer_number;  /* the peer's attempt number */
+  int64_t orphaned;      /* when the link was lost or the request settled */
 
-  /* Claim.  */
   uint64_t claim; /* attempt number of the claim; 0 if none */
 
   /* Attempts.  */
   enum marjoram_request_state state;
   uint64_t attempt; /* number of the one in progress; 0 if none */
   char upstream[MARJORAM_NAME_MAX + 1];
-  char address[MARJORAM_NAME_MAX + 1]; /* the upstream's */
-  /* The upstream is an engine, which can be asked for an answer again.  A
-     plain service would take the question for a request of its own, and its
-     answer to that would pass for the caller's.  */
+  char address[MARJORAM_NAME_MAX + 1]; /* of the upstream */
+  /* The upstream is an engine, which can resume an answer by request id.  A
+     plain service would handle the resume as a new request, and its response
+     would be taken for the caller's answer.  */
   bool can_resume;
   char *remote_slot;
   uint64_t remote_incarnation;
-  uint64_t remote_session; /* of the link, as the request was sent */
-  int remote_zone; /* index as the request was sent, see also its name */
-  char remote_name[MARJORAM_NAME_MAX + 1];
-  int work; /* index, as the attempt was chosen */
+  uint64_t remote_session; /* of the link when the request was sent */
+  int remote_zone;         /* index when the request was sent */
+  char remote_name[MARJORAM_NAME_MAX + 1]; /* of the zone */
+  int work; /* index when the attempt was routed */
   int tried_count;
   char tried[MARJORAM_TRIED_MAX][MARJORAM_NAME_MAX + 1];
   int zones_tried_count;
@@ -83,29 +83,29 @@
   enum marjoram_reason reason; /* of the last failed attempt */
   uint64_t deaths;
 
-  /* Times by this host's clock.  */
+  /* Times on this host's clock.  */
   int64_t arrived;
   int64_t deadline;
   int64_t attempt_started;
   int64_t first_byte;
-  int64_t progress; /* last byte or attempt */
-  int64_t patience; /* without a byte, before the upstream is asked */
+  int64_t progress; /* last byte, state change or resume */
+  int64_t patience; /* silence after which the answer is resumed */
 
   /* Answer.  */
   struct marjoram_head head;
-  uint64_t received; /* bytes of the body so far */
-  uint64_t passed;   /* bytes passed on to the origin */
+  uint64_t received; /* body bytes received */
+  uint64_t passed;   /* body bytes delivered to the origin */
   struct marjoram_pieces pieces;
   size_t pieces_size;
 
-  bool gone;       /* nobody waits for the answer any more */
-  bool answered;   /* nothing more is due */
-  bool claim_here; /* its key is guarded by this zone */
-  bool homeless;   /* its first zone has no upstream for it */
-  bool granted;    /* its claim says run */
+  bool gone;       /* the caller no longer waits for the answer */
+  bool answered;   /* settled: the outcome is final and has been delivered */
+  bool claim_here; /* this zone owns the claim on its key */
+  bool homeless;   /* the zone it arrived in has no upstream for it */
+  bool granted;    /* the claim was granted */
   bool maybe_ran;  /* an attempt may have run it */
-  bool resuming;   /* the upstream was asked for the answer by its id */
-  bool revoking;   /* the other host is to be asked over a new link */
+  bool resuming;   /* a resume is in progress at the upstream */
+  bool revoking;   /* to be revoked at the other host over a new link */
   bool has_head;
   bool head_passed;
 
@@ -129,59 +129,61 @@
 struct marjoram_requests *marjoram_requests_create (void);
 void marjoram_requests_destroy (marjoram_host *host);
 
-/* A new request in the list; takes CALL.  */
+/* Creates a request and adds it to the list.  Takes ownership of CALL.  */
 struct marjoram_request *
 marjoram_request_create (marjoram_host *host, int64_t now,
                          const struct marjoram_origin_ops *origin,
                          struct marjoram_call *call);
-/* Claims it first if it needs that, then runs it.  */
+/* Claims the request if it isn't idempotent, then dispatches it.  */
 void marjoram_request_start (marjoram_host *host, int64_t now,
                              struct marjoram_request *request);
-/* Ends it without an answer.  */
+/* Ends the request without an answer.  */
 void marjoram_request_refuse (marjoram_host *host, int64_t now,
                               struct marjoram_request *request,
                               enum marjoram_outcome outcome,
                               enum marjoram_reason reason, int64_t retry_ms);
-/* Nobody waits for its answer any more.  Idempotent work is cancelled, other
-   work goes on, as its answer is kept for replay.  */
+/* The caller no longer waits for the answer.  An idempotent request is
+   cancelled; another one runs on, so that its answer can be replayed.  */
 void marjoram_request_abandon (marjoram_host *host, int64_t now,
                                struct marjoram_request *request);
 void marjoram_request_claimed (marjoram_host *host, int64_t now,
                                uint64_t claim,
                                enum marjoram_claim_verdict verdict,
                                const struct marjoram_kept_answer *kept);
-/* Settles what a request's end means for the counters, and for its record: it
-   is destroyed, unless its sender may ask for the answer again.  */
 void marjoram_request_count_outcome (marjoram_host *host,
                                      const struct marjoram_request *request,
                                      enum marjoram_outcome outcome);
+/* Destroys a request whose outcome has been delivered.  A forwarded one is
+   retained for MARJORAM_ORPHAN_MS, so that its sender can fetch the answer
+   over a new link.  */
 void marjoram_request_settle (marjoram_host *host, int64_t now,
                               struct marjoram_request *request);
 
-/* attempt.c: one try after the other.  */
+/* attempt.c: starting, retrying and ending attempts.  */
 void marjoram_attempt_query (const marjoram_host *host,
                              const struct marjoram_request *request,
                              struct marjoram_query *query);
-/* A new number, and nothing of an earlier attempt's answer.  */
+/* Assigns a new attempt number and discards the answer of any earlier
+   attempt.  */
 void marjoram_attempt_begin (marjoram_host *host, int64_t now,
                              struct marjoram_request *request);
-/* Chooses where the request runs under the configuration in force now, which
-   may be newer than the one it came under: the newer residency rule binds at
-   each choice.  */
+/* Routes the request by the current configuration, which may be newer than the
+   one at its arrival: changed residency rules apply to each attempt.  */
 void marjoram_attempt_dispatch (marjoram_host *host, int64_t now,
                                 struct marjoram_request *request);
-/* The attempt in progress is over, however it ended.  */
+/* Ends the attempt in progress, if any, and its accounting.  */
 void marjoram_attempt_release (marjoram_host *host, int64_t now,
                                struct marjoram_request *request, bool failed);
-/* A suspect that has waited long enough at its place: it runs there, or looks
-   for another place.  */
+/* The reservation period of a suspect is over: runs it at the reserved
+   upstream, or routes it again after a random delay if another suspect
+   conflicts.  */
 void marjoram_attempt_reserved (marjoram_host *host, int64_t now,
                                 struct marjoram_request *request);
-/* Tells the upstream or the other host that it is no longer wanted.  */
+/* Cancels the attempt in progress at the upstream or the other host.  */
 void marjoram_attempt_cancel (marjoram_host *host, int64_t now,
                               struct marjoram_request *request);
 
-/* answer.c: events of the attempt in progress.  */
+/* answer.c: response events of the attempt in progress.  */
 void marjoram_answer_clear (struct marjoram_request *request);
 void marjoram_request_head (marjoram_host *host, int64_t now,
                             struct marjoram_request *request,
@@ -191,8 +193,8 @@
                             marjoram_bytes *bytes);
 void marjoram_request_done (marjoram_host *host, int64_t now,
                             struct marjoram_request *request);
-/* The attempt ended without a whole answer; retries if that is safe.  FINAL
-   forbids it.  */
+/* The attempt ended without a complete answer.  Retries if that is safe and
+   FINAL is false.  */
 void marjoram_request_failed (marjoram_host *host, int64_t now,
                               struct marjoram_request *request,
                               enum marjoram_outcome outcome,
@@ -204,7 +206,7 @@
 void marjoram_request_copy_head (struct marjoram_head *copy,
                                  const struct marjoram_head *head);
 
-/* forward.c: the attempt at another zone.  */
+/* forward.c: attempts at another zone.  */
 void marjoram_forward_send (marjoram_host *host, int64_t now,
                             struct marjoram_request *request, int zone,
                             bool claim_there);
@@ -212,14 +214,14 @@
                               struct marjoram_request *request);
 void marjoram_forward_link_up (marjoram_host *host, int64_t now,
                                const char *slot);
-/* HEAD, DATA, END and REVOKED.  */
+/* Handles HEAD, DATA, END and REVOKED frames.  */
 void marjoram_forward_answer (marjoram_host *host, int64_t now,
                               const char *slot, enum marjoram_frame_type type,
                               const void *message);
 void marjoram_forward_tick (marjoram_host *host, int64_t now,
                             struct marjoram_request *request);
 
-/* relay.c: requests of other zones' hosts.  */
+/* relay.c: requests forwarded by hosts of other zones.  */
 void marjoram_relay_take (marjoram_host *host, int64_t now, const char *slot,
                           uint64_t session, uint64_t incarnation,
                           const struct marjoram_forward *forward);
