--- a/src/request.c
+++ b/src/request.c
@@ -79,9 +79,9 @@
   return request;
 }
 
-/* Whether the first refusal of this request proves that it did not run: an
-   earlier sending of the same key may have, until the claim shows that none
-   has.  */
+/* Returns true if a refusal proves that the request did not run.  If its key
+   may have been sent before, only a granted claim shows that no earlier
+   sending ran.  */
 static bool
 refusal_is_proof (const struct marjoram_request *request)
 {
@@ -103,8 +103,6 @@
     marjoram_counters_refused (host->counters, request->reason);
 }
 
-/* The request needs nothing more here.  One of another host is kept a while,
-   for its sender to ask for the answer over a new link.  */
 void
 marjoram_request_settle (marjoram_host *host, int64_t now,
                          struct marjoram_request *request)
@@ -116,7 +114,8 @@
     request_destroy (host, request);
 }
 
-/* The claim of a request that ends without an answer.  */
+/* Withdraws or finishes the claim of a request that ends without an answer.
+ */
 static void
 settle_claim (marjoram_host *host, int64_t now,
               const struct marjoram_request *request)
@@ -164,8 +163,8 @@
       request_destroy (host, request);
       return;
     }
-  /* Non-idempotent work that may have started runs on: its answer is kept, as
-     its caller may ask for it again by the key.  */
+  /* A non-idempotent request that may have started runs on: its answer is
+     stored for replay when the caller sends the key again.  */
   if (!request->call->idempotent
       && (request->granted || request->claim
           || request->state == MARJORAM_REQUEST_REMOTE || request->peer))
@@ -175,8 +174,8 @@
   request_destroy (host, request);
 }
 
-/* The deadline passed before an answer began.  The caller hears so at once;
-   what may still run does so unheard if it may not be repeated.  */
+/* The deadline passed before the answer began.  The caller is told at once; a
+   non-idempotent request that may have started runs on without one.  */
 static void
 pass_deadline (marjoram_host *host, int64_t now,
                struct marjoram_request *request)
@@ -201,8 +200,8 @@
   request->gone = true;
 }
 
-/* Whether the upstream no longer renews its lease.  One that leaves by its own
-   word still finishes what it has.  */
+/* Returns true if the upstream's lease has expired.  An upstream that
+   deregistered still finishes its requests, so it does not count.  */
 static bool
 is_lease_over (const marjoram_host *host, int64_t now, const char *name)
 {
@@ -233,18 +232,18 @@
 {
   request->resuming = true;
   request->progress = now;
-  /* An engine that says that it still works is asked less often then:
-     thousands of slow streams would else keep it busy answering.  */
+  /* Exponential backoff: limits the load of resumes on an engine with
+     thousands of slow streams.  */
   if (request->patience < MARJORAM_PATIENCE_MAX_MS)
     request->patience *= 2;
   host->ops->resume (host->context, request->attempt, request->address,
                      request->id, request->received);
 }
 
-/* An upstream that sends nothing: its connection may have gone silent while
-   the request runs on.  Sending the request again could run it twice; asking
-   an engine for it by its id on a new connection can't.  A plain service can't
-   be asked: it is given up when its lease has run out too.  */
+/* Detects an upstream connection that has gone silent while the request may
+   still run.  Sending the request again could run it twice, so an engine is
+   asked to resume the answer by request id on a new connection.  A plain
+   service can't resume: its attempt fails once its lease has expired too.  */
 static void
 watch_silence (marjoram_host *host, int64_t now,
                struct marjoram_request *request)
@@ -262,7 +261,8 @@
     ask_again (host, now, request);
 }
 
-/* A request of another host, whose link broke and did not come back.  */
+/* Returns true for a forwarded request whose link was lost and not restored
+   within MARJORAM_ORPHAN_MS.  */
 static bool
 is_orphan (const struct marjoram_request *request, int64_t now)
 {
@@ -270,7 +270,8 @@
          && now - request->orphaned >= MARJORAM_ORPHAN_MS;
 }
 
-/* A request that nobody waits for, at a host that can't be reached.  */
+/* Returns true for an abandoned request at a host that has been unreachable
+   until MARJORAM_ORPHAN_MS after the deadline.  */
 static bool
 is_out_of_reach (const struct marjoram_request *request, int64_t now)
 {
