--- a/src/attempt.c
+++ b/src/attempt.c
@@ -72,10 +72,11 @@
   host->ops->run (host->context, request->attempt, &run);
 }
 
-/* Two hosts that move suspects at once, after a death that both saw, don't
-   know of each other's: two suspects would meet at one upstream, and its death
-   would convict neither.  So a suspect tells the zone its place and starts a
-   moment later, if no other has been told of there.  */
+/* Starts the request at the chosen upstream.  Two suspects must not run at the
+   same upstream, since its crash would then convict neither, and two hosts may
+   dispatch suspects at the same time.  So a suspect first announces its
+   upstream to the zone, and runs after MARJORAM_RESERVE_MS if no other suspect
+   was announced there.  */
 static void
 run_locally (marjoram_host *host, int64_t now,
              struct marjoram_request *request,
@@ -110,8 +111,7 @@
       run_at_upstream (host, now, request);
       return;
     }
-  /* Of several that met here each waits a time of its own, so that they don't
-     meet again.  */
+  /* Random jitter, so that conflicting suspects don't collide again.  */
   marjoram_attempt_release (host, now, request, false);
   request->state = MARJORAM_REQUEST_WAITING;
   request->progress
@@ -163,9 +163,9 @@
   return false;
 }
 
-/* Whether the request is a suspect that only other suspects keep from its
-   upstreams.  It ran beside the one that kills them, most likely, and must not
-   be given up for that: its turn comes when they have ended.  */
+/* Returns true if the request is a suspect and usable upstreams remain that it
+   has not tried.  They are occupied by other suspects, so the request waits
+   for those to end instead of being refused.  */
 static bool
 waits_for_suspects (const marjoram_host *host, int64_t now,
                     const struct marjoram_request *request)
@@ -242,10 +242,10 @@
             sizeof request->upstream);
 }
 
-/* Only the first host retries, so that attempts never multiply on a path.  A
-   retry needs proof that the attempt did not run, or idempotent work; and
-   nothing may have been passed on, as an answer never mixes two upstreams'
-   output.  */
+/* Only the host that received the request from its caller retries, so that
+   attempts don't multiply along the path.  A retry requires an idempotent
+   request or proof that the attempt did not run, and that no part of an answer
+   has been delivered: output of two upstreams is never mixed.  */
 static bool
 may_retry (marjoram_host *host, int64_t now,
            const struct marjoram_request *request,
@@ -262,9 +262,9 @@
   return marjoram_router_retry (host->router, now);
 }
 
-/* Non-idempotent work whose key another zone guards has no claim here: if that
-   zone refused it, a choice made here would run it without one, and a resend
-   would run it twice.  It goes to that zone again.  */
+/* A non-idempotent request whose key belongs to another zone has no claim
+   here.  It is sent to that zone again: routed from here it would run
+   unclaimed, and a resend by the caller would run it a second time.  */
 static void
 try_again (marjoram_host *host, int64_t now, struct marjoram_request *request)
 {
@@ -290,7 +290,7 @@
   if (!final && may_retry (host, now, request, outcome))
     {
       marjoram_counters_retried (host->counters, reason);
-      marjoram_log (MARJORAM_LOG_INFO, "%s: again after %s", request->id,
+      marjoram_log (MARJORAM_LOG_INFO, "%s: retrying after %s", request->id,
                     marjoram_reason_name (reason));
       request->reason = reason;
       try_again (host, now, request);
