--- a/src/answer.c
+++ b/src/answer.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  /* An answer larger than this is not kept for replay.  */
+  /* Larger answers are not stored for replay.  */
   REPLAY_BODY_MAX = 256 * 1024
 };
 
@@ -68,7 +68,7 @@
   pieces_clear (request);
 }
 
-/* A broken peer may leave texts out.  */
+/* A malformed frame may lack string fields.  */
 static char *
 copy_text (const char *text)
 {
@@ -93,8 +93,8 @@
     }
 }
 
-/* An answer is passed on as it comes if the caller asked for a stream, else
-   once it is whole, so that a broken one can be retried unseen.  */
+/* A streamed answer is delivered as it arrives.  Any other is buffered until
+   it is complete, so that a failed attempt can be retried transparently.  */
 static bool
 passes_through (const struct marjoram_request *request)
 {
@@ -138,8 +138,8 @@
     pass_head (host, request, -1);
 }
 
-/* Pieces are kept while they may be needed again: until the answer is whole,
-   for replay, or for a sender that asks again over a new link.  */
+/* The body is buffered if it is not streamed, if it may be replayed, or if the
+   forwarding host may fetch it again over a new link.  */
 static bool
 keeps_pieces (const struct marjoram_request *request)
 {
@@ -211,8 +211,8 @@
   struct marjoram_piece *piece;
 
   measure (host, now, request);
-  /* Its end is told to the zone while it is still a suspect; cleared first, it
-     would seem to run there for ever.  */
+  /* Released before it is cleared, so that the end of a suspect's run is
+     reported to the zone with its suspicion.  */
   marjoram_attempt_release (host, now, request, false);
   marjoram_suspects_cleared (host->suspects, now, request->digest);
   request->outcome = MARJORAM_OUTCOME_DONE;
