--- a/src/forward.c
+++ b/src/forward.c
@@ -37,7 +37,8 @@
   f->homeless = request->homeless;
 }
 
-/* Whether the request may run in ZONE by the configuration in force.  */
+/* Returns true if the current configuration's residency rules allow the
+   request to run in ZONE.  */
 static bool
 zone_allowed (const marjoram_host *host,
               const struct marjoram_request *request, int zone)
@@ -60,8 +61,7 @@
   struct marjoram_link *link = marjoram_link_to_zone (host, zone);
   struct marjoram_forward forward;
 
-  /* Residency is checked again here, at the last step before the request
-     leaves, whatever chose the zone.  */
+  /* Enforces residency for every forward, however the zone was chosen.  */
   if (!zone_allowed (host, request, zone))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
@@ -112,9 +112,9 @@
                    &revoke);
 }
 
-/* The link to the host that has the request is up again.  If that host has
-   restarted since, it remembers nothing: its "never started" would be no
-   proof, so it is not asked, and the outcome is open.  */
+/* Asks for the request's state after its host's link is up again.  If the host
+   has restarted it has lost its state and would report "never started" for a
+   request that ran, so the attempt fails with an unknown outcome instead.  */
 static void
 ask_again (marjoram_host *host, int64_t now, struct marjoram_request *request,
            const struct marjoram_link *link)
@@ -143,8 +143,8 @@
     }
 }
 
-/* The link to the host that has the request is lost, or was replaced.  The
-   request is asked for by its number over a new link: it may have run on.  */
+/* If the link that carried the request was lost or replaced, asks for the
+   request by its number over the new link: it may still be running.  */
 static void
 check_link (marjoram_host *host, int64_t now, struct marjoram_request *request)
 {
@@ -170,7 +170,7 @@
     check_link (host, now, request);
   else if (request->call->idempotent && !request->head_passed
            && now - request->progress >= MARJORAM_REVOKE_WAIT_MS)
-    /* No new link: work that may be repeated goes elsewhere.  */
+    /* No new link in time: an idempotent request is retried elsewhere.  */
     marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                              MARJORAM_REASON_LINK_DOWN,
                              MARJORAM_RETRY_AFTER_MS, false);
@@ -180,8 +180,8 @@
 take_data (marjoram_host *host, int64_t now, struct marjoram_request *request,
            const struct marjoram_data *data)
 {
-  /* Data that came before over an earlier link is passed over; a gap can't be
-     filled, so that the answer is no longer whole.  */
+  /* Skips data already received over an earlier link.  A gap can't be filled,
+     so the attempt fails.  */
   if (data->offset < request->received)
     return;
   if (data->offset > request->received)
@@ -267,8 +267,7 @@
                              MARJORAM_REASON_LINK_DOWN, 0, true);
 }
 
-/* An answer frame belongs to the attempt whose number it carries, and only if
-   it comes from the host that the attempt was sent to.  */
+/* A frame is accepted only from the host that its attempt was sent to.  */
 void
 marjoram_forward_answer (marjoram_host *host, int64_t now, const char *slot,
                          enum marjoram_frame_type type, const void *message)
