--- a/src/claimed.c
+++ b/src/claimed.c
@@ -5,15 +5,15 @@
 
 #include <stdio.h>
 
-/* Attempt numbers are used for claims too, so that both are unique.  */
+/* Claims and attempts share one number sequence.  */
 static void
 claim (marjoram_host *host, int64_t now, struct marjoram_request *request,
        int64_t issued)
 {
   char scoped[MARJORAM_NAME_MAX + MARJORAM_KEY_MAX + 2];
 
-  /* A key is its caller's own: another caller that sends the same one must not
-     be given this one's answer.  */
+  /* Scopes the key to its caller: another caller that sends the same key must
+     not get this caller's answer.  */
   snprintf (scoped, sizeof scoped, "%s %s", request->caller,
             request->call->key);
   request->state = MARJORAM_REQUEST_CLAIMING;
@@ -46,7 +46,7 @@
     marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                              MARJORAM_REASON_KEY_MISSING, 0);
   else if (request->peer)
-    /* A request that crossed once may not cross again.  */
+    /* A request is forwarded to another zone at most once.  */
     marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                              MARJORAM_REASON_HOP_LIMIT, 0);
   else
