--- a/src/zone.c
+++ b/src/zone.c
@@ -101,7 +101,7 @@
   free (result);
 }
 
-/* At the end of each event.  */
+/* Delivers the verdicts queued by claim_decided, at the end of each event.  */
 void
 marjoram_host_settle (marjoram_host *host, int64_t now)
 {
