--- a/src/renew.c
+++ b/src/renew.c
@@ -7,12 +7,12 @@
 enum
 {
   RENEWALS_MS = 1000,
-  /* One in so many announcements is told whole, for hosts that have dropped
+  /* Every 16th announcement is broadcast in full, for hosts that have dropped
      the upstream.  */
   WHOLE_EVERY = 16
 };
 
-/* An upstream that announced itself here since the last batch.  */
+/* An upstream whose lease was renewed since the last batch.  */
 struct marjoram_renewed
 {
   char *name;
@@ -41,7 +41,7 @@
 
   HASH_ITER (hh, host->renewed, renewed, next)
   {
-    /* The table's macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DEL (host->renewed, renewed);
     free (renewed->name);
     free (renewed);
@@ -66,9 +66,8 @@
   return true;
 }
 
-/* Renewals of all upstreams go to every host of the zone.  Whole
-   announcements, each on its own, would be most of what control costs a host.
- */
+/* Sends the pending renewals to every host of the zone in one batch, which
+   costs far less than one full announcement for each.  */
 void
 marjoram_renewals_tick (marjoram_host *host, int64_t now)
 {
@@ -90,8 +89,8 @@
   marjoram_renewals_destroy (host);
 }
 
-/* Also one that was found dead here: by renewing its lease it shows that it
-   lives.  */
+/* Includes upstreams marked dead here: a renewal shows that they are alive.
+ */
 static const struct marjoram_upstream *
 find_known (const marjoram_host *host, const char *name)
 {
