--- a/src/upstream.h
+++ b/src/upstream.h
@@ -1,6 +1,6 @@
-/* The task of the connections to upstreams: an HTTP client by evhttp.  Each
-   attempt is one request on one connection; what the connection proves of its
-   fate is told to the host.  */
+/* HTTP client for upstreams, built on evhttp.  Each attempt is one request on
+   one connection; its response, or the kind of its failure, is reported to the
+   host.  */
 #ifndef MARJORAM_UPSTREAM_H
 #define MARJORAM_UPSTREAM_H
 
@@ -33,7 +33,7 @@
 void marjoram_upstreams_resume (marjoram_upstreams *upstreams,
                                 uint64_t attempt, const char *address,
                                 const char *id, uint64_t offset);
-/* Nothing more is told of ATTEMPT.  */
+/* Cancels ATTEMPT: no further callback is made for it.  */
 void marjoram_upstreams_cancel (marjoram_upstreams *upstreams,
                                 uint64_t attempt);
 void marjoram_upstreams_order (marjoram_upstreams *upstreams,
