--- a/src/upstream.c
+++ b/src/upstream.c
@@ -19,7 +19,7 @@
 
 enum
 {
-  /* evhttp's own limit is no guard here: the host watches progress.  */
+  /* Not relied on: the host detects stalled attempts.  */
   CONNECTION_TIMEOUT_SEC = 3600,
   PROBE_TIMEOUT_MSEC = 500,
   HEADERS_BYTES_MAX = 64 * 1024,
@@ -32,20 +32,20 @@
 struct attempt;
 struct errand;
 
-/* A connection and the request on it.  */
+/* One HTTP request and its connection.  */
 struct exchange
 {
-  struct attempt *attempt; /* null once it is of no interest */
+  struct attempt *attempt;
   struct evhttp_connection *connection;
   struct evhttp_request *request; /* owned by the connection */
   char address[ADDRESS_MAX];
   bool resume;
-  bool sent;        /* a byte of the request has gone to the socket */
-  bool framed;      /* its answer's end can be told */
-  bool unframed;    /* its answer's head says that it can't */
-  bool refused;     /* the answer says that the request was not run */
-  bool unavailable; /* it says that the upstream can't serve it now */
-  bool reused;      /* the connection carried another request before */
+  bool sent;        /* part of the request was written to the socket */
+  bool framed;      /* the response head is valid, its end detectable */
+  bool unframed;    /* the response head was rejected */
+  bool refused;     /* the response says that the request was not run */
+  bool unavailable; /* the status says that the upstream can't serve it now */
+  bool reused;      /* the connection carried an earlier request */
   bool reusable;
   char id[MARJORAM_KEY_MAX + 1];
 };
@@ -55,7 +55,7 @@
   marjoram_upstreams *upstreams;
   uint64_t number;
   struct exchange *first;
-  struct exchange *resumed; /* asks for the same answer */
+  struct exchange *resumed; /* fetches the same answer by request id */
   UT_hash_handle hh;
 };
 
@@ -84,7 +84,7 @@
   return connection;
 }
 
-/* ---- Exchanges.  ---- */
+/* ---- Exchanges ---- */
 
 static void
 on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info,
@@ -97,8 +97,9 @@
     exchange->sent = true;
 }
 
-/* Ends EXCHANGE.  The connection is freed from the loop, as this may be called
-   from within one of its callbacks.  */
+/* Frees EXCHANGE after its request has ended; KEEP returns the connection to
+   the keep-alive pool.  Otherwise the event loop frees the connection later,
+   since this may be called from one of its callbacks.  */
 static void
 exchange_destroy (marjoram_upstreams *upstreams, struct exchange *exchange,
                   bool keep)
@@ -115,7 +116,7 @@
   free (exchange);
 }
 
-/* Stops listening to EXCHANGE while its request is still on the connection. */
+/* Frees EXCHANGE while its request is in progress.  */
 static void
 exchange_cancel (marjoram_upstreams *upstreams, struct exchange *exchange)
 {
@@ -125,8 +126,7 @@
   evbuffer_remove_cb (output, on_output, exchange);
   if (exchange->request)
     evhttp_cancel_request (exchange->request);
-  /* Cancelling the request in progress frees nothing of the connection; the
-     upstream sees it closed.  */
+  /* Cancelling the request does not free the connection.  */
   marjoram_outcall_free_later (upstreams->base, exchange->connection);
   free (exchange);
 }
@@ -148,9 +148,9 @@
   attempt_destroy (attempt);
 }
 
-/* An answer without a declared length or chunks ends when its connection does,
-   so that one cut in the middle looks whole; and two framings at once can be
-   read in two ways.  Neither can be passed on as the whole answer.  */
+/* Returns true if the end of the response can be detected.  Without a
+   Content-Length or chunked coding a truncated response looks complete, and a
+   response with both is ambiguous.  */
 static bool
 is_framed (struct evhttp_request *request)
 {
@@ -161,7 +161,7 @@
   size_t codings
       = marjoram_header_count (headers, "Transfer-Encoding", &value);
 
-  /* Headers that can't cross to another host make it no answer either.  */
+  /* Also rejects headers that don't fit the frames between hosts.  */
   if (lengths + codings > 1 || !marjoram_header_fits (headers))
     return false;
   if (codings == 1)
@@ -191,8 +191,8 @@
                                  &head);
 }
 
-/* The statuses by which an upstream says that it is unable to serve the
-   request now; they are no answer to it.  */
+/* Returns true for a status that reports a temporary inability to serve the
+   request, rather than a response to it.  */
 static bool
 is_unavailable (int status)
 {
@@ -211,8 +211,8 @@
          && strcasecmp (word, "yes") == 0;
 }
 
-/* The resumed exchange has begun to answer: the first one is dropped, so that
-   the answer's bytes come from one connection only.  */
+/* Replaces the first exchange by the resumed one, which has begun to respond,
+   so that the body comes from one connection only.  */
 static void
 switch_to_resumed (struct attempt *attempt)
 {
@@ -222,11 +222,10 @@
   attempt->resumed = NULL;
 }
 
-/* Whether the answer names the request that was sent.  An upstream that sends
-   an answer twice leaves the second copy on the connection, where it would be
-   taken for the answer to the next request, by order alone.  So a connection
-   is used again only for upstreams that name the request, and the name must
-   match.  */
+/* Returns true if the response belongs to the request that was sent.  A
+   duplicate response left on a connection would be taken for the response to
+   the next request.  So a connection is reused only if the upstream echoes the
+   request id in Marjoram-Request, and the id must match.  */
 static bool
 check_name (struct exchange *exchange, struct evhttp_request *request)
 {
@@ -297,9 +296,9 @@
   upstreams->ops->failed (upstreams->context, number, failure);
 }
 
-/* The request for the rest of an answer ended without one.  Only "never
-   started" settles the attempt; else the first connection may still
-   answer.  */
+/* A resume ended without a response body.  Status 404 means that the request
+   never started, which ends the attempt; otherwise the first connection may
+   still respond.  */
 static void
 resume_done (struct attempt *attempt, struct exchange *exchange,
              struct evhttp_request *request)
@@ -462,7 +461,7 @@
                 marjoram_bytes_data (run->body),
                 marjoram_bytes_size (run->body));
   no_delay (connection);
-  /* On a failure at once evhttp has freed the request without a callback.  */
+  /* On an immediate failure evhttp frees the request without a callback.  */
   if (evhttp_make_request (connection, exchange->request,
                            command_of (run->method), run->path)
           != 0
@@ -505,13 +504,13 @@
     attempt_cancel (attempt);
 }
 
-/* ---- Probes and orders.  ---- */
+/* ---- Probes and orders ---- */
 
-/* What a short call is for.  */
+/* Context of a probe or an order in progress.  */
 struct errand
 {
   marjoram_upstreams *upstreams;
-  char *name;      /* of the upstream probed; null for an order */
+  char *name;      /* of the probed upstream; null for an order */
   uint64_t number; /* of the order */
   TAILQ_ENTRY (errand) next;
 };
@@ -539,9 +538,9 @@
   return errand;
 }
 
-/* Any answer shows that the process lives.  A connection that is refused, or
-   closed without an answer, shows that it is gone; silence may be the
-   network's.  */
+/* Any response shows that the process is alive.  A connection refused, or
+   closed without a response, shows that it is dead.  A timeout proves nothing,
+   since the network may be at fault, and counts as alive.  */
 static void
 on_probed (void *context, int status, bool timed_out, int64_t retry_ms)
 {
@@ -609,7 +608,7 @@
     on_ordered (errand, 0, false, 0);
 }
 
-/* ---- The task.  ---- */
+/* ---- Lifecycle ---- */
 
 marjoram_upstreams *
 marjoram_upstreams_create (struct event_base *base,
