--- a/src/relay.c
+++ b/src/relay.c
@@ -84,7 +84,7 @@
   call->body = marjoram_bytes_retain (forward->body);
   call->key = forward->key ? marjoram_strdup (forward->key) : NULL;
   call->idempotent = forward->key == NULL;
-  /* The first host knows whether the key was sent before.  */
+  /* Whether the key was sent before is checked by the forwarding host.  */
   call->first_sending = true;
   call->stream = forward->stream;
   call->class = forward->class == MARJORAM_CLASS_OVERNIGHT
@@ -123,9 +123,9 @@
   host->ops->reply (host->context, slot, session, MARJORAM_FRAME_END, &end);
 }
 
-/* Checks at receipt, by the configuration in force here.  A sender that acts
-   on an older configuration must not bring work to a region that a newer one
-   forbids.  */
+/* Validates a forwarded request by this host's configuration.  The sender's
+   may be older, and must not override a residency rule that has changed since.
+ */
 static enum marjoram_reason
 check_forward (const marjoram_host *host,
                const struct marjoram_forward *forward)
@@ -207,8 +207,8 @@
   {
     struct marjoram_data data = { request->peer_number, at, piece->bytes };
 
-    /* Pieces that the sender has wholly are passed over; it cuts no piece, so
-       OFFSET is at the start of one.  */
+    /* Skips what the sender already has.  It only receives whole buffers, so
+       OFFSET is the start of one.  */
     if (at >= offset && at < request->passed)
       host->ops->reply (host->context, request->peer, request->peer_session,
                         MARJORAM_FRAME_DATA, &data);
