--- a/test/test_host.c
+++ b/test/test_host.c
@@ -1,6 +1,6 @@
-/* A request's life over several hosts, driven in the decision layer: frames
-   are lost and links break at chosen moments, and upstreams answer as the test
-   says.  Hosts 0 to 2 are zone a (region ra), 3 to 5 zone b (region rb).  */
+/* Request handling across several simulated hosts, with scripted frame loss,
+   link failures and upstream responses.  Hosts 0 to 2 are zone a (region ra),
+   3 to 5 zone b (region rb).  */
 #include "suite.h"
 
 #include "lib_hosts.h"
@@ -33,14 +33,14 @@
 }
 
 static void
-upstream (int host, const char *name, int port)
+announce_upstream (int host, const char *name, int port)
 {
   test_announce (hosts, host, name, host < 3 ? "a" : "b", port, 1, false);
   test_pass (hosts, 1500);
 }
 
 static uint64_t
-ask (int host, const char *caller, const char *key, bool stream)
+send_request (int host, const char *caller, const char *key, bool stream)
 {
   uint64_t call
       = test_send (hosts, host, caller, "body", key, stream, DEADLINE_MS);
@@ -49,9 +49,9 @@
   return call;
 }
 
-/* A key with the prefix that HOST hands out.  */
+/* Formats a key with the prefix assigned by HOST.  */
 static void
-new_key (char *key, int host, int number)
+format_key (char *key, int host, int number)
 {
   json_t *entries
       = marjoram_report_entries (test_host (hosts, host), test_now (hosts),
@@ -75,7 +75,7 @@
 {
   const struct test_reply *reply = test_reply (hosts, call);
 
-  ck_assert_msg (reply->ended, "no whole answer: refused %d, reason %s",
+  ck_assert_msg (reply->ended, "answer not complete: refused %d, reason %s",
                  reply->refused, marjoram_reason_name (reply->reason));
   ck_assert_str_eq (reply->body, body);
 }
@@ -97,8 +97,8 @@
 {
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  call = ask (1, "free", NULL, false);
+  announce_upstream (0, "u", 9000);
+  call = send_request (1, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   test_answer (hosts, last_run (), "answer");
   expect_done (call, "answer");
@@ -110,8 +110,8 @@
 {
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (3, "u", 9000);
+  call = send_request (0, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   ck_assert_int_ge (last_run ()->host, 3);
   test_answer (hosts, last_run (), "answer");
@@ -121,14 +121,14 @@
 }
 END_TEST
 
-/* The only free upstream is in region rb, where caller "bound" may not go: the
-   request is refused at once and nothing leaves region ra.  */
+/* The only upstream is in region rb, which caller "bound" may not use: the
+   request must be refused and not leave region ra.  */
 START_TEST (residency_holds_when_only_the_forbidden_region_has_room)
 {
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  call = ask (0, "bound", NULL, false);
+  announce_upstream (3, "u", 9000);
+  call = send_request (0, "bound", NULL, false);
   expect_refusal (call, MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_RESIDENCY);
   ck_assert_int_eq (test_runs (hosts), 0);
 }
@@ -149,27 +149,25 @@
   return forward;
 }
 
-/* A host that acts on an older configuration forwards a request of caller
-   "bound" to region rb.  The receiver checks residency itself and runs
-   nothing.  */
+/* A host with an older configuration forwards a request of caller "bound" to
+   region rb.  The receiver must check residency itself.  */
 START_TEST (residency_is_checked_at_receipt)
 {
   struct marjoram_forward forward = forged_forward (77);
 
-  upstream (3, "u", 9000);
+  announce_upstream (3, "u", 9000);
   test_forge (hosts, 3, "a-1", 1, MARJORAM_FRAME_FORWARD, &forward);
   ck_assert_int_eq (test_runs (hosts), 0);
 }
 END_TEST
 
-/* Zone a believes that b has room and b that a has.  The request crosses once;
-   b, whose upstream left meanwhile, refuses it back and does not send it on,
-   though a's upstream is back by then.  */
+/* Zone b's upstream has left when the forwarded request arrives, and zone a
+   has one again.  b must refuse the request instead of forwarding it back.  */
 START_TEST (forwarded_request_never_goes_on)
 {
   uint64_t call;
 
-  upstream (3, "u", 9000);
+  announce_upstream (3, "u", 9000);
   call = test_send (hosts, 0, "free", "body", NULL, false, DEADLINE_MS);
   for (int i = 3; i < HOSTS_MAX; i++)
     test_announce (hosts, i, "u", "b", 9000, 2, true);
@@ -186,9 +184,9 @@
 }
 END_TEST
 
-/* An upstream goes on announcing itself to one host.  The others, who hear
-   only renewals after the first time, keep it beyond its lease; one that found
-   it dead by mistake takes it back.  */
+/* An upstream announces itself to one host only.  Batched renewals must extend
+   its lease at the others, and restore it at a host that wrongly marked it
+   dead.  */
 START_TEST (renewals_keep_an_upstream_at_all_hosts)
 {
   for (int second = 0; second < 90; second++)
@@ -198,7 +196,7 @@
     }
   for (int host = 0; host < 3; host++)
     {
-      uint64_t call = ask (host, "free", NULL, false);
+      uint64_t call = send_request (host, "free", NULL, false);
 
       if (host == 2)
         test_fail (hosts, last_run (), MARJORAM_RUN_UNSENT);
@@ -211,14 +209,13 @@
       test_announce (hosts, 0, "u", "a", 9000, 1, false);
       test_pass (hosts, 1000);
     }
-  ask (2, "free", NULL, false);
+  send_request (2, "free", NULL, false);
   ck_assert (last_run ()->open);
 }
 END_TEST
 
-/* A model that only another zone runs.  Its callers here have no other place,
-   so what goes beyond the room that is lent may wait there: at half of the
-   other zone's capacity a quarter of them had been refused.  */
+/* Only another zone runs the model.  Requests beyond that zone's offered
+   capacity must queue there instead of being refused.  */
 START_TEST (work_without_a_home_may_wait_elsewhere)
 {
   enum
@@ -227,10 +224,10 @@
     AT_ONCE = 14 /* the upstream has 8 slots */
   };
 
-  upstream (3, "u", 9000);
+  announce_upstream (3, "u", 9000);
   for (int i = 0; i < WARM_UP; i++)
     {
-      uint64_t call = ask (0, "free", NULL, false);
+      uint64_t call = send_request (0, "free", NULL, false);
 
       test_answer (hosts, last_run (), "warm");
       test_deliver (hosts);
@@ -238,21 +235,21 @@
       test_pass (hosts, 100);
     }
   for (int i = 0; i < AT_ONCE; i++)
-    ask (0, "free", NULL, false);
+    send_request (0, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), WARM_UP + AT_ONCE);
 }
 END_TEST
 
-/* An upstream of the other zone refuses a forwarded request though a second
-   one there is free.  Only the first host may try again: if each host on the
-   path did, attempts would multiply.  */
+/* An upstream refuses a forwarded request while a second one in its zone is
+   free.  The receiver must not retry: attempts would multiply along the path.
+ */
 START_TEST (receiver_does_not_retry)
 {
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  upstream (3, "v", 9001);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (3, "u", 9000);
+  announce_upstream (3, "v", 9001);
+  call = send_request (0, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   test_fail (hosts, last_run (), MARJORAM_RUN_REFUSED);
   ck_assert_int_eq (test_runs (hosts), 1);
@@ -263,8 +260,8 @@
 }
 END_TEST
 
-/* Frames of another zone's answer in which a piece is missing, at the end or
-   in the middle.  The caller must not get the rest as if it were the whole. */
+/* Part of a forwarded answer is missing, at its end or in the middle.  It must
+   not be delivered as a complete answer.  */
 START_TEST (answer_with_a_missing_piece_is_not_whole)
 {
   static const struct
@@ -273,11 +270,11 @@
     uint64_t length;
   } cases[] = { { 0, 9 }, { 3, 4 } };
 
-  upstream (3, "u", 9000);
+  announce_upstream (3, "u", 9000);
   for (uint64_t i = 0; i < 2; i++)
     {
       uint64_t number = i + 1;
-      uint64_t call = ask (0, "free", NULL, false);
+      uint64_t call = send_request (0, "free", NULL, false);
       char slot[] = { 'b', '-', (char)('1' + last_run ()->host - 3), 0 };
       struct marjoram_head head = { number, 200, { NULL, 0 }, NULL };
       struct marjoram_data data = { number, cases[i].offset, NULL };
@@ -295,37 +292,37 @@
 }
 END_TEST
 
-/* Region ra is cut off from region rb: its callers are served, idempotent and
-   not.  */
+/* A region partitioned from the other serves its callers' idempotent and
+   non-idempotent requests.  */
 START_TEST (region_cut_off_serves_its_own_callers)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
+  announce_upstream (0, "u", 9000);
   for (int a = 0; a < 3; a++)
     for (int b = 3; b < HOSTS_MAX; b++)
       test_cut (hosts, a, b, true);
   test_pass (hosts, 10000);
-  call = ask (1, "free", NULL, false);
+  call = send_request (1, "free", NULL, false);
   test_answer (hosts, last_run (), "one");
   expect_done (call, "one");
-  new_key (key, 0, 1);
-  call = ask (2, "free", key, false);
+  format_key (key, 0, 1);
+  call = send_request (2, "free", key, false);
   test_answer (hosts, last_run (), "two");
   expect_done (call, "two");
 }
 END_TEST
 
-/* An upstream breaks off in the middle of an answer.  The caller, who asked
-   for no stream, sees only the whole answer of the second upstream.  */
+/* An upstream fails in the middle of a non-streamed answer.  The caller must
+   get only the complete answer of the second upstream.  */
 START_TEST (broken_answer_is_retried_unseen)
 {
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  upstream (0, "v", 9001);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (0, "u", 9000);
+  announce_upstream (0, "v", 9001);
+  call = send_request (0, "free", NULL, false);
   test_head (hosts, last_run ());
   test_data (hosts, last_run (), "half");
   test_fail (hosts, last_run (), MARJORAM_RUN_BROKEN);
@@ -339,14 +336,14 @@
 }
 END_TEST
 
-/* Two requests run at an upstream when it dies, so that each may be the one
-   that killed it.  They take turns at the only one that is left; the second is
-   not given up while it waits, and both are answered.  */
+/* Two requests run at an upstream when it crashes, and become suspects.  They
+   must run one after the other at the remaining upstream, and the second must
+   not be refused while it waits.  */
 START_TEST (suspects_take_turns)
 {
   uint64_t calls[2];
 
-  upstream (0, "u", 9000);
+  announce_upstream (0, "u", 9000);
   for (int i = 0; i < 2; i++)
     calls[i] = test_send (hosts, 0, "free", i ? "one" : "two", NULL, false,
                           DEADLINE_MS);
@@ -367,15 +364,14 @@
 }
 END_TEST
 
-/* The same, but the two are requests of two hosts, which hear of the death at
-   the same moment and know nothing of each other's.  They must not meet at the
-   upstream that is left: its death would convict neither.  */
+/* Two hosts dispatch one suspect each at the same time.  The suspects must not
+   run together at the remaining upstream: its crash would convict neither.  */
 START_TEST (suspects_of_two_hosts_do_not_meet)
 {
   uint64_t calls[2];
   int open = 0;
 
-  upstream (0, "u", 9000);
+  announce_upstream (0, "u", 9000);
   for (int i = 0; i < 2; i++)
     calls[i] = test_send (hosts, i, "free", i ? "one" : "two", NULL, false,
                           DEADLINE_MS);
@@ -400,15 +396,15 @@
 }
 END_TEST
 
-/* The same in the middle of a stream: what was passed on can't be taken back,
-   so the stream is cut, never continued by another upstream.  */
+/* An upstream fails in the middle of a stream.  The stream must be aborted,
+   never continued with another upstream's output.  */
 START_TEST (broken_stream_is_cut)
 {
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  upstream (0, "v", 9001);
-  call = ask (0, "free", NULL, true);
+  announce_upstream (0, "u", 9000);
+  announce_upstream (0, "v", 9001);
+  call = send_request (0, "free", NULL, true);
   test_head (hosts, last_run ());
   test_data (hosts, last_run (), "half");
   test_fail (hosts, last_run (), MARJORAM_RUN_BROKEN);
@@ -420,16 +416,16 @@
 }
 END_TEST
 
-/* A first attempt was given up and a second one runs.  The first one's answer
-   comes late: it must not be mixed into the second's.  */
+/* The late answer of a failed attempt must not be mixed into the answer of the
+   next one.  */
 START_TEST (late_answer_of_an_earlier_attempt_is_dropped)
 {
   struct test_run *first;
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  upstream (0, "v", 9001);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (0, "u", 9000);
+  announce_upstream (0, "v", 9001);
+  call = send_request (0, "free", NULL, false);
   first = last_run ();
   test_fail (hosts, first, MARJORAM_RUN_BROKEN);
   test_probed (hosts, 0, "u", true);
@@ -441,17 +437,17 @@
 }
 END_TEST
 
-/* The upstream of a non-idempotent request breaks off.  The caller is told
-   unknown; a resend to another host tells the same and runs nothing.  */
+/* The upstream of a non-idempotent request fails: the outcome is unknown.  A
+   resend to another host must report the same and not run the request.  */
 START_TEST (non_idempotent_request_is_not_retried)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  upstream (0, "v", 9001);
-  new_key (key, 0, 2);
-  call = ask (0, "free", key, false);
+  announce_upstream (0, "u", 9000);
+  announce_upstream (0, "v", 9001);
+  format_key (key, 0, 2);
+  call = send_request (0, "free", key, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   test_fail (hosts, last_run (), MARJORAM_RUN_BROKEN);
   test_probed (hosts, 0, "u", true);
@@ -459,7 +455,7 @@
   test_deliver (hosts);
   ck_assert_int_eq (test_reply (hosts, call)->outcome,
                     MARJORAM_OUTCOME_UNKNOWN);
-  call = ask (1, "free", key, false);
+  call = send_request (1, "free", key, false);
   test_pass (hosts, 2000);
   ck_assert (test_reply (hosts, call)->refused);
   ck_assert_int_eq (test_reply (hosts, call)->outcome,
@@ -468,21 +464,21 @@
 }
 END_TEST
 
-/* The caller sends a non-idempotent request again, to another host of the zone
-   and to another region, while the first still runs and after it ended.  It
-   runs once; the later senders get the kept answer.  */
+/* A non-idempotent request is resent to another host and to another region,
+   while it runs and after it ended.  It must run once, and resends after its
+   end get the stored answer.  */
 START_TEST (resent_request_runs_once)
 {
   static const int to[] = { 1, 4 };
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 3);
-  call = ask (0, "free", key, false);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 3);
+  call = send_request (0, "free", key, false);
   for (int i = 0; i < 2; i++)
     {
-      uint64_t again = ask (to[i], "free", key, false);
+      uint64_t again = send_request (to[i], "free", key, false);
 
       test_pass (hosts, 1000);
       expect_refusal (again, MARJORAM_OUTCOME_UNKNOWN,
@@ -493,7 +489,7 @@
   test_deliver (hosts);
   for (int i = 0; i < 2; i++)
     {
-      uint64_t again = ask (to[i], "free", key, false);
+      uint64_t again = send_request (to[i], "free", key, false);
 
       test_pass (hosts, 1000);
       expect_done (again, "once");
@@ -502,77 +498,75 @@
 }
 END_TEST
 
-/* A neighbour has just restarted and still asks its peers for what it knew,
-   when a new key needs its vote.  The key must not be called expired for that.
- */
+/* A host that is still recovering its state after a restart must not reject a
+   new key as expired.  */
 START_TEST (recovering_neighbour_calls_no_key_expired)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
+  announce_upstream (0, "u", 9000);
   test_cut (hosts, 0, 2, true);
   test_cut (hosts, 1, 2, true);
-  new_key (key, 0, 9);
+  format_key (key, 0, 9);
   test_restart (hosts, 1);
-  call = ask (0, "free", key, false);
+  call = send_request (0, "free", key, false);
   test_pass (hosts, 3000);
   ck_assert_int_ne (test_reply (hosts, call)->reason,
                     MARJORAM_REASON_KEY_EXPIRED);
 }
 END_TEST
 
-/* Two callers send the same key and the same body.  Each is answered for its
-   own request; the second must not get the first one's kept answer.  */
+/* Two callers send the same key and the same body.  The second must not get
+   the first one's stored answer.  */
 START_TEST (keys_of_two_callers_are_two)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 10);
-  call = ask (0, "free", key, false);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 10);
+  call = send_request (0, "free", key, false);
   test_answer (hosts, last_run (), "free's");
   expect_done (call, "free's");
   test_deliver (hosts);
-  call = ask (1, "bound", key, false);
+  call = send_request (1, "bound", key, false);
   ck_assert_int_eq (test_runs (hosts), 2);
   test_answer (hosts, last_run (), "bound's");
   expect_done (call, "bound's");
 }
 END_TEST
 
-/* The first host dies after the answer; the caller, who has not got it, asks
-   another host of the zone by the key.  */
+/* The host that ran a request fails after the answer.  A resend to another
+   host of the zone must get the stored answer.  */
 START_TEST (answer_survives_its_host)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 4);
-  ask (0, "free", key, false);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 4);
+  send_request (0, "free", key, false);
   test_answer (hosts, last_run (), "kept");
   test_deliver (hosts);
   test_restart (hosts, 0);
-  call = ask (2, "free", key, false);
+  call = send_request (2, "free", key, false);
   test_pass (hosts, 2000);
   expect_done (call, "kept");
   ck_assert_int_eq (test_runs (hosts), 1);
 }
 END_TEST
 
-/* The link breaks while a non-idempotent request runs in the other zone.  Over
-   the new link the request is asked for by its number; it goes on and runs
-   once.  */
+/* The link is lost while a non-idempotent request runs in the other zone.  The
+   answer must be fetched over the new link without a second run.  */
 START_TEST (request_survives_a_broken_link)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 5);
-  call = ask (4, "free", key, false);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 5);
+  call = send_request (4, "free", key, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   for (int i = 0; i < 3; i++)
     test_cut (hosts, 4, i, true);
@@ -587,16 +581,15 @@
 }
 END_TEST
 
-/* The forwarded request is lost with its link.  The receiver, asked over a new
-   link, says that it never started and bars it: that is proof, so that even
-   non-idempotent work may be sent again, and it runs once.  */
+/* A FORWARD frame is lost with its link.  The receiver's "never started" over
+   the new link proves that a non-idempotent request may be retried.  */
 START_TEST (lost_forward_is_proved_not_run)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 6);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 6);
   call = test_send (hosts, 4, "free", "body", key, false, DEADLINE_MS);
   for (int i = 0; i < 3; i++)
     test_cut (hosts, 4, i, true);
@@ -612,34 +605,33 @@
 }
 END_TEST
 
-/* The zone that guards a key has no upstream and refuses a non-idempotent
-   request that came from another zone.  That zone has one, but no claim:
-   running it there would let a resend, claimed properly, run it again.  */
+/* The zone that owns a key refuses a forwarded non-idempotent request for lack
+   of an upstream.  The forwarding zone must not run it unclaimed: a resend
+   could be granted the claim and run it again.  */
 START_TEST (refused_claim_is_not_run_elsewhere)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  new_key (key, 0, 8);
-  call = ask (4, "free", key, false);
+  announce_upstream (3, "u", 9000);
+  format_key (key, 0, 8);
+  call = send_request (4, "free", key, false);
   test_pass (hosts, 1000);
-  /* Only the guarding zone's own hosts may have started it.  */
+  /* Only hosts of the key's zone may have started it.  */
   for (int i = 0; i < test_runs (hosts); i++)
     ck_assert_int_eq (strncmp (test_run (hosts, i)->id, "a-", 2), 0);
   ck_assert (test_reply (hosts, call)->refused);
 }
 END_TEST
 
-/* The other zone's host ran a request, and restarted before it answered. Asked
-   over the new link it remembers nothing; its "never started" would be told to
-   the caller as not-run, falsely.  */
+/* The host that ran a forwarded request restarts before it answers, and loses
+   its state.  The caller must be told unknown, not not-run.  */
 START_TEST (restarted_host_proves_nothing)
 {
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (3, "u", 9000);
+  call = send_request (0, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   test_restart (hosts, last_run ()->host);
   test_pass (hosts, 5000);
@@ -649,14 +641,14 @@
 }
 END_TEST
 
-/* A FORWARD arrives after its sender asked about it and was told "never
-   started".  It must not start then.  */
+/* A FORWARD frame that arrives after its sender was told "never started" must
+   not start the request.  */
 START_TEST (barred_forward_does_not_start_late)
 {
   struct marjoram_forward forward = forged_forward (500);
   struct marjoram_revoke revoke = { 500, 0 };
 
-  upstream (3, "u", 9000);
+  announce_upstream (3, "u", 9000);
   forward.caller = (char *)"free";
   test_forge (hosts, 3, "a-1", 2, MARJORAM_FRAME_REVOKE, &revoke);
   test_forge (hosts, 3, "a-1", 2, MARJORAM_FRAME_FORWARD, &forward);
@@ -664,36 +656,36 @@
 }
 END_TEST
 
-/* The deadline passes while a non-idempotent request runs: the caller is told
-   unknown at once, the request is not cut, and a resend gets its answer.  */
+/* The deadline passes while a non-idempotent request runs: the caller must be
+   told unknown, the request runs on, and a resend gets its answer.  */
 START_TEST (deadline_leaves_non_idempotent_work_running)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  new_key (key, 0, 7);
+  announce_upstream (0, "u", 9000);
+  format_key (key, 0, 7);
   call = test_send (hosts, 0, "free", "body", key, false, 1000);
   test_pass (hosts, 1200);
   expect_refusal (call, MARJORAM_OUTCOME_UNKNOWN, MARJORAM_REASON_DEADLINE);
   ck_assert (last_run ()->open);
   test_answer (hosts, last_run (), "late");
   test_deliver (hosts);
-  call = ask (1, "free", key, false);
+  call = send_request (1, "free", key, false);
   test_pass (hosts, 500);
   expect_done (call, "late");
 }
 END_TEST
 
-/* A connection to an upstream goes silent for good.  After two seconds the
-   request is asked for by its id on a new one; it is not sent again.  */
+/* A connection to an upstream goes silent.  The answer must be resumed by
+   request id on a new connection, without sending the request again.  */
 START_TEST (silent_connection_is_resumed_by_id)
 {
   uint64_t call;
 
-  upstream (0, "u", 9000);
-  upstream (0, "v", 9001);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (0, "u", 9000);
+  announce_upstream (0, "v", 9001);
+  call = send_request (0, "free", NULL, false);
   test_pass (hosts, 2200);
   ck_assert_int_eq (test_runs (hosts), 1);
   ck_assert_int_eq (last_run ()->resumes, 1);
@@ -711,10 +703,8 @@
   return view.alive;
 }
 
-/* Two hosts are linked by a full path: a frame comes for some seconds, and
-   echoes of heartbeats wait behind it.  The link was taken for silent and
-   closed, with the requests that went over it.  Once nothing comes any more,
-   it is silent indeed.  */
+/* A link that receives part of a large frame, while heartbeats wait behind it,
+   must not be closed as silent.  One that receives nothing must be.  */
 START_TEST (link_on_which_parts_come_is_not_silent)
 {
   const int64_t start = test_now (hosts);
@@ -733,9 +723,8 @@
 }
 END_TEST
 
-/* The request is sent to an upstream, and a newer configuration takes region
-   rb from its caller.  When the attempt in rb fails, the retry keeps to the
-   newer rule.  */
+/* A newer configuration forbids region rb while a request runs there.  The
+   retry must follow the newer rule.  */
 START_TEST (newer_residency_rule_binds_at_the_next_step)
 {
   static const char callers[]
@@ -743,9 +732,9 @@
         "regions = ra\nrate = 100\n";
   uint64_t call;
 
-  upstream (3, "u", 9000);
-  upstream (3, "v", 9001);
-  call = ask (0, "free", NULL, false);
+  announce_upstream (3, "u", 9000);
+  announce_upstream (3, "v", 9001);
+  call = send_request (0, "free", NULL, false);
   ck_assert_int_eq (test_runs (hosts), 1);
   test_configure (hosts, 2, callers);
   test_fail (hosts, last_run (), MARJORAM_RUN_REFUSED);
@@ -755,18 +744,16 @@
 }
 END_TEST
 
-/* A newer configuration has no zone b any more, while a request is on its way
-   there.  The answer that comes before the link is closed is passed on;
-   another request ends in a stated outcome, and no host stumbles over the old
-   index.  */
+/* A newer configuration removes zone b while requests run there.  They must
+   end with a definite outcome, and the stale zone index must not be used.  */
 START_TEST (zone_removed_under_a_request)
 {
   uint64_t first;
   uint64_t second;
 
-  upstream (3, "u", 9000);
-  first = ask (0, "free", NULL, false);
-  second = ask (0, "free", NULL, false);
+  announce_upstream (3, "u", 9000);
+  first = send_request (0, "free", NULL, false);
+  second = send_request (0, "free", NULL, false);
   test_answer (hosts, test_run (hosts, 0), "in time");
   test_remove_zone (hosts, 2);
   test_pass (hosts, DEADLINE_MS + 2000);
@@ -778,9 +765,8 @@
 }
 END_TEST
 
-/* A host with the owner's secret but of a broken build sends frames whose
-   fields are all empty, and arrays of empty items.  The receiver must live on.
- */
+/* An authenticated host sends frames with empty fields and arrays of empty
+   items.  The receiver must not crash.  */
 START_TEST (empty_frames_do_no_harm)
 {
   static const char *const slots[] = { "a-2", "b-1", "nobody" };
@@ -789,7 +775,7 @@
   char *message = calloc (1, layout->size);
   uint64_t call;
 
-  upstream (1, "u", 9000);
+  announce_upstream (1, "u", 9000);
   for (size_t i = 0; i < layout->field_count; i++)
     {
       const struct marjoram_field *field = &layout->fields[i];
@@ -806,14 +792,13 @@
       test_forge (hosts, 0, slots[i], session, type, message);
   marjoram_wire_destroy (layout, message);
   test_pass (hosts, 2000);
-  call = ask (0, "free", NULL, false);
+  call = send_request (0, "free", NULL, false);
   test_answer (hosts, last_run (), "alive");
   expect_done (call, "alive");
 }
 END_TEST
 
-/* A host that has no configuration yet can't know where requests may go: it
-   serves nobody.  */
+/* A host without a configuration must refuse all requests.  */
 START_TEST (host_without_configuration_serves_nobody)
 {
   uint64_t call;
@@ -821,21 +806,21 @@
   teardown ();
   hosts = test_hosts_create (3, 1);
   test_pass (hosts, 10000);
-  call = ask (0, "free", NULL, false);
+  call = send_request (0, "free", NULL, false);
   expect_refusal (call, MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_NO_CONFIG);
 }
 END_TEST
 
-/* A draining host takes nothing new and finishes what it has.  */
+/* A draining host refuses new requests and completes those in progress.  */
 START_TEST (draining_host_finishes_its_requests)
 {
   uint64_t first;
   uint64_t second;
 
-  upstream (0, "u", 9000);
-  first = ask (0, "free", NULL, false);
+  announce_upstream (0, "u", 9000);
+  first = send_request (0, "free", NULL, false);
   marjoram_host_drain (test_host (hosts, 0), test_now (hosts));
-  second = ask (0, "free", NULL, false);
+  second = send_request (0, "free", NULL, false);
   expect_refusal (second, MARJORAM_OUTCOME_NOT_RUN, MARJORAM_REASON_DRAINING);
   test_answer (hosts, last_run (), "finished");
   expect_done (first, "finished");
