--- a/test/test_mix.c
+++ b/test/test_mix.c
@@ -1,8 +1,8 @@
-/* Random faults, several at once, over six hosts in two zones: links cut and
-   healed, frames lost with them, hosts that restart empty, upstreams that
-   break off, refuse, leave and come back, callers that go to any host and send
-   again. Each seed is one schedule; the whole history is checked at its end.
-   SEEDS and FIRST_SEED in the environment choose others.  */
+/* Random concurrent faults over six simulated hosts in two zones: partitions,
+   frame loss, host restarts without state, upstream failures, and callers that
+   resend to any host.  Each seed is one schedule, whose whole history is
+   checked.  The environment variables SEEDS and FIRST_SEED set the number of
+   seeds and the first one.  */
 #include "suite.h"
 
 #include "lib_hosts.h"
@@ -18,21 +18,21 @@
 {
   DEFAULT_SEEDS = 150,
   STEPS = 160,
-  SENDINGS_MAX = 512,
+  SENT_MAX = 512,
   KEYS_MAX = 64,
   UPSTREAMS = 4, /* two in each zone */
   STEP_MS = 100,
   DEADLINE_MS = 15000,
-  RECOVERY_MS = 6000 /* between restarts, as hosts recover from each other */
+  RECOVERY_MS = 6000 /* minimum between restarts: hosts recover from peers */
 };
 
-/* One sending of a request by its caller.  */
-struct sending
+/* One request sent by a caller.  */
+struct sent_request
 {
   uint64_t call;
   int key; /* -1 if idempotent */
   bool bound;
-  bool judged;
+  bool verified;
   char body[32];
 };
 
@@ -41,18 +41,18 @@
   struct test_hosts *hosts;
   marjoram_random *random;
   uint64_t seed;
-  struct sending sendings[SENDINGS_MAX];
-  int sending_count;
+  struct sent_request sent_requests[SENT_MAX];
+  int sent_count;
   char keys[KEYS_MAX][MARJORAM_KEY_MAX];
   int key_count;
   uint64_t incarnations[UPSTREAMS];
   bool up[UPSTREAMS];
   int64_t restarted;
-  int answered; /* runs looked at so far */
+  int first_open_run; /* all earlier runs are closed */
 };
 
 static uint32_t
-below (struct mix *mix, uint32_t limit)
+random_below (struct mix *mix, uint32_t limit)
 {
   return marjoram_random_below (mix->random, limit);
 }
@@ -61,7 +61,7 @@
 announce (struct mix *mix, int upstream, bool leaving)
 {
   bool first_zone = upstream < UPSTREAMS / 2;
-  int host = (first_zone ? 0 : 3) + (int)below (mix, 3);
+  int host = (first_zone ? 0 : 3) + (int)random_below (mix, 3);
   char name[16];
 
   snprintf (name, sizeof name, "u%d", upstream);
@@ -73,19 +73,19 @@
 static void
 send_one (struct mix *mix, int key)
 {
-  struct sending *sending = &mix->sendings[mix->sending_count];
-  int host = (int)below (mix, HOSTS_MAX);
+  struct sent_request *sent = &mix->sent_requests[mix->sent_count];
+  int host = (int)random_below (mix, HOSTS_MAX);
 
-  if (mix->sending_count == SENDINGS_MAX)
+  if (mix->sent_count == SENT_MAX)
     return;
-  sending->key = key;
-  sending->bound = key < 0 && below (mix, 4) == 0;
-  snprintf (sending->body, sizeof sending->body, key < 0 ? "plain%d" : "key%d",
-            key < 0 ? mix->sending_count : key);
-  sending->call = test_send (
-      mix->hosts, host, sending->bound ? "bound" : "free", sending->body,
-      key < 0 ? NULL : mix->keys[key], below (mix, 3) == 0, DEADLINE_MS);
-  mix->sending_count++;
+  sent->key = key;
+  sent->bound = key < 0 && random_below (mix, 4) == 0;
+  snprintf (sent->body, sizeof sent->body, key < 0 ? "plain%d" : "key%d",
+            key < 0 ? mix->sent_count : key);
+  sent->call = test_send (mix->hosts, host, sent->bound ? "bound" : "free",
+                          sent->body, key < 0 ? NULL : mix->keys[key],
+                          random_below (mix, 3) == 0, DEADLINE_MS);
+  mix->sent_count++;
 }
 
 static void
@@ -93,13 +93,13 @@
 {
   json_t *entries;
 
-  if (below (mix, 2) == 0 || mix->key_count == KEYS_MAX)
+  if (random_below (mix, 2) == 0 || mix->key_count == KEYS_MAX)
     {
       send_one (mix, -1);
       return;
     }
   entries = marjoram_report_entries (
-      test_host (mix->hosts, (int)below (mix, HOSTS_MAX)),
+      test_host (mix->hosts, (int)random_below (mix, HOSTS_MAX)),
       test_now (mix->hosts), test_now (mix->hosts) + TEST_WALL_OFFSET);
   snprintf (mix->keys[mix->key_count], MARJORAM_KEY_MAX, "%sk%d",
             json_string_value (json_object_get (entries, "key_prefix")),
@@ -109,9 +109,9 @@
 }
 
 static void
-break_off (struct mix *mix, struct test_run *run)
+abort_run (struct mix *mix, struct test_run *run)
 {
-  bool died = below (mix, 2) == 0;
+  bool died = random_below (mix, 2) == 0;
   char name[16];
 
   test_fail (mix->hosts, run, MARJORAM_RUN_BROKEN);
@@ -119,27 +119,27 @@
   test_probed (mix->hosts, run->host, name, !died);
 }
 
-/* Answers, breaks off or refuses one open run.  */
+/* Answers, fails or refuses a random subset of the open runs.  */
 static void
-work_on_runs (struct mix *mix)
+process_runs (struct mix *mix)
 {
-  for (int i = mix->answered; i < test_runs (mix->hosts); i++)
+  for (int i = mix->first_open_run; i < test_runs (mix->hosts); i++)
     {
       struct test_run *run = test_run (mix->hosts, i);
       char answer[80];
 
       if (!run->open)
         {
-          mix->answered += i == mix->answered;
+          mix->first_open_run += i == mix->first_open_run;
           continue;
         }
-      if (below (mix, 3) > 0)
+      if (random_below (mix, 3) > 0)
         continue;
       snprintf (answer, sizeof answer, "answer to %s", run->body);
-      switch (below (mix, 12))
+      switch (random_below (mix, 12))
         {
         case 0:
-          break_off (mix, run);
+          abort_run (mix, run);
           break;
         case 1:
           test_fail (mix->hosts, run, MARJORAM_RUN_REFUSED);
@@ -147,7 +147,7 @@
         case 2:
           test_head (mix->hosts, run);
           test_data (mix->hosts, run, "half of");
-          break_off (mix, run);
+          abort_run (mix, run);
           break;
         default:
           test_answer (mix->hosts, run, answer);
@@ -156,11 +156,11 @@
 }
 
 static void
-change_links (struct mix *mix)
+cut_or_heal_link (struct mix *mix)
 {
-  int a = (int)below (mix, HOSTS_MAX);
-  int b = (int)below (mix, HOSTS_MAX);
-  bool cut = below (mix, 2) == 0;
+  int a = (int)random_below (mix, HOSTS_MAX);
+  int b = (int)random_below (mix, HOSTS_MAX);
+  bool cut = random_below (mix, 2) == 0;
 
   if (a != b)
     test_cut (mix->hosts, a, b, cut);
@@ -180,19 +180,19 @@
   if (test_now (mix->hosts) - mix->restarted < RECOVERY_MS)
     return;
   mix->restarted = test_now (mix->hosts);
-  test_restart (mix->hosts, (int)below (mix, HOSTS_MAX));
+  test_restart (mix->hosts, (int)random_below (mix, HOSTS_MAX));
 }
 
 static void
-disturb (struct mix *mix)
+inject_fault (struct mix *mix)
 {
-  int upstream = (int)below (mix, UPSTREAMS);
+  int upstream = (int)random_below (mix, UPSTREAMS);
 
-  switch (below (mix, 14))
+  switch (random_below (mix, 14))
     {
     case 0:
     case 1:
-      change_links (mix);
+      cut_or_heal_link (mix);
       break;
     case 2:
       cut_zones (mix, true);
@@ -219,74 +219,74 @@
     }
 }
 
-/* Runs of SENDING's request among the first LIMIT ones.  */
+/* Counts the runs of SENT among the first LIMIT runs.  */
 static int
-runs_of (const struct mix *mix, const struct sending *sending, int limit)
+count_runs (const struct mix *mix, const struct sent_request *sent, int limit)
 {
   int count = 0;
 
   for (int i = 0; i < limit; i++)
     count += !test_run (mix->hosts, i)->refused
-             && strcmp (test_run (mix->hosts, i)->body, sending->body) == 0;
+             && strcmp (test_run (mix->hosts, i)->body, sent->body) == 0;
   return count;
 }
 
-/* At the moment of the answer: what is told must be true then.  */
+/* Checks each new answer against the runs that had started when it was given.
+ */
 static void
-judge_answers (struct mix *mix)
+verify_answers (struct mix *mix)
 {
-  for (int i = 0; i < mix->sending_count; i++)
+  for (int i = 0; i < mix->sent_count; i++)
     {
-      struct sending *sending = &mix->sendings[i];
-      const struct test_reply *reply = test_reply (mix->hosts, sending->call);
+      struct sent_request *sent = &mix->sent_requests[i];
+      const struct test_reply *reply = test_reply (mix->hosts, sent->call);
       char expected[80];
 
-      if (sending->judged || (!reply->ended && !reply->refused && !reply->cut))
+      if (sent->verified || (!reply->ended && !reply->refused && !reply->cut))
         continue;
-      sending->judged = true;
-      snprintf (expected, sizeof expected, "answer to %s", sending->body);
+      sent->verified = true;
+      snprintf (expected, sizeof expected, "answer to %s", sent->body);
       if (reply->ended)
         ck_assert_msg (strcmp (reply->body, expected) == 0,
-                       "seed %d: '%s' was answered '%s'", (int)mix->seed,
-                       sending->body, reply->body);
+                       "seed %d: '%s' got the answer '%s'", (int)mix->seed,
+                       sent->body, reply->body);
       else if (reply->outcome == MARJORAM_OUTCOME_NOT_RUN)
-        ck_assert_msg (runs_of (mix, sending, reply->runs_before) == 0,
-                       "seed %d: '%s' was told not-run (%s) but ran",
-                       (int)mix->seed, sending->body,
+        ck_assert_msg (count_runs (mix, sent, reply->runs_before) == 0,
+                       "seed %d: '%s' was reported not-run (%s) but had run",
+                       (int)mix->seed, sent->body,
                        marjoram_reason_name (reply->reason));
     }
 }
 
 static void
-judge_history (struct mix *mix)
+verify_history (struct mix *mix)
 {
   int unanswered = 0;
 
-  for (int i = 0; i < mix->sending_count; i++)
+  for (int i = 0; i < mix->sent_count; i++)
     {
-      const struct sending *sending = &mix->sendings[i];
-      const struct test_reply *reply = test_reply (mix->hosts, sending->call);
+      const struct sent_request *sent = &mix->sent_requests[i];
+      const struct test_reply *reply = test_reply (mix->hosts, sent->call);
 
-      unanswered += !sending->judged;
-      if (sending->key >= 0)
-        ck_assert_msg (runs_of (mix, sending, test_runs (mix->hosts)) <= 1,
+      unanswered += !sent->verified;
+      if (sent->key >= 0)
+        ck_assert_msg (count_runs (mix, sent, test_runs (mix->hosts)) <= 1,
                        "seed %d: '%s' ran %d times", (int)mix->seed,
-                       sending->body,
-                       runs_of (mix, sending, test_runs (mix->hosts)));
+                       sent->body,
+                       count_runs (mix, sent, test_runs (mix->hosts)));
       else if (reply->refused && reply->outcome == MARJORAM_OUTCOME_NOT_RUN)
-        ck_assert_msg (runs_of (mix, sending, test_runs (mix->hosts)) == 0,
-                       "seed %d: '%s' was told not-run and ran later",
-                       (int)mix->seed, sending->body);
-      for (int j = 0; sending->bound && j < test_runs (mix->hosts); j++)
-        if (strcmp (test_run (mix->hosts, j)->body, sending->body) == 0)
+        ck_assert_msg (count_runs (mix, sent, test_runs (mix->hosts)) == 0,
+                       "seed %d: '%s' was reported not-run but ran later",
+                       (int)mix->seed, sent->body);
+      for (int j = 0; sent->bound && j < test_runs (mix->hosts); j++)
+        if (strcmp (test_run (mix->hosts, j)->body, sent->body) == 0)
           ck_assert_msg (test_run (mix->hosts, j)->host < 3,
                          "seed %d: '%s' left its region", (int)mix->seed,
-                         sending->body);
+                         sent->body);
     }
-  /* Callers of hosts that restarted get no answer; nobody else may wait past
-     the deadline.  */
-  ck_assert_msg (unanswered < mix->sending_count,
-                 "seed %d: nobody was answered", (int)mix->seed);
+  /* Callers of restarted hosts get no answer.  */
+  ck_assert_msg (unanswered < mix->sent_count,
+                 "seed %d: no request was answered", (int)mix->seed);
 }
 
 static void
@@ -303,28 +303,28 @@
   test_pass (mix->hosts, RECOVERY_MS);
   for (int step = 0; step < STEPS; step++)
     {
-      if (below (mix, 3) == 0)
-        disturb (mix);
-      if (below (mix, 2) == 0)
+      if (random_below (mix, 3) == 0)
+        inject_fault (mix);
+      if (random_below (mix, 2) == 0)
         send_new (mix);
-      if (mix->key_count > 0 && below (mix, 3) == 0)
-        send_one (mix, (int)below (mix, (uint32_t)mix->key_count));
-      judge_answers (mix);
+      if (mix->key_count > 0 && random_below (mix, 3) == 0)
+        send_one (mix, (int)random_below (mix, (uint32_t)mix->key_count));
+      verify_answers (mix);
       test_pass (mix->hosts, STEP_MS);
-      judge_answers (mix);
-      work_on_runs (mix);
-      judge_answers (mix);
+      verify_answers (mix);
+      process_runs (mix);
+      verify_answers (mix);
     }
   test_pass (mix->hosts, DEADLINE_MS + 1000);
-  judge_answers (mix);
-  judge_history (mix);
+  verify_answers (mix);
+  verify_history (mix);
   test_hosts_destroy (mix->hosts);
   marjoram_random_destroy (mix->random);
   free (mix);
 }
 
 static uint64_t
-setting (const char *name, uint64_t fallback)
+env_uint64 (const char *name, uint64_t fallback)
 {
   const char *text = getenv (name);
 
@@ -333,8 +333,8 @@
 
 START_TEST (promises_hold_under_random_faults)
 {
-  uint64_t first = setting ("FIRST_SEED", 1);
-  uint64_t count = setting ("SEEDS", DEFAULT_SEEDS);
+  uint64_t first = env_uint64 ("FIRST_SEED", 1);
+  uint64_t count = env_uint64 ("SEEDS", DEFAULT_SEEDS);
 
   for (uint64_t seed = first; seed < first + count; seed++)
     run_seed (seed);
