--- a/src/answer.c
+++ b/src/answer.c
@@ -13,47 +13,47 @@
 };
 
 static void
-pieces_clear (struct marjoram_request *request)
+clear_chunks (struct marjoram_request *request)
 {
-  struct marjoram_piece *piece;
+  struct marjoram_chunk *chunk;
 
-  while ((piece = STAILQ_FIRST (&request->pieces)))
+  while ((chunk = STAILQ_FIRST (&request->chunks)))
     {
-      STAILQ_REMOVE_HEAD (&request->pieces, next);
-      marjoram_bytes_release (piece->bytes);
-      free (piece);
+      STAILQ_REMOVE_HEAD (&request->chunks, next);
+      marjoram_bytes_release (chunk->bytes);
+      free (chunk);
     }
-  request->pieces_size = 0;
+  request->chunks_size = 0;
 }
 
 static void
-pieces_add (struct marjoram_request *request, marjoram_bytes *bytes)
+add_chunk (struct marjoram_request *request, marjoram_bytes *bytes)
 {
-  struct marjoram_piece *piece = marjoram_alloc (sizeof *piece);
+  struct marjoram_chunk *chunk = marjoram_alloc (sizeof *chunk);
 
-  piece->bytes = marjoram_bytes_retain (bytes);
-  STAILQ_INSERT_TAIL (&request->pieces, piece, next);
-  request->pieces_size += marjoram_bytes_size (bytes);
+  chunk->bytes = marjoram_bytes_retain (bytes);
+  STAILQ_INSERT_TAIL (&request->chunks, chunk, next);
+  request->chunks_size += marjoram_bytes_size (bytes);
 }
 
 static marjoram_bytes *
-pieces_join (const struct marjoram_request *request)
+join_chunks (const struct marjoram_request *request)
 {
-  marjoram_auto_free uint8_t *whole = marjoram_alloc (request->pieces_size);
-  const struct marjoram_piece *piece;
+  marjoram_auto_free uint8_t *whole = marjoram_alloc (request->chunks_size);
+  const struct marjoram_chunk *chunk;
   size_t size = 0;
 
-  STAILQ_FOREACH (piece, &request->pieces, next)
+  STAILQ_FOREACH (chunk, &request->chunks, next)
   {
-    memcpy (whole + size, marjoram_bytes_data (piece->bytes),
-            marjoram_bytes_size (piece->bytes));
-    size += marjoram_bytes_size (piece->bytes);
+    memcpy (whole + size, marjoram_bytes_data (chunk->bytes),
+            marjoram_bytes_size (chunk->bytes));
+    size += marjoram_bytes_size (chunk->bytes);
   }
   return marjoram_bytes_create (whole, size);
 }
 
 static void
-head_clear (struct marjoram_request *request)
+clear_head (struct marjoram_request *request)
 {
   marjoram_wire_clear (marjoram_frame_layout (MARJORAM_FRAME_HEAD),
                        &request->head);
@@ -64,8 +64,8 @@
 void
 marjoram_answer_clear (struct marjoram_request *request)
 {
-  head_clear (request);
-  pieces_clear (request);
+  clear_head (request);
+  clear_chunks (request);
 }
 
 /* A malformed frame may lack string fields.  */
@@ -96,26 +96,26 @@
 /* A streamed answer is delivered as it arrives.  Any other is buffered until
    it is complete, so that a failed attempt can be retried transparently.  */
 static bool
-passes_through (const struct marjoram_request *request)
+is_streamed (const struct marjoram_request *request)
 {
   return request->call->stream;
 }
 
 static void
-pass_head (marjoram_host *host, struct marjoram_request *request,
-           int64_t length)
+deliver_head (marjoram_host *host, struct marjoram_request *request,
+              int64_t length)
 {
   request->head_passed = true;
-  if (!request->gone)
+  if (!request->abandoned)
     request->origin->head (host, request, &request->head, length);
 }
 
 static void
-pass_bytes (marjoram_host *host, struct marjoram_request *request,
-            marjoram_bytes *bytes)
+deliver_bytes (marjoram_host *host, struct marjoram_request *request,
+               marjoram_bytes *bytes)
 {
-  request->passed += marjoram_bytes_size (bytes);
-  if (!request->gone)
+  request->delivered += marjoram_bytes_size (bytes);
+  if (!request->abandoned)
     request->origin->data (host, request, bytes);
 }
 
@@ -134,16 +134,16 @@
   if (!request->head.upstream)
     request->head.upstream = marjoram_strdup (request->upstream);
   request->has_head = true;
-  if (passes_through (request) && !request->head_passed)
-    pass_head (host, request, -1);
+  if (is_streamed (request) && !request->head_passed)
+    deliver_head (host, request, -1);
 }
 
 /* The body is buffered if it is not streamed, if it may be replayed, or if the
    forwarding host may fetch it again over a new link.  */
 static bool
-keeps_pieces (const struct marjoram_request *request)
+buffers_body (const struct marjoram_request *request)
 {
-  return !passes_through (request) || request->granted || request->peer;
+  return !is_streamed (request) || request->granted || request->peer;
 }
 
 void
@@ -151,12 +151,12 @@
                        struct marjoram_request *request, marjoram_bytes *bytes)
 {
   request->progress = now;
-  request->patience = MARJORAM_UPSTREAM_SILENT_MS;
+  request->resume_timeout = MARJORAM_UPSTREAM_SILENT_MS;
   request->received += marjoram_bytes_size (bytes);
-  if (keeps_pieces (request))
-    pieces_add (request, bytes);
-  if (passes_through (request))
-    pass_bytes (host, request, bytes);
+  if (buffers_body (request))
+    add_chunk (request, bytes);
+  if (is_streamed (request))
+    deliver_bytes (host, request, bytes);
 }
 
 static const char *
@@ -176,21 +176,21 @@
 {
   struct marjoram_kept_answer kept = { 0 };
 
-  if (request->pieces_size > REPLAY_BODY_MAX)
+  if (request->chunks_size > REPLAY_BODY_MAX)
     {
       marjoram_claims_finish (host->claims, now, request->claim, NULL);
       return;
     }
   kept.status = request->head.status;
   kept.content_type = (char *)content_type (&request->head);
-  kept.body = pieces_join (request);
+  kept.body = join_chunks (request);
   marjoram_claims_finish (host->claims, now, request->claim, &kept);
   marjoram_bytes_release (kept.body);
 }
 
 static void
-measure (marjoram_host *host, int64_t now,
-         const struct marjoram_request *request)
+record_latency (marjoram_host *host, int64_t now,
+                const struct marjoram_request *request)
 {
   struct marjoram_query query;
 
@@ -208,9 +208,9 @@
 marjoram_request_done (marjoram_host *host, int64_t now,
                        struct marjoram_request *request)
 {
-  struct marjoram_piece *piece;
+  struct marjoram_chunk *chunk;
 
-  measure (host, now, request);
+  record_latency (host, now, request);
   /* Released before it is cleared, so that the end of a suspect's run is
      reported to the zone with its suspicion.  */
   marjoram_attempt_release (host, now, request, false);
@@ -219,14 +219,14 @@
   request->reason = MARJORAM_REASON_NONE;
   if (request->granted)
     finish_claim (host, now, request);
-  if (!passes_through (request))
+  if (!is_streamed (request))
     {
-      pass_head (host, request, (int64_t)request->received);
-      STAILQ_FOREACH (piece, &request->pieces, next)
-      pass_bytes (host, request, piece->bytes);
+      deliver_head (host, request, (int64_t)request->received);
+      STAILQ_FOREACH (chunk, &request->chunks, next)
+      deliver_bytes (host, request, chunk->bytes);
     }
   marjoram_request_count_outcome (host, request, MARJORAM_OUTCOME_DONE);
-  if (!request->gone)
+  if (!request->abandoned)
     request->origin->end (host, request);
   marjoram_request_settle (host, now, request);
 }
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -34,9 +34,9 @@
   request->attempt_started = now;
   request->progress = now;
   request->first_byte = 0;
-  request->patience = MARJORAM_UPSTREAM_SILENT_MS;
+  request->resume_timeout = MARJORAM_UPSTREAM_SILENT_MS;
   request->resuming = false;
-  request->revoking = false;
+  request->revoke_pending = false;
   request->received = 0;
   marjoram_answer_clear (request);
   HASH_ADD (by_attempt, host->requests->by_attempt, attempt,
@@ -45,7 +45,7 @@
 
 enum
 {
-  RESERVE_SPREAD_MS = 500
+  RESERVE_JITTER_MS = 500
 };
 
 static void
@@ -115,32 +115,33 @@
   marjoram_attempt_release (host, now, request, false);
   request->state = MARJORAM_REQUEST_WAITING;
   request->progress
-      = now + marjoram_random_below (host->random, RESERVE_SPREAD_MS);
+      = now + marjoram_random_below (host->random, RESERVE_JITTER_MS);
 }
 
 void
 marjoram_attempt_query (const marjoram_host *host,
                         const struct marjoram_request *request,
-                        struct marjoram_query *q)
+                        struct marjoram_query *query)
 {
   const struct marjoram_call *call = request->call;
 
-  memset (q, 0, sizeof *q);
-  q->caller = marjoram_config_find_caller_name (host->config, request->caller);
-  q->work = marjoram_config_find_work (host->config, call->work);
-  q->class = call->class;
-  q->deadline = request->deadline;
-  q->prompt_tokens = call->prompt_tokens;
-  q->answer_tokens = call->answer_tokens;
-  q->prefix_hash = call->prefix_hash;
-  q->digest = request->digest;
-  q->forwarded = request->peer != NULL;
-  q->homeless = request->homeless;
-  q->tried_count = request->tried_count;
+  memset (query, 0, sizeof *query);
+  query->caller
+      = marjoram_config_find_caller_name (host->config, request->caller);
+  query->work = marjoram_config_find_work (host->config, call->work);
+  query->class = call->class;
+  query->deadline = request->deadline;
+  query->prompt_tokens = call->prompt_tokens;
+  query->answer_tokens = call->answer_tokens;
+  query->prefix_hash = call->prefix_hash;
+  query->digest = request->digest;
+  query->forwarded = request->peer != NULL;
+  query->homeless = request->homeless;
+  query->tried_count = request->tried_count;
   for (int i = 0; i < request->tried_count; i++)
-    q->tried[i] = request->tried[i];
-  q->zones_tried_count = request->zones_tried_count;
-  memcpy (q->zones_tried, request->zones_tried, sizeof q->zones_tried);
+    query->tried[i] = request->tried[i];
+  query->zones_tried_count = request->zones_tried_count;
+  memcpy (query->zones_tried, request->zones_tried, sizeof query->zones_tried);
 }
 
 static bool
@@ -167,8 +168,8 @@
    has not tried.  They are occupied by other suspects, so the request waits
    for those to end instead of being refused.  */
 static bool
-waits_for_suspects (const marjoram_host *host, int64_t now,
-                    const struct marjoram_request *request)
+must_wait_for_suspects (const marjoram_host *host, int64_t now,
+                        const struct marjoram_request *request)
 {
   if (marjoram_suspects_get (host->suspects, now, request->digest)
       != MARJORAM_SUSPICION_SUSPECT)
@@ -215,7 +216,7 @@
       break;
     }
   if (choice.reason != MARJORAM_REASON_CONVICTED
-      && waits_for_suspects (host, now, request))
+      && must_wait_for_suspects (host, now, request))
     {
       request->state = MARJORAM_REQUEST_WAITING;
       request->progress = now;
@@ -229,7 +230,7 @@
 }
 
 static void
-remember_tried (struct marjoram_request *request)
+add_tried (struct marjoram_request *request)
 {
   if (request->state == MARJORAM_REQUEST_REMOTE)
     {
@@ -251,7 +252,7 @@
            const struct marjoram_request *request,
            enum marjoram_outcome outcome)
 {
-  if (request->peer || request->gone || request->head_passed)
+  if (request->peer || request->abandoned || request->head_passed)
     return false;
   if (outcome != MARJORAM_OUTCOME_NOT_RUN && !request->call->idempotent)
     return false;
@@ -266,7 +267,7 @@
    here.  It is sent to that zone again: routed from here it would run
    unclaimed, and a resend by the caller would run it a second time.  */
 static void
-try_again (marjoram_host *host, int64_t now, struct marjoram_request *request)
+retry (marjoram_host *host, int64_t now, struct marjoram_request *request)
 {
   if (request->call->idempotent || request->granted)
     marjoram_attempt_dispatch (host, now, request);
@@ -283,17 +284,17 @@
 {
   bool answered_late = request->head_passed;
 
-  remember_tried (request);
+  add_tried (request);
   marjoram_attempt_release (host, now, request, true);
   if (outcome != MARJORAM_OUTCOME_NOT_RUN)
-    request->maybe_ran = true;
+    request->may_have_run = true;
   if (!final && may_retry (host, now, request, outcome))
     {
       marjoram_counters_retried (host->counters, reason);
       marjoram_log (MARJORAM_LOG_INFO, "%s: retrying after %s", request->id,
                     marjoram_reason_name (reason));
       request->reason = reason;
-      try_again (host, now, request);
+      retry (host, now, request);
       return;
     }
   marjoram_request_refuse (host, now, request,
--- a/src/claimed.c
+++ b/src/claimed.c
@@ -103,7 +103,7 @@
     {
     case MARJORAM_CLAIM_RUN:
       request->granted = true;
-      if (request->gone)
+      if (request->abandoned)
         marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                                  MARJORAM_REASON_CANCELLED, 0);
       else
--- a/src/forward.c
+++ b/src/forward.c
@@ -9,7 +9,7 @@
 
 static void
 fill_forward (const marjoram_host *host, int64_t now,
-              const struct marjoram_request *request, bool claim_there,
+              const struct marjoram_request *request, bool claim_at_zone,
               struct marjoram_forward *f)
 {
   struct marjoram_call *call = request->call;
@@ -33,15 +33,15 @@
   f->config_number = marjoram_config_number (host->config);
   f->suspicion = marjoram_suspects_get (host->suspects, now, request->digest);
   f->stream = call->stream;
-  f->claim_here = claim_there;
+  f->claim_here = claim_at_zone;
   f->homeless = request->homeless;
 }
 
 /* Returns true if the current configuration's residency rules allow the
    request to run in ZONE.  */
 static bool
-zone_allowed (const marjoram_host *host,
-              const struct marjoram_request *request, int zone)
+is_zone_allowed (const marjoram_host *host,
+                 const struct marjoram_request *request, int zone)
 {
   int caller
       = marjoram_config_find_caller_name (host->config, request->caller);
@@ -56,13 +56,13 @@
 void
 marjoram_forward_send (marjoram_host *host, int64_t now,
                        struct marjoram_request *request, int zone,
-                       bool claim_there)
+                       bool claim_at_zone)
 {
   struct marjoram_link *link = marjoram_link_to_zone (host, zone);
   struct marjoram_forward forward;
 
   /* Enforces residency for every forward, however the zone was chosen.  */
-  if (!zone_allowed (host, request, zone))
+  if (!is_zone_allowed (host, request, zone))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                                MARJORAM_REASON_RESIDENCY, 0);
@@ -84,7 +84,7 @@
   request->remote_slot = marjoram_strdup (link->slot);
   request->remote_incarnation = link->incarnation;
   request->remote_session = link->session;
-  fill_forward (host, now, request, claim_there, &forward);
+  fill_forward (host, now, request, claim_at_zone, &forward);
   marjoram_router_sent (host->router, now, zone, request->work);
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_FORWARDED_OUT, 1);
   marjoram_log (MARJORAM_LOG_DEBUG, "%s: to host %s", request->id, link->slot);
@@ -116,8 +116,9 @@
    has restarted it has lost its state and would report "never started" for a
    request that ran, so the attempt fails with an unknown outcome instead.  */
 static void
-ask_again (marjoram_host *host, int64_t now, struct marjoram_request *request,
-           const struct marjoram_link *link)
+revoke_or_fail (marjoram_host *host, int64_t now,
+                struct marjoram_request *request,
+                const struct marjoram_link *link)
 {
   if (link->incarnation == request->remote_incarnation)
     send_revoke (host, request, link);
@@ -138,8 +139,9 @@
     {
       next = TAILQ_NEXT (request, all);
       if (request->attempt && request->state == MARJORAM_REQUEST_REMOTE
-          && request->revoking && strcmp (request->remote_slot, slot) == 0)
-        ask_again (host, now, request, link);
+          && request->revoke_pending
+          && strcmp (request->remote_slot, slot) == 0)
+        revoke_or_fail (host, now, request, link);
     }
 }
 
@@ -154,10 +156,10 @@
 
   if (!lost)
     return;
-  request->revoking = true;
+  request->revoke_pending = true;
   request->progress = now;
   if (link && link->up)
-    ask_again (host, now, request, link);
+    revoke_or_fail (host, now, request, link);
 }
 
 void
@@ -166,7 +168,7 @@
 {
   if (!request->attempt)
     return;
-  if (!request->revoking)
+  if (!request->revoke_pending)
     check_link (host, now, request);
   else if (request->call->idempotent && !request->head_passed
            && now - request->progress >= MARJORAM_REVOKE_WAIT_MS)
@@ -177,8 +179,9 @@
 }
 
 static void
-take_data (marjoram_host *host, int64_t now, struct marjoram_request *request,
-           const struct marjoram_data *data)
+handle_data (marjoram_host *host, int64_t now,
+             struct marjoram_request *request,
+             const struct marjoram_data *data)
 {
   /* Skips data already received over an earlier link.  A gap can't be filled,
      so the attempt fails.  */
@@ -195,7 +198,7 @@
 }
 
 static bool
-is_final (enum marjoram_reason reason)
+forbids_retry (enum marjoram_reason reason)
 {
   return reason == MARJORAM_REASON_CONVICTED
          || reason == MARJORAM_REASON_CLAIM_BUSY
@@ -207,29 +210,29 @@
 }
 
 static void
-learn_deaths (marjoram_host *host, int64_t now,
-              const struct marjoram_request *request,
-              const struct marjoram_end *end)
+update_suspicion (marjoram_host *host, int64_t now,
+                  const struct marjoram_request *request,
+                  const struct marjoram_end *end)
 {
-  struct marjoram_suspect_message news = { 0 };
+  struct marjoram_suspect_message suspect = { 0 };
 
   if (end->deaths == 0)
     return;
-  news.digest = (char *)request->digest;
-  news.deaths = end->deaths;
-  news.suspicion = end->reason == MARJORAM_REASON_CONVICTED
-                       ? MARJORAM_SUSPICION_CONVICTED
-                       : MARJORAM_SUSPICION_SUSPECT;
-  marjoram_host_learn_suspect (host, now, request->remote_slot, &news);
+  suspect.digest = (char *)request->digest;
+  suspect.deaths = end->deaths;
+  suspect.suspicion = end->reason == MARJORAM_REASON_CONVICTED
+                          ? MARJORAM_SUSPICION_CONVICTED
+                          : MARJORAM_SUSPICION_SUSPECT;
+  marjoram_host_learn_suspect (host, now, request->remote_slot, &suspect);
 }
 
 static void
-take_end (marjoram_host *host, int64_t now, struct marjoram_request *request,
-          const struct marjoram_end *end)
+handle_end (marjoram_host *host, int64_t now, struct marjoram_request *request,
+            const struct marjoram_end *end)
 {
   enum marjoram_reason reason = (enum marjoram_reason)end->reason;
 
-  learn_deaths (host, now, request, end);
+  update_suspicion (host, now, request, end);
   if (end->outcome == MARJORAM_OUTCOME_DONE)
     {
       if (request->has_head && end->length == request->received)
@@ -246,17 +249,17 @@
                            end->outcome == MARJORAM_OUTCOME_NOT_RUN
                                ? MARJORAM_OUTCOME_NOT_RUN
                                : MARJORAM_OUTCOME_UNKNOWN,
-                           reason, end->retry_ms, is_final (reason));
+                           reason, end->retry_ms, forbids_retry (reason));
 }
 
 static void
-take_revoked (marjoram_host *host, int64_t now,
-              struct marjoram_request *request,
-              const struct marjoram_revoked *revoked)
+handle_revoked (marjoram_host *host, int64_t now,
+                struct marjoram_request *request,
+                const struct marjoram_revoked *revoked)
 {
-  if (!request->revoking)
+  if (!request->revoke_pending)
     return;
-  request->revoking = false;
+  request->revoke_pending = false;
   request->progress = now;
   if (revoked->never_started)
     marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
@@ -286,13 +289,13 @@
       marjoram_request_head (host, now, request, message);
       break;
     case MARJORAM_FRAME_DATA:
-      take_data (host, now, request, message);
+      handle_data (host, now, request, message);
       break;
     case MARJORAM_FRAME_END:
-      take_end (host, now, request, message);
+      handle_end (host, now, request, message);
       break;
     case MARJORAM_FRAME_REVOKED:
-      take_revoked (host, now, request, message);
+      handle_revoked (host, now, request, message);
       break;
     default:
       break;
--- a/src/relay.c
+++ b/src/relay.c
@@ -25,8 +25,8 @@
            marjoram_bytes *bytes)
 {
   struct marjoram_data data
-      = { request->peer_number, request->passed - marjoram_bytes_size (bytes),
-          bytes };
+      = { request->peer_number,
+          request->delivered - marjoram_bytes_size (bytes), bytes };
 
   if (request->peer_session)
     host->ops->reply (host->context, request->peer, request->peer_session,
@@ -39,7 +39,7 @@
 {
   struct marjoram_end end
       = { request->peer_number, request->outcome, request->reason,
-          request->passed,      retry_ms,         request->deaths };
+          request->delivered,   retry_ms,         request->deaths };
 
   if (request->peer_session)
     host->ops->reply (host->context, request->peer, request->peer_session,
@@ -69,7 +69,7 @@
 }
 
 static struct marjoram_call *
-call_of_forward (const struct marjoram_forward *forward)
+make_call (const struct marjoram_forward *forward)
 {
   struct marjoram_call *call = marjoram_alloc (sizeof *call);
   struct marjoram_head from = { .headers = forward->headers };
@@ -171,8 +171,8 @@
       return;
     }
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_FORWARDED_IN, 1);
-  request = marjoram_request_create (host, now, &peer_origin,
-                                     call_of_forward (forward));
+  request
+      = marjoram_request_create (host, now, &peer_origin, make_call (forward));
   snprintf (request->id, sizeof request->id, "%s", forward->id);
   request->caller = marjoram_strdup (forward->caller);
   request->peer = marjoram_strdup (slot);
@@ -184,12 +184,12 @@
   request->deadline = now + forward->budget_ms;
   if (forward->suspicion != MARJORAM_SUSPICION_NONE)
     {
-      struct marjoram_suspect_message news = { 0 };
+      struct marjoram_suspect_message suspect = { 0 };
 
-      news.digest = request->digest;
-      news.suspicion = forward->suspicion;
-      news.deaths = 1;
-      marjoram_suspects_learn (host->suspects, now, &news);
+      suspect.digest = request->digest;
+      suspect.suspicion = forward->suspicion;
+      suspect.deaths = 1;
+      marjoram_suspects_learn (host->suspects, now, &suspect);
     }
   marjoram_request_start (host, now, request);
 }
@@ -198,21 +198,21 @@
 resend_answer (marjoram_host *host, struct marjoram_request *request,
                uint64_t offset)
 {
-  struct marjoram_piece *piece;
+  struct marjoram_chunk *chunk;
   uint64_t at = 0;
 
   if (request->head_passed)
     peer_head (host, request, &request->head, -1);
-  STAILQ_FOREACH (piece, &request->pieces, next)
+  STAILQ_FOREACH (chunk, &request->chunks, next)
   {
-    struct marjoram_data data = { request->peer_number, at, piece->bytes };
+    struct marjoram_data data = { request->peer_number, at, chunk->bytes };
 
     /* Skips what the sender already has.  It only receives whole buffers, so
        OFFSET is the start of one.  */
-    if (at >= offset && at < request->passed)
+    if (at >= offset && at < request->delivered)
       host->ops->reply (host->context, request->peer, request->peer_session,
                         MARJORAM_FRAME_DATA, &data);
-    at += marjoram_bytes_size (piece->bytes);
+    at += marjoram_bytes_size (chunk->bytes);
   }
   if (request->answered)
     reply_end (host, request, 0);
@@ -257,7 +257,7 @@
         && strcmp (request->peer, slot) == 0)
       {
         request->peer_session = 0;
-        request->orphaned = now;
+        request->orphaned_at = now;
       }
   }
 }
--- a/src/request.c
+++ b/src/request.c
@@ -61,7 +61,7 @@
   request->call = call;
   request->arrived = now;
   request->remote_zone = -1;
-  STAILQ_INIT (&request->pieces);
+  STAILQ_INIT (&request->chunks);
   marjoram_digest_request (texts, sizeof texts / sizeof *texts, call->body,
                            request->digest);
   TAILQ_INSERT_TAIL (&host->requests->all, request, all);
@@ -83,7 +83,7 @@
    may have been sent before, only a granted claim shows that no earlier
    sending ran.  */
 static bool
-refusal_is_proof (const struct marjoram_request *request)
+refusal_proves_not_run (const struct marjoram_request *request)
 {
   return request->call->idempotent || request->call->first_sending
          || request->granted;
@@ -108,8 +108,8 @@
                          struct marjoram_request *request)
 {
   request->answered = true;
-  if (request->peer && !request->gone)
-    request->orphaned = now;
+  if (request->peer && !request->abandoned)
+    request->orphaned_at = now;
   else
     request_destroy (host, request);
 }
@@ -137,9 +137,9 @@
                          enum marjoram_reason reason, int64_t retry_ms)
 {
   marjoram_attempt_release (host, now, request, true);
-  if (outcome == MARJORAM_OUTCOME_NOT_RUN && request->maybe_ran)
+  if (outcome == MARJORAM_OUTCOME_NOT_RUN && request->may_have_run)
     outcome = MARJORAM_OUTCOME_UNKNOWN;
-  if (outcome == MARJORAM_OUTCOME_NOT_RUN && !refusal_is_proof (request))
+  if (outcome == MARJORAM_OUTCOME_NOT_RUN && !refusal_proves_not_run (request))
     outcome = MARJORAM_OUTCOME_UNKNOWN;
   request->outcome = outcome;
   request->reason = reason;
@@ -148,7 +148,7 @@
   marjoram_log (MARJORAM_LOG_INFO, "%s: %s, %s", request->id,
                 marjoram_outcome_name (outcome),
                 marjoram_reason_name (reason));
-  if (!request->gone)
+  if (!request->abandoned)
     request->origin->fail (host, request, retry_ms);
   marjoram_request_settle (host, now, request);
 }
@@ -157,7 +157,7 @@
 marjoram_request_abandon (marjoram_host *host, int64_t now,
                           struct marjoram_request *request)
 {
-  request->gone = true;
+  request->abandoned = true;
   if (request->answered)
     {
       request_destroy (host, request);
@@ -177,8 +177,8 @@
 /* The deadline passed before the answer began.  The caller is told at once; a
    non-idempotent request that may have started runs on without one.  */
 static void
-pass_deadline (marjoram_host *host, int64_t now,
-               struct marjoram_request *request)
+handle_deadline (marjoram_host *host, int64_t now,
+                 struct marjoram_request *request)
 {
   bool running = request->state != MARJORAM_REQUEST_CLAIMING
                  && request->state != MARJORAM_REQUEST_WAITING
@@ -197,13 +197,13 @@
   request->reason = MARJORAM_REASON_DEADLINE;
   marjoram_request_count_outcome (host, request, MARJORAM_OUTCOME_UNKNOWN);
   request->origin->fail (host, request, MARJORAM_RETRY_AFTER_MS);
-  request->gone = true;
+  request->abandoned = true;
 }
 
 /* Returns true if the upstream's lease has expired.  An upstream that
    deregistered still finishes its requests, so it does not count.  */
 static bool
-is_lease_over (const marjoram_host *host, int64_t now, const char *name)
+is_lease_expired (const marjoram_host *host, int64_t now, const char *name)
 {
   for (size_t i = 0; i < marjoram_members_count (host->members); i++)
     {
@@ -217,8 +217,8 @@
 }
 
 static void
-give_up_silent (marjoram_host *host, int64_t now,
-                struct marjoram_request *request)
+fail_silent_attempt (marjoram_host *host, int64_t now,
+                     struct marjoram_request *request)
 {
   host->ops->cancel (host->context, request->attempt);
   marjoram_members_died (host->members, now, request->upstream);
@@ -228,14 +228,15 @@
 }
 
 static void
-ask_again (marjoram_host *host, int64_t now, struct marjoram_request *request)
+resume_answer (marjoram_host *host, int64_t now,
+               struct marjoram_request *request)
 {
   request->resuming = true;
   request->progress = now;
   /* Exponential backoff: limits the load of resumes on an engine with
      thousands of slow streams.  */
-  if (request->patience < MARJORAM_PATIENCE_MAX_MS)
-    request->patience *= 2;
+  if (request->resume_timeout < MARJORAM_PATIENCE_MAX_MS)
+    request->resume_timeout *= 2;
   host->ops->resume (host->context, request->attempt, request->address,
                      request->id, request->received);
 }
@@ -245,20 +246,20 @@
    asked to resume the answer by request id on a new connection.  A plain
    service can't resume: its attempt fails once its lease has expired too.  */
 static void
-watch_silence (marjoram_host *host, int64_t now,
+check_silence (marjoram_host *host, int64_t now,
                struct marjoram_request *request)
 {
   int64_t silent = now - request->progress;
   bool gives_up = request->can_resume
                       ? request->resuming && silent >= MARJORAM_RESUME_WAIT_MS
                       : silent >= MARJORAM_SERVICE_SILENT_MS
-                            && is_lease_over (host, now, request->upstream);
+                            && is_lease_expired (host, now, request->upstream);
 
   if (gives_up)
-    give_up_silent (host, now, request);
+    fail_silent_attempt (host, now, request);
   else if (request->can_resume && !request->resuming
-           && silent >= request->patience)
-    ask_again (host, now, request);
+           && silent >= request->resume_timeout)
+    resume_answer (host, now, request);
 }
 
 /* Returns true for a forwarded request whose link was lost and not restored
@@ -266,26 +267,27 @@
 static bool
 is_orphan (const struct marjoram_request *request, int64_t now)
 {
-  return request->peer && !request->peer_session && !request->gone
-         && now - request->orphaned >= MARJORAM_ORPHAN_MS;
+  return request->peer && !request->peer_session && !request->abandoned
+         && now - request->orphaned_at >= MARJORAM_ORPHAN_MS;
 }
 
 /* Returns true for an abandoned request at a host that has been unreachable
    until MARJORAM_ORPHAN_MS after the deadline.  */
 static bool
-is_out_of_reach (const struct marjoram_request *request, int64_t now)
+is_unreachable (const struct marjoram_request *request, int64_t now)
 {
-  return request->gone && request->revoking
+  return request->abandoned && request->revoke_pending
          && request->state == MARJORAM_REQUEST_REMOTE
          && now - request->deadline >= MARJORAM_ORPHAN_MS;
 }
 
 static void
-tick_one (marjoram_host *host, int64_t now, struct marjoram_request *request)
+tick_request (marjoram_host *host, int64_t now,
+              struct marjoram_request *request)
 {
   if (request->answered)
     {
-      if (now - request->orphaned >= MARJORAM_ORPHAN_MS)
+      if (now - request->orphaned_at >= MARJORAM_ORPHAN_MS)
         request_destroy (host, request);
       return;
     }
@@ -294,20 +296,20 @@
       marjoram_request_abandon (host, now, request);
       return;
     }
-  if (is_out_of_reach (request, now))
+  if (is_unreachable (request, now))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                                MARJORAM_REASON_LINK_DOWN, 0);
       return;
     }
-  if (now >= request->deadline && !request->gone && !request->head_passed
+  if (now >= request->deadline && !request->abandoned && !request->head_passed
       && !(request->peer && request->has_head))
     {
-      pass_deadline (host, now, request);
+      handle_deadline (host, now, request);
       return;
     }
   if (request->state == MARJORAM_REQUEST_LOCAL && request->attempt)
-    watch_silence (host, now, request);
+    check_silence (host, now, request);
   else if (request->state == MARJORAM_REQUEST_RESERVING && request->attempt
            && now - request->progress >= MARJORAM_RESERVE_MS)
     marjoram_attempt_reserved (host, now, request);
@@ -331,6 +333,6 @@
   for (; request; request = next)
     {
       next = TAILQ_NEXT (request, all);
-      tick_one (host, now, request);
+      tick_request (host, now, request);
     }
 }
--- a/src/request.h
+++ b/src/request.h
@@ -20,12 +20,12 @@
 };
 
 /* A buffered part of an answer's body.  */
-struct marjoram_piece
+struct marjoram_chunk
 {
   marjoram_bytes *bytes;
-  STAILQ_ENTRY (marjoram_piece) next;
+  STAILQ_ENTRY (marjoram_chunk) next;
 };
-STAILQ_HEAD (marjoram_pieces, marjoram_piece);
+STAILQ_HEAD (marjoram_chunk_list, marjoram_chunk);
 
 struct marjoram_request;
 
@@ -56,7 +56,7 @@
   uint64_t peer_incarnation;
   uint64_t peer_session; /* 0 while its link is down */
   uint64_t peer_number;  /* the peer's attempt number */
-  int64_t orphaned;      /* when the link was lost or the request settled */
+  int64_t orphaned_at;   /* when the link was lost or the request settled */
 
   uint64_t claim; /* attempt number of the claim; 0 if none */
 
@@ -88,24 +88,24 @@
   int64_t deadline;
   int64_t attempt_started;
   int64_t first_byte;
-  int64_t progress; /* last byte, state change or resume */
-  int64_t patience; /* silence after which the answer is resumed */
+  int64_t progress;       /* last byte, state change or resume */
+  int64_t resume_timeout; /* silence after which the answer is resumed */
 
   /* Answer.  */
   struct marjoram_head head;
-  uint64_t received; /* body bytes received */
-  uint64_t passed;   /* body bytes delivered to the origin */
-  struct marjoram_pieces pieces;
-  size_t pieces_size;
-
-  bool gone;       /* the caller no longer waits for the answer */
-  bool answered;   /* settled: the outcome is final and has been delivered */
-  bool claim_here; /* this zone owns the claim on its key */
-  bool homeless;   /* the zone it arrived in has no upstream for it */
-  bool granted;    /* the claim was granted */
-  bool maybe_ran;  /* an attempt may have run it */
-  bool resuming;   /* a resume is in progress at the upstream */
-  bool revoking;   /* to be revoked at the other host over a new link */
+  uint64_t received;  /* body bytes received */
+  uint64_t delivered; /* body bytes delivered to the origin */
+  struct marjoram_chunk_list chunks;
+  size_t chunks_size;
+
+  bool abandoned;    /* the caller no longer waits for the answer */
+  bool answered;     /* settled: the outcome is final and has been delivered */
+  bool claim_here;   /* this zone owns the claim on its key */
+  bool homeless;     /* the zone it arrived in has no upstream for it */
+  bool granted;      /* the claim was granted */
+  bool may_have_run; /* an attempt may have run it */
+  bool resuming;     /* a resume is in progress at the upstream */
+  bool revoke_pending; /* to be revoked at the other host over a new link */
   bool has_head;
   bool head_passed;
 
@@ -209,7 +209,7 @@
 /* forward.c: attempts at another zone.  */
 void marjoram_forward_send (marjoram_host *host, int64_t now,
                             struct marjoram_request *request, int zone,
-                            bool claim_there);
+                            bool claim_at_zone);
 void marjoram_forward_cancel (marjoram_host *host,
                               struct marjoram_request *request);
 void marjoram_forward_link_up (marjoram_host *host, int64_t now,
