--- a/src/upstream.c
+++ b/src/upstream.c
@@ -30,7 +30,7 @@
 };
 
 struct attempt;
-struct errand;
+struct control_call;
 
 /* One HTTP request and its connection.  */
 struct exchange
@@ -54,7 +54,7 @@
 {
   marjoram_upstreams *upstreams;
   uint64_t number;
-  struct exchange *first;
+  struct exchange *current;
   struct exchange *resumed; /* fetches the same answer by request id */
   UT_hash_handle hh;
 };
@@ -67,7 +67,7 @@
   struct attempt *attempts;
   marjoram_keepalive *keepalive;
   marjoram_outcalls *calls;
-  TAILQ_HEAD (, errand) errands;
+  TAILQ_HEAD (, control_call) control_calls;
 };
 
 static struct evhttp_connection *
@@ -141,8 +141,8 @@
 static void
 attempt_cancel (struct attempt *attempt)
 {
-  if (attempt->first)
-    exchange_cancel (attempt->upstreams, attempt->first);
+  if (attempt->current)
+    exchange_cancel (attempt->upstreams, attempt->current);
   if (attempt->resumed)
     exchange_cancel (attempt->upstreams, attempt->resumed);
   attempt_destroy (attempt);
@@ -201,7 +201,7 @@
 }
 
 static bool
-says_not_run (struct evhttp_request *request)
+is_refusal (struct evhttp_request *request)
 {
   int status = evhttp_request_get_response_code (request);
   const char *word = evhttp_find_header (
@@ -211,14 +211,14 @@
          && strcasecmp (word, "yes") == 0;
 }
 
-/* Replaces the first exchange by the resumed one, which has begun to respond,
-   so that the body comes from one connection only.  */
+/* Replaces the current exchange by the resumed one, which has begun to
+   respond, so that the body comes from one connection only.  */
 static void
 switch_to_resumed (struct attempt *attempt)
 {
-  if (attempt->first)
-    exchange_cancel (attempt->upstreams, attempt->first);
-  attempt->first = attempt->resumed;
+  if (attempt->current)
+    exchange_cancel (attempt->upstreams, attempt->current);
+  attempt->current = attempt->resumed;
   attempt->resumed = NULL;
 }
 
@@ -227,7 +227,7 @@
    the next request.  So a connection is reused only if the upstream echoes the
    request id in Marjoram-Request, and the id must match.  */
 static bool
-check_name (struct exchange *exchange, struct evhttp_request *request)
+is_own_response (struct exchange *exchange, struct evhttp_request *request)
 {
   const char *name = evhttp_find_header (
       evhttp_request_get_input_headers (request), "Marjoram-Request");
@@ -249,10 +249,11 @@
   if (exchange->resume
       && evhttp_request_get_response_code (request) != HTTP_OK)
     return 0;
-  exchange->refused = says_not_run (request);
+  exchange->refused = is_refusal (request);
   exchange->unavailable
       = is_unavailable (evhttp_request_get_response_code (request));
-  exchange->framed = is_framed (request) && check_name (exchange, request);
+  exchange->framed
+      = is_framed (request) && is_own_response (exchange, request);
   exchange->unframed = !exchange->framed;
   if (exchange->refused || exchange->unavailable || exchange->unframed)
     return 0;
@@ -272,7 +273,7 @@
   marjoram_bytes *bytes;
 
   if (!exchange->framed || exchange->refused || exchange->unavailable
-      || attempt->first != exchange || size == 0)
+      || attempt->current != exchange || size == 0)
     return;
   bytes = marjoram_bytes_create (evbuffer_pullup (input, -1), size);
   attempt->upstreams->ops->data (attempt->upstreams->context, attempt->number,
@@ -289,15 +290,15 @@
 
   if (attempt->resumed && attempt->resumed != exchange)
     exchange_cancel (upstreams, attempt->resumed);
-  if (attempt->first && attempt->first != exchange)
-    exchange_cancel (upstreams, attempt->first);
+  if (attempt->current && attempt->current != exchange)
+    exchange_cancel (upstreams, attempt->current);
   exchange_destroy (upstreams, exchange, false);
   attempt_destroy (attempt);
   upstreams->ops->failed (upstreams->context, number, failure);
 }
 
 /* A resume ended without a response body.  Status 404 means that the request
-   never started, which ends the attempt; otherwise the first connection may
+   never started, which ends the attempt; otherwise the current connection may
    still respond.  */
 static void
 resume_done (struct attempt *attempt, struct exchange *exchange,
@@ -355,7 +356,7 @@
 }
 
 static enum evhttp_cmd_type
-command_of (const char *method)
+parse_method (const char *method)
 {
   static const struct
   {
@@ -410,7 +411,7 @@
 }
 
 static void
-no_delay (struct evhttp_connection *connection)
+set_no_delay (struct evhttp_connection *connection)
 {
   evutil_socket_t fd
       = bufferevent_getfd (evhttp_connection_get_bufferevent (connection));
@@ -455,15 +456,15 @@
   exchange = exchange_create (attempt, connection, run->address, run->id);
   exchange->reusable = !run->fresh;
   exchange->reused = reused;
-  attempt->first = exchange;
+  attempt->current = exchange;
   add_headers (exchange->request, run);
   evbuffer_add (evhttp_request_get_output_buffer (exchange->request),
                 marjoram_bytes_data (run->body),
                 marjoram_bytes_size (run->body));
-  no_delay (connection);
+  set_no_delay (connection);
   /* On an immediate failure evhttp frees the request without a callback.  */
   if (evhttp_make_request (connection, exchange->request,
-                           command_of (run->method), run->path)
+                           parse_method (run->method), run->path)
           != 0
       && find_attempt (upstreams, number) == attempt)
     fail (attempt, exchange, MARJORAM_RUN_UNSENT);
@@ -507,35 +508,35 @@
 /* ---- Probes and orders ---- */
 
 /* Context of a probe or an order in progress.  */
-struct errand
+struct control_call
 {
   marjoram_upstreams *upstreams;
   char *name;      /* of the probed upstream; null for an order */
   uint64_t number; /* of the order */
-  TAILQ_ENTRY (errand) next;
+  TAILQ_ENTRY (control_call) next;
 };
 
 static void
-errand_destroy (void *context)
+control_call_destroy (void *context)
 {
-  struct errand *errand = context;
+  struct control_call *call = context;
 
-  TAILQ_REMOVE (&errand->upstreams->errands, errand, next);
-  free (errand->name);
-  free (errand);
+  TAILQ_REMOVE (&call->upstreams->control_calls, call, next);
+  free (call->name);
+  free (call);
 }
 
-static struct errand *
-errand_create (marjoram_upstreams *upstreams, const char *name,
-               uint64_t number)
+static struct control_call *
+control_call_create (marjoram_upstreams *upstreams, const char *name,
+                     uint64_t number)
 {
-  struct errand *errand = marjoram_alloc (sizeof *errand);
+  struct control_call *call = marjoram_alloc (sizeof *call);
 
-  errand->upstreams = upstreams;
-  errand->name = name ? marjoram_strdup (name) : NULL;
-  errand->number = number;
-  TAILQ_INSERT_TAIL (&upstreams->errands, errand, next);
-  return errand;
+  call->upstreams = upstreams;
+  call->name = name ? marjoram_strdup (name) : NULL;
+  call->number = number;
+  TAILQ_INSERT_TAIL (&upstreams->control_calls, call, next);
+  return call;
 }
 
 /* Any response shows that the process is alive.  A connection refused, or
@@ -544,23 +545,23 @@
 static void
 on_probed (void *context, int status, bool timed_out, int64_t retry_ms)
 {
-  struct errand *errand = context;
-  marjoram_upstreams *upstreams = errand->upstreams;
+  struct control_call *call = context;
+  marjoram_upstreams *upstreams = call->upstreams;
 
   (void)retry_ms;
-  upstreams->ops->probed (upstreams->context, errand->name,
+  upstreams->ops->probed (upstreams->context, call->name,
                           status != 0 || timed_out);
-  errand_destroy (errand);
+  control_call_destroy (call);
 }
 
 static bool
 is_probed (const marjoram_upstreams *upstreams, const char *name)
 {
-  const struct errand *errand;
+  const struct control_call *call;
 
-  TAILQ_FOREACH (errand, &upstreams->errands, next)
+  TAILQ_FOREACH (call, &upstreams->control_calls, next)
   {
-    if (errand->name && strcmp (errand->name, name) == 0)
+    if (call->name && strcmp (call->name, name) == 0)
       return true;
   }
   return false;
@@ -570,26 +571,25 @@
 marjoram_upstreams_probe (marjoram_upstreams *upstreams, const char *name,
                           const char *address)
 {
-  struct errand *errand;
+  struct control_call *call;
 
   if (is_probed (upstreams, name))
     return;
-  errand = errand_create (upstreams, name, 0);
+  call = control_call_create (upstreams, name, 0);
   if (!marjoram_outcall (upstreams->calls, address, "/healthz", NULL,
-                         PROBE_TIMEOUT_MSEC, on_probed, errand))
-    on_probed (errand, 0, false, 0);
+                         PROBE_TIMEOUT_MSEC, on_probed, call))
+    on_probed (call, 0, false, 0);
 }
 
 static void
 on_ordered (void *context, int status, bool timed_out, int64_t retry_ms)
 {
-  struct errand *errand = context;
-  marjoram_upstreams *upstreams = errand->upstreams;
+  struct control_call *call = context;
+  marjoram_upstreams *upstreams = call->upstreams;
 
   (void)timed_out;
-  upstreams->ops->ordered (upstreams->context, errand->number, status,
-                           retry_ms);
-  errand_destroy (errand);
+  upstreams->ops->ordered (upstreams->context, call->number, status, retry_ms);
+  control_call_destroy (call);
 }
 
 void
@@ -600,12 +600,13 @@
       = json_pack ("{s:I, s:s, s:s}", "fence", (json_int_t)order->fence,
                    "order", "load", "model", order->model);
   marjoram_auto_free char *body = json_dumps (json, JSON_COMPACT);
-  struct errand *errand = errand_create (upstreams, NULL, order->number);
+  struct control_call *call
+      = control_call_create (upstreams, NULL, order->number);
 
   json_decref (json);
   if (!marjoram_outcall (upstreams->calls, order->address, "/v1/orders", body,
-                         MARJORAM_ORDER_MS, on_ordered, errand))
-    on_ordered (errand, 0, false, 0);
+                         MARJORAM_ORDER_MS, on_ordered, call))
+    on_ordered (call, 0, false, 0);
 }
 
 /* ---- Lifecycle ---- */
@@ -621,7 +622,7 @@
   upstreams->ops = ops;
   upstreams->context = context;
   upstreams->keepalive = marjoram_keepalive_create (base);
-  TAILQ_INIT (&upstreams->errands);
+  TAILQ_INIT (&upstreams->control_calls);
   upstreams->calls = marjoram_outcalls_create (base);
   return upstreams;
 }
@@ -639,6 +640,6 @@
     attempt_cancel (attempt);
   }
   marjoram_keepalive_destroy (upstreams->keepalive);
-  marjoram_outcalls_destroy (upstreams->calls, errand_destroy);
+  marjoram_outcalls_destroy (upstreams->calls, control_call_destroy);
   free (upstreams);
 }
