--- a/src/renew.c
+++ b/src/renew.c
@@ -6,10 +6,10 @@
 
 enum
 {
-  RENEWALS_MS = 1000,
+  RENEWAL_INTERVAL_MS = 1000,
   /* Every 16th announcement is broadcast in full, for hosts that have dropped
      the upstream.  */
-  WHOLE_EVERY = 16
+  FULL_ANNOUNCEMENT_EVERY = 16
 };
 
 /* An upstream whose lease was renewed since the last batch.  */
@@ -49,8 +49,8 @@
 }
 
 static bool
-fill (const marjoram_host *host, int64_t now, const char *name,
-      struct marjoram_renewal *renewal)
+fill_renewal (const marjoram_host *host, int64_t now, const char *name,
+              struct marjoram_renewal *renewal)
 {
   const struct marjoram_upstream *upstream
       = marjoram_members_find (host->members, now, name);
@@ -76,13 +76,14 @@
   struct marjoram_renewed *renewed;
   struct marjoram_renewed *next;
 
-  if (!host->renewed || now - host->renewals_sent < RENEWALS_MS)
+  if (!host->renewed || now - host->renewals_sent < RENEWAL_INTERVAL_MS)
     return;
   host->renewals_sent = now;
   HASH_ITER (hh, host->renewed, renewed, next)
   {
     if (renewals.items.count < MARJORAM_RENEWALS_MAX
-        && fill (host, now, renewed->name, &items[renewals.items.count]))
+        && fill_renewal (host, now, renewed->name,
+                         &items[renewals.items.count]))
       renewals.items.count++;
   }
   marjoram_host_send_zone (host, MARJORAM_FRAME_RENEWALS, &renewals);
@@ -106,8 +107,8 @@
 }
 
 static void
-take_one (marjoram_host *host, int64_t now,
-          const struct marjoram_renewal *renewal)
+apply_one (marjoram_host *host, int64_t now,
+           const struct marjoram_renewal *renewal)
 {
   const struct marjoram_upstream *upstream
       = renewal->name ? find_known (host, renewal->name) : NULL;
@@ -131,7 +132,7 @@
   const struct marjoram_renewal *items = renewals->items.items;
 
   for (size_t i = 0; i < renewals->items.count; i++)
-    take_one (host, now, &items[i]);
+    apply_one (host, now, &items[i]);
 }
 
 static bool
@@ -157,7 +158,7 @@
   const struct marjoram_announcement *known;
 
   if (!upstream || announcement->leaving
-      || announcement->sequence % WHOLE_EVERY == 0)
+      || announcement->sequence % FULL_ANNOUNCEMENT_EVERY == 0)
     return true;
   known = upstream->announcement;
   return known->incarnation != announcement->incarnation
--- a/src/zone.c
+++ b/src/zone.c
@@ -134,14 +134,14 @@
 }
 
 static void
-place_give (void *context, const struct marjoram_order *order)
+place_send_order (void *context, const struct marjoram_order *order)
 {
   marjoram_host *host = context;
 
   host->ops->order (host->context, order);
 }
 
-static const struct marjoram_place_ops place_ops = { place_give };
+static const struct marjoram_place_ops place_ops = { place_send_order };
 
 static const struct marjoram_orders_ops orders_ops
     = { order_send, order_lease };
