--- a/src/attempt.c
+++ b/src/attempt.c
@@ -35,9 +35,9 @@
   request->attempt_started = now;
   request->progress = now;
   request->first_byte = 0;
-  request->patience = MARJORAM_UPSTREAM_SILENT_MS;
+  request->resume_timeout = MARJORAM_UPSTREAM_SILENT_MS;
   request->resuming = false;
-  request->revoking = false;
+  request->revoke_pending = false;
   request->received = 0;
   marjoram_answer_clear (request);
   HASH_ADD (by_attempt, host->requests->by_attempt, attempt,
@@ -46,7 +46,7 @@
 
 enum
 {
-  RESERVE_SPREAD_MS = 500
+  RESERVE_JITTER_MS = 500
 };
 
 static void
@@ -73,10 +73,11 @@
   host->ops->run (host->context, request->attempt, &run);
 }
 
-/* Two hosts that move suspects at once, after a death that both saw, don't
-   know of each other's: two suspects would meet at one upstream, and its death
-   would convict neither.  So a suspect tells the zone its place and starts a
-   moment later, if no other has been told of there.  */
+/* Starts the request at the chosen upstream.  Two suspects must not run at the
+   same upstream, since its crash would then convict neither, and two hosts may
+   dispatch suspects at the same time.  So a suspect first announces its
+   upstream to the zone, and runs after MARJORAM_RESERVE_MS if no other suspect
+   was announced there.  */
 static void
 run_locally (marjoram_host *host, int64_t now,
              struct marjoram_request *request,
@@ -111,38 +112,37 @@
       run_at_upstream (host, now, request);
       return;
     }
-  /* Of several that met here each waits a time of its own, so that they don't
-     meet again.  */
+  /* Random jitter, so that conflicting suspects don't collide again.  */
   marjoram_attempt_release (host, now, request, false);
   request->state = MARJORAM_REQUEST_WAITING;
   request->progress
-      = now + marjoram_random_below (host->random, RESERVE_SPREAD_MS);
+      = now + marjoram_random_below (host->random, RESERVE_JITTER_MS);
 }
 
 void
 marjoram_attempt_query (const marjoram_host *host,
                         const struct marjoram_request *request,
-                        struct marjoram_query *q)
+                        struct marjoram_query *query)
 {
   const struct marjoram_call *call = request->call;
 
-  memset (q, 0, sizeof *q);
-  q->caller
+  memset (query, 0, sizeof *query);
+  query->caller
       = marjoram_config_find_caller_by_name (host->config, request->caller);
-  q->work = marjoram_config_find_work (host->config, call->work);
-  q->class = call->class;
-  q->deadline = request->deadline;
-  q->prompt_tokens = call->prompt_tokens;
-  q->answer_tokens = call->answer_tokens;
-  q->prefix_hash = call->prefix_hash;
-  q->digest = request->digest;
-  q->forwarded = request->peer != NULL;
-  q->no_local_upstream = request->no_local_upstream;
-  q->tried_count = request->tried_count;
+  query->work = marjoram_config_find_work (host->config, call->work);
+  query->class = call->class;
+  query->deadline = request->deadline;
+  query->prompt_tokens = call->prompt_tokens;
+  query->answer_tokens = call->answer_tokens;
+  query->prefix_hash = call->prefix_hash;
+  query->digest = request->digest;
+  query->forwarded = request->peer != NULL;
+  query->no_local_upstream = request->no_local_upstream;
+  query->tried_count = request->tried_count;
   for (int i = 0; i < request->tried_count; i++)
-    q->tried[i] = request->tried[i];
-  q->zones_tried_count = request->zones_tried_count;
-  memcpy (q->zones_tried, request->zones_tried, sizeof q->zones_tried);
+    query->tried[i] = request->tried[i];
+  query->zones_tried_count = request->zones_tried_count;
+  memcpy (query->zones_tried, request->zones_tried, sizeof query->zones_tried);
 }
 
 static bool
@@ -165,12 +165,12 @@
   return false;
 }
 
-/* Whether the request is a suspect that only other suspects keep from its
-   upstreams.  It ran beside the one that kills them, most likely, and must not
-   be given up for that: its turn comes when they have ended.  */
+/* Returns true if the request is a suspect and usable upstreams remain that it
+   has not tried.  They are occupied by other suspects, so the request waits
+   for those to end instead of being refused.  */
 static bool
-waits_for_suspects (const marjoram_host *host, int64_t now,
-                    const struct marjoram_request *request)
+must_wait_for_suspects (const marjoram_host *host, int64_t now,
+                        const struct marjoram_request *request)
 {
   if (marjoram_suspects_get (host->suspects, now, request->digest)
       != MARJORAM_SUSPICION_SUSPECT)
@@ -217,7 +217,7 @@
       break;
     }
   if (choice.reason != MARJORAM_REASON_CONVICTED
-      && waits_for_suspects (host, now, request))
+      && must_wait_for_suspects (host, now, request))
     {
       request->state = MARJORAM_REQUEST_WAITING;
       request->progress = now;
@@ -231,7 +231,7 @@
 }
 
 static void
-remember_tried (struct marjoram_request *request)
+add_tried (struct marjoram_request *request)
 {
   if (request->state == MARJORAM_REQUEST_REMOTE)
     {
@@ -244,16 +244,16 @@
             sizeof request->upstream);
 }
 
-/* Only the first host retries, so that attempts never multiply on a path.  A
-   retry needs proof that the attempt did not run, or idempotent work; and
-   nothing may have been passed on, as an answer never mixes two upstreams'
-   output.  */
+/* Only the host that received the request from its caller retries, so that
+   attempts don't multiply along the path.  A retry requires an idempotent
+   request or proof that the attempt did not run, and that no part of an answer
+   has been delivered: output of two upstreams is never mixed.  */
 static bool
 may_retry (marjoram_host *host, int64_t now,
            const struct marjoram_request *request,
            enum marjoram_outcome outcome)
 {
-  if (request->peer || request->gone || request->head_passed)
+  if (request->peer || request->abandoned || request->head_passed)
     return false;
   if (outcome != MARJORAM_OUTCOME_NOT_RUN && !request->call->idempotent)
     return false;
@@ -264,11 +264,11 @@
   return marjoram_router_retry (host->router, now);
 }
 
-/* Non-idempotent work whose key another zone guards has no claim here: if that
-   zone refused it, a choice made here would run it without one, and a resend
-   would run it twice.  It goes to that zone again.  */
+/* A non-idempotent request whose key belongs to another zone has no claim
+   here.  It is sent to that zone again: routed from here it would run
+   unclaimed, and a resend by the caller would run it a second time.  */
 static void
-try_again (marjoram_host *host, int64_t now, struct marjoram_request *request)
+retry (marjoram_host *host, int64_t now, struct marjoram_request *request)
 {
   if (request->call->idempotent || request->granted)
     marjoram_attempt_dispatch (host, now, request);
@@ -285,17 +285,17 @@
 {
   bool answered_late = request->head_passed;
 
-  remember_tried (request);
+  add_tried (request);
   marjoram_attempt_release (host, now, request, true);
   if (outcome != MARJORAM_OUTCOME_NOT_RUN)
-    request->maybe_ran = true;
+    request->may_have_run = true;
   if (!final && may_retry (host, now, request, outcome))
     {
       marjoram_counters_retried (host->counters, reason);
-      marjoram_log (MARJORAM_LOG_INFO, "%s: again after %s", request->id,
+      marjoram_log (MARJORAM_LOG_INFO, "%s: retrying after %s", request->id,
                     marjoram_reason_name (reason));
       request->reason = reason;
-      try_again (host, now, request);
+      retry (host, now, request);
       return;
     }
   marjoram_request_refuse (host, now, request,
--- a/src/forward.c
+++ b/src/forward.c
@@ -9,7 +9,7 @@
 
 static void
 fill_forward (const marjoram_host *host, int64_t now,
-              const struct marjoram_request *request, bool claim_there,
+              const struct marjoram_request *request, bool claim_at_zone,
               struct marjoram_forward *f)
 {
   struct marjoram_call *call = request->call;
@@ -33,14 +33,15 @@
   f->config_number = marjoram_config_number (host->config);
   f->suspicion = marjoram_suspects_get (host->suspects, now, request->digest);
   f->stream = call->stream;
-  f->claim_here = claim_there;
+  f->claim_here = claim_at_zone;
   f->no_local_upstream = request->no_local_upstream;
 }
 
-/* Whether the request may run in ZONE by the configuration in force.  */
+/* Returns true if the current configuration's residency rules allow the
+   request to run in ZONE.  */
 static bool
-zone_allowed (const marjoram_host *host,
-              const struct marjoram_request *request, int zone)
+is_zone_allowed (const marjoram_host *host,
+                 const struct marjoram_request *request, int zone)
 {
   int caller
       = marjoram_config_find_caller_by_name (host->config, request->caller);
@@ -55,14 +56,13 @@
 void
 marjoram_forward_send (marjoram_host *host, int64_t now,
                        struct marjoram_request *request, int zone,
-                       bool claim_there)
+                       bool claim_at_zone)
 {
   struct marjoram_link *link = marjoram_link_to_zone (host, zone);
   struct marjoram_forward forward;
 
-  /* Residency is checked again here, at the last step before the request
-     leaves, whatever chose the zone.  */
-  if (!zone_allowed (host, request, zone))
+  /* Enforces residency for every forward, however the zone was chosen.  */
+  if (!is_zone_allowed (host, request, zone))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                                MARJORAM_REASON_RESIDENCY, 0);
@@ -84,7 +84,7 @@
   request->remote_slot = marjoram_strdup (link->slot);
   request->remote_incarnation = link->incarnation;
   request->remote_session = link->session;
-  fill_forward (host, now, request, claim_there, &forward);
+  fill_forward (host, now, request, claim_at_zone, &forward);
   marjoram_router_forward_started (host->router, now, zone, request->work);
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_FORWARDED_OUT, 1);
   marjoram_log (MARJORAM_LOG_DEBUG, "%s: to host %s", request->id, link->slot);
@@ -112,12 +112,13 @@
                    &revoke);
 }
 
-/* The link to the host that has the request is up again.  If that host has
-   restarted since, it remembers nothing: its "never started" would be no
-   proof, so it is not asked, and the outcome is open.  */
+/* Asks for the request's state after its host's link is up again.  If the host
+   has restarted it has lost its state and would report "never started" for a
+   request that ran, so the attempt fails with an unknown outcome instead.  */
 static void
-ask_again (marjoram_host *host, int64_t now, struct marjoram_request *request,
-           const struct marjoram_link *link)
+revoke_or_fail (marjoram_host *host, int64_t now,
+                struct marjoram_request *request,
+                const struct marjoram_link *link)
 {
   if (link->incarnation == request->remote_incarnation)
     send_revoke (host, request, link);
@@ -138,13 +139,14 @@
     {
       next = TAILQ_NEXT (request, all);
       if (request->attempt && request->state == MARJORAM_REQUEST_REMOTE
-          && request->revoking && strcmp (request->remote_slot, slot) == 0)
-        ask_again (host, now, request, link);
+          && request->revoke_pending
+          && strcmp (request->remote_slot, slot) == 0)
+        revoke_or_fail (host, now, request, link);
     }
 }
 
-/* The link to the host that has the request is lost, or was replaced.  The
-   request is asked for by its number over a new link: it may have run on.  */
+/* If the link that carried the request was lost or replaced, asks for the
+   request by its number over the new link: it may still be running.  */
 static void
 check_link (marjoram_host *host, int64_t now, struct marjoram_request *request)
 {
@@ -154,10 +156,10 @@
 
   if (!lost)
     return;
-  request->revoking = true;
+  request->revoke_pending = true;
   request->progress = now;
   if (link && link->up)
-    ask_again (host, now, request, link);
+    revoke_or_fail (host, now, request, link);
 }
 
 void
@@ -166,22 +168,23 @@
 {
   if (!request->attempt)
     return;
-  if (!request->revoking)
+  if (!request->revoke_pending)
     check_link (host, now, request);
   else if (request->call->idempotent && !request->head_passed
            && now - request->progress >= MARJORAM_REVOKE_WAIT_MS)
-    /* No new link: work that may be repeated goes elsewhere.  */
+    /* No new link in time: an idempotent request is retried elsewhere.  */
     marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                              MARJORAM_REASON_LINK_DOWN,
                              MARJORAM_RETRY_AFTER_MS, false);
 }
 
 static void
-take_data (marjoram_host *host, int64_t now, struct marjoram_request *request,
-           const struct marjoram_data *data)
+handle_data (marjoram_host *host, int64_t now,
+             struct marjoram_request *request,
+             const struct marjoram_data *data)
 {
-  /* Data that came before over an earlier link is passed over; a gap can't be
-     filled, so that the answer is no longer whole.  */
+  /* Skips data already received over an earlier link.  A gap can't be filled,
+     so the attempt fails.  */
   if (data->offset < request->received)
     return;
   if (data->offset > request->received)
@@ -195,7 +198,7 @@
 }
 
 static bool
-is_final (enum marjoram_reason reason)
+forbids_retry (enum marjoram_reason reason)
 {
   return reason == MARJORAM_REASON_CONVICTED
          || reason == MARJORAM_REASON_CLAIM_BUSY
@@ -207,29 +210,29 @@
 }
 
 static void
-learn_deaths (marjoram_host *host, int64_t now,
-              const struct marjoram_request *request,
-              const struct marjoram_end *end)
+update_suspicion (marjoram_host *host, int64_t now,
+                  const struct marjoram_request *request,
+                  const struct marjoram_end *end)
 {
-  struct marjoram_suspect_message news = { 0 };
+  struct marjoram_suspect_message suspect = { 0 };
 
   if (end->deaths == 0)
     return;
-  news.digest = (char *)request->digest;
-  news.deaths = end->deaths;
-  news.suspicion = end->reason == MARJORAM_REASON_CONVICTED
-                       ? MARJORAM_SUSPICION_CONVICTED
-                       : MARJORAM_SUSPICION_SUSPECT;
-  marjoram_host_learn_suspect (host, now, request->remote_slot, &news);
+  suspect.digest = (char *)request->digest;
+  suspect.deaths = end->deaths;
+  suspect.suspicion = end->reason == MARJORAM_REASON_CONVICTED
+                          ? MARJORAM_SUSPICION_CONVICTED
+                          : MARJORAM_SUSPICION_SUSPECT;
+  marjoram_host_learn_suspect (host, now, request->remote_slot, &suspect);
 }
 
 static void
-take_end (marjoram_host *host, int64_t now, struct marjoram_request *request,
-          const struct marjoram_end *end)
+handle_end (marjoram_host *host, int64_t now, struct marjoram_request *request,
+            const struct marjoram_end *end)
 {
   enum marjoram_reason reason = (enum marjoram_reason)end->reason;
 
-  learn_deaths (host, now, request, end);
+  update_suspicion (host, now, request, end);
   if (end->outcome == MARJORAM_OUTCOME_DONE)
     {
       if (request->has_head && end->length == request->received)
@@ -246,17 +249,17 @@
                            end->outcome == MARJORAM_OUTCOME_NOT_RUN
                                ? MARJORAM_OUTCOME_NOT_RUN
                                : MARJORAM_OUTCOME_UNKNOWN,
-                           reason, end->retry_ms, is_final (reason));
+                           reason, end->retry_ms, forbids_retry (reason));
 }
 
 static void
-take_revoked (marjoram_host *host, int64_t now,
-              struct marjoram_request *request,
-              const struct marjoram_revoked *revoked)
+handle_revoked (marjoram_host *host, int64_t now,
+                struct marjoram_request *request,
+                const struct marjoram_revoked *revoked)
 {
-  if (!request->revoking)
+  if (!request->revoke_pending)
     return;
-  request->revoking = false;
+  request->revoke_pending = false;
   request->progress = now;
   if (revoked->never_started)
     marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
@@ -267,8 +270,7 @@
                              MARJORAM_REASON_LINK_DOWN, 0, true);
 }
 
-/* An answer frame belongs to the attempt whose number it carries, and only if
-   it comes from the host that the attempt was sent to.  */
+/* A frame is accepted only from the host that its attempt was sent to.  */
 void
 marjoram_forward_answer (marjoram_host *host, int64_t now, const char *slot,
                          enum marjoram_frame_type type, const void *message)
@@ -287,13 +289,13 @@
       marjoram_request_head (host, now, request, message);
       break;
     case MARJORAM_FRAME_DATA:
-      take_data (host, now, request, message);
+      handle_data (host, now, request, message);
       break;
     case MARJORAM_FRAME_END:
-      take_end (host, now, request, message);
+      handle_end (host, now, request, message);
       break;
     case MARJORAM_FRAME_REVOKED:
-      take_revoked (host, now, request, message);
+      handle_revoked (host, now, request, message);
       break;
     default:
       break;
--- a/src/request.c
+++ b/src/request.c
@@ -61,7 +61,7 @@
   request->call = call;
   request->arrived = now;
   request->remote_zone = -1;
-  STAILQ_INIT (&request->pieces);
+  STAILQ_INIT (&request->chunks);
   marjoram_digest_request (texts, sizeof texts / sizeof *texts, call->body,
                            request->digest);
   TAILQ_INSERT_TAIL (&host->requests->all, request, all);
@@ -79,11 +79,11 @@
   return request;
 }
 
-/* Whether the first refusal of this request proves that it did not run: an
-   earlier sending of the same key may have, until the claim shows that none
-   has.  */
+/* Returns true if a refusal proves that the request did not run.  If its key
+   may have been sent before, only a granted claim shows that no earlier
+   sending ran.  */
 static bool
-refusal_is_proof (const struct marjoram_request *request)
+refusal_proves_not_run (const struct marjoram_request *request)
 {
   return request->call->idempotent || request->call->first_sending
          || request->granted;
@@ -103,20 +103,19 @@
     marjoram_counters_refused (host->counters, request->reason);
 }
 
-/* The request needs nothing more here.  One of another host is kept a while,
-   for its sender to ask for the answer over a new link.  */
 void
 marjoram_request_settle (marjoram_host *host, int64_t now,
                          struct marjoram_request *request)
 {
   request->answered = true;
-  if (request->peer && !request->gone)
-    request->orphaned = now;
+  if (request->peer && !request->abandoned)
+    request->orphaned_at = now;
   else
     request_destroy (host, request);
 }
 
-/* The claim of a request that ends without an answer.  */
+/* Withdraws or finishes the claim of a request that ends without an answer.
+ */
 static void
 settle_claim (marjoram_host *host, int64_t now,
               const struct marjoram_request *request)
@@ -138,9 +137,9 @@
                          enum marjoram_reason reason, int64_t retry_ms)
 {
   marjoram_attempt_release (host, now, request, true);
-  if (outcome == MARJORAM_OUTCOME_NOT_RUN && request->maybe_ran)
+  if (outcome == MARJORAM_OUTCOME_NOT_RUN && request->may_have_run)
     outcome = MARJORAM_OUTCOME_UNKNOWN;
-  if (outcome == MARJORAM_OUTCOME_NOT_RUN && !refusal_is_proof (request))
+  if (outcome == MARJORAM_OUTCOME_NOT_RUN && !refusal_proves_not_run (request))
     outcome = MARJORAM_OUTCOME_UNKNOWN;
   request->outcome = outcome;
   request->reason = reason;
@@ -149,7 +148,7 @@
   marjoram_log (MARJORAM_LOG_INFO, "%s: %s, %s", request->id,
                 marjoram_outcome_name (outcome),
                 marjoram_reason_name (reason));
-  if (!request->gone)
+  if (!request->abandoned)
     request->origin->fail (host, request, retry_ms);
   marjoram_request_settle (host, now, request);
 }
@@ -158,14 +157,14 @@
 marjoram_request_abandon (marjoram_host *host, int64_t now,
                           struct marjoram_request *request)
 {
-  request->gone = true;
+  request->abandoned = true;
   if (request->answered)
     {
       request_destroy (host, request);
       return;
     }
-  /* Non-idempotent work that may have started runs on: its answer is kept, as
-     its caller may ask for it again by the key.  */
+  /* A non-idempotent request that may have started runs on: its answer is
+     stored for replay when the caller sends the key again.  */
   if (!request->call->idempotent
       && (request->granted || request->claim
           || request->state == MARJORAM_REQUEST_REMOTE || request->peer))
@@ -175,11 +174,11 @@
   request_destroy (host, request);
 }
 
-/* The deadline passed before an answer began.  The caller hears so at once;
-   what may still run does so unheard if it may not be repeated.  */
+/* The deadline passed before the answer began.  The caller is told at once; a
+   non-idempotent request that may have started runs on without one.  */
 static void
-pass_deadline (marjoram_host *host, int64_t now,
-               struct marjoram_request *request)
+handle_deadline (marjoram_host *host, int64_t now,
+                 struct marjoram_request *request)
 {
   bool running = request->state != MARJORAM_REQUEST_CLAIMING
                  && request->state != MARJORAM_REQUEST_WAITING
@@ -198,13 +197,13 @@
   request->reason = MARJORAM_REASON_DEADLINE;
   marjoram_request_count_outcome (host, request, MARJORAM_OUTCOME_UNKNOWN);
   request->origin->fail (host, request, MARJORAM_RETRY_AFTER_MS);
-  request->gone = true;
+  request->abandoned = true;
 }
 
-/* Whether the upstream no longer renews its lease.  One that leaves by its own
-   word still finishes what it has.  */
+/* Returns true if the upstream's lease has expired.  An upstream that
+   deregistered still finishes its requests, so it does not count.  */
 static bool
-is_lease_over (const marjoram_host *host, int64_t now, const char *name)
+is_lease_expired (const marjoram_host *host, int64_t now, const char *name)
 {
   for (size_t i = 0; i < marjoram_members_count (host->members); i++)
     {
@@ -218,8 +217,8 @@
 }
 
 static void
-give_up_silent (marjoram_host *host, int64_t now,
-                struct marjoram_request *request)
+fail_silent_attempt (marjoram_host *host, int64_t now,
+                     struct marjoram_request *request)
 {
   host->ops->cancel (host->context, request->attempt);
   marjoram_members_mark_dead (host->members, now, request->upstream);
@@ -229,62 +228,66 @@
 }
 
 static void
-ask_again (marjoram_host *host, int64_t now, struct marjoram_request *request)
+resume_answer (marjoram_host *host, int64_t now,
+               struct marjoram_request *request)
 {
   request->resuming = true;
   request->progress = now;
-  /* An engine that says that it still works is asked less often then:
-     thousands of slow streams would else keep it busy answering.  */
-  if (request->patience < MARJORAM_PATIENCE_MAX_MS)
-    request->patience *= 2;
+  /* Exponential backoff: limits the load of resumes on an engine with
+     thousands of slow streams.  */
+  if (request->resume_timeout < MARJORAM_PATIENCE_MAX_MS)
+    request->resume_timeout *= 2;
   host->ops->resume (host->context, request->attempt, request->address,
                      request->id, request->received);
 }
 
-/* An upstream that sends nothing: its connection may have gone silent while
-   the request runs on.  Sending the request again could run it twice; asking
-   an engine for it by its id on a new connection can't.  A plain service can't
-   be asked: it is given up when its lease has run out too.  */
+/* Detects an upstream connection that has gone silent while the request may
+   still run.  Sending the request again could run it twice, so an engine is
+   asked to resume the answer by request id on a new connection.  A plain
+   service can't resume: its attempt fails once its lease has expired too.  */
 static void
-watch_silence (marjoram_host *host, int64_t now,
+check_silence (marjoram_host *host, int64_t now,
                struct marjoram_request *request)
 {
   int64_t silent = now - request->progress;
   bool gives_up = request->can_resume
                       ? request->resuming && silent >= MARJORAM_RESUME_WAIT_MS
                       : silent >= MARJORAM_SERVICE_SILENT_MS
-                            && is_lease_over (host, now, request->upstream);
+                            && is_lease_expired (host, now, request->upstream);
 
   if (gives_up)
-    give_up_silent (host, now, request);
+    fail_silent_attempt (host, now, request);
   else if (request->can_resume && !request->resuming
-           && silent >= request->patience)
-    ask_again (host, now, request);
+           && silent >= request->resume_timeout)
+    resume_answer (host, now, request);
 }
 
-/* A request of another host, whose link broke and did not come back.  */
+/* Returns true for a forwarded request whose link was lost and not restored
+   within MARJORAM_ORPHAN_MS.  */
 static bool
 is_orphan (const struct marjoram_request *request, int64_t now)
 {
-  return request->peer && !request->peer_session && !request->gone
-         && now - request->orphaned >= MARJORAM_ORPHAN_MS;
+  return request->peer && !request->peer_session && !request->abandoned
+         && now - request->orphaned_at >= MARJORAM_ORPHAN_MS;
 }
 
-/* A request that nobody waits for, at a host that can't be reached.  */
+/* Returns true for an abandoned request at a host that has been unreachable
+   until MARJORAM_ORPHAN_MS after the deadline.  */
 static bool
-is_out_of_reach (const struct marjoram_request *request, int64_t now)
+is_unreachable (const struct marjoram_request *request, int64_t now)
 {
-  return request->gone && request->revoking
+  return request->abandoned && request->revoke_pending
          && request->state == MARJORAM_REQUEST_REMOTE
          && now - request->deadline >= MARJORAM_ORPHAN_MS;
 }
 
 static void
-tick_one (marjoram_host *host, int64_t now, struct marjoram_request *request)
+tick_request (marjoram_host *host, int64_t now,
+              struct marjoram_request *request)
 {
   if (request->answered)
     {
-      if (now - request->orphaned >= MARJORAM_ORPHAN_MS)
+      if (now - request->orphaned_at >= MARJORAM_ORPHAN_MS)
         request_destroy (host, request);
       return;
     }
@@ -293,20 +296,20 @@
       marjoram_request_abandon (host, now, request);
       return;
     }
-  if (is_out_of_reach (request, now))
+  if (is_unreachable (request, now))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                                MARJORAM_REASON_LINK_DOWN, 0);
       return;
     }
-  if (now >= request->deadline && !request->gone && !request->head_passed
+  if (now >= request->deadline && !request->abandoned && !request->head_passed
       && !(request->peer && request->has_head))
     {
-      pass_deadline (host, now, request);
+      handle_deadline (host, now, request);
       return;
     }
   if (request->state == MARJORAM_REQUEST_LOCAL && request->attempt)
-    watch_silence (host, now, request);
+    check_silence (host, now, request);
   else if (request->state == MARJORAM_REQUEST_RESERVING && request->attempt
            && now - request->progress >= MARJORAM_RESERVE_MS)
     marjoram_attempt_reserved (host, now, request);
@@ -330,6 +333,6 @@
   for (; request; request = next)
     {
       next = TAILQ_NEXT (request, all);
-      tick_one (host, now, request);
+      tick_request (host, now, request);
     }
 }
