--- a/src/answer.c
+++ b/src/answer.c
@@ -105,7 +105,7 @@
 deliver_head (marjoram_host *host, struct marjoram_request *request,
               int64_t length)
 {
-  request->head_passed = true;
+  request->head_delivered = true;
   if (!request->abandoned)
     request->origin->head (host, request, &request->head, length);
 }
@@ -134,7 +134,7 @@
   if (!request->head.upstream)
     request->head.upstream = marjoram_strdup (request->upstream);
   request->has_head = true;
-  if (is_streamed (request) && !request->head_passed)
+  if (is_streamed (request) && !request->head_delivered)
     deliver_head (host, request, -1);
 }
 
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -103,8 +103,8 @@
 }
 
 void
-marjoram_attempt_reserved (marjoram_host *host, int64_t now,
-                           struct marjoram_request *request)
+marjoram_attempt_finish_reservation (marjoram_host *host, int64_t now,
+                                     struct marjoram_request *request)
 {
   if (marjoram_suspects_may_start (host->suspects, now, request->upstream,
                                    request->digest))
@@ -253,7 +253,7 @@
            const struct marjoram_request *request,
            enum marjoram_outcome outcome)
 {
-  if (request->peer || request->abandoned || request->head_passed)
+  if (request->peer || request->abandoned || request->head_delivered)
     return false;
   if (outcome != MARJORAM_OUTCOME_NOT_RUN && !request->call->idempotent)
     return false;
@@ -283,7 +283,7 @@
                          enum marjoram_reason reason, int64_t retry_ms,
                          bool final)
 {
-  bool answered_late = request->head_passed;
+  bool answered_late = request->head_delivered;
 
   add_tried (request);
   marjoram_attempt_release (host, now, request, true);
--- a/src/forward.c
+++ b/src/forward.c
@@ -170,7 +170,7 @@
     return;
   if (!request->revoke_pending)
     check_link (host, now, request);
-  else if (request->call->idempotent && !request->head_passed
+  else if (request->call->idempotent && !request->head_delivered
            && now - request->progress >= MARJORAM_REVOKE_WAIT_MS)
     /* No new link in time: an idempotent request is retried elsewhere.  */
     marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
@@ -272,8 +272,9 @@
 
 /* A frame is accepted only from the host that its attempt was sent to.  */
 void
-marjoram_forward_answer (marjoram_host *host, int64_t now, const char *slot,
-                         enum marjoram_frame_type type, const void *message)
+marjoram_forward_handle_frame (marjoram_host *host, int64_t now,
+                               const char *slot, enum marjoram_frame_type type,
+                               const void *message)
 {
   uint64_t number = *(const uint64_t *)message;
   struct marjoram_request *request
--- a/src/host.c
+++ b/src/host.c
@@ -169,7 +169,7 @@
         marjoram_place_tick (host->place, now, host->config, host->members,
                              host->orders);
     }
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
   if (host->keeper)
     marjoram_keeper_tick (host->keeper, now);
   marjoram_spread_tick (host->spread, now);
@@ -179,7 +179,7 @@
   send_offers (host, now);
   marjoram_applies_tick (host, now);
   marjoram_requests_tick (host, now);
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
   check_drained (host, now);
 }
 
--- a/src/host_caller.c
+++ b/src/host_caller.c
@@ -45,7 +45,7 @@
 
   /* Once bytes were passed on, the only honest end is to cut the answer
      short: it must not look whole.  */
-  if (request->head_passed)
+  if (request->head_delivered)
     host->ops->reply_abort (host->context, request->call->number);
   else
     host->ops->reply_refusal (host->context, request->call->number, &refusal);
@@ -109,7 +109,7 @@
                              reason, retry_ms);
   else
     marjoram_request_start (host, now, request);
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
 
 void
@@ -121,5 +121,5 @@
   HASH_FIND (by_call, host->requests->by_call, &call, sizeof call, request);
   if (request)
     marjoram_request_abandon (host, now, request);
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
--- a/src/host_peer.c
+++ b/src/host_peer.c
@@ -109,7 +109,7 @@
       marjoram_members_announce (host->members, now, message, true);
       break;
     case MARJORAM_FRAME_RENEWALS:
-      marjoram_renewals_take (host, now, message);
+      marjoram_renewals_apply (host, now, message);
       break;
     case MARJORAM_FRAME_CLAIM:
       marjoram_claims_receive (host->claims, now, ordinal, message);
@@ -149,7 +149,7 @@
       take_heartbeat (host, now, slot, session, message);
       break;
     case MARJORAM_FRAME_FORWARD:
-      marjoram_relay_take (host, now, slot, session, incarnation, message);
+      marjoram_relay_accept (host, now, slot, session, incarnation, message);
       break;
     case MARJORAM_FRAME_CANCEL:
       marjoram_relay_cancel (host, now, slot, incarnation, message);
@@ -163,7 +163,7 @@
     case MARJORAM_FRAME_REVOKED:
       /* Answers come over this host's own session only.  */
       if (session == 0)
-        marjoram_forward_answer (host, now, slot, type, message);
+        marjoram_forward_handle_frame (host, now, slot, type, message);
       break;
     case MARJORAM_FRAME_UPSTREAM:
     case MARJORAM_FRAME_RENEWALS:
@@ -196,7 +196,7 @@
     default:
       break;
     }
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
 
 void
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -93,7 +93,7 @@
   int64_t wall_offset; /* wall clock less monotonic clock */
   int64_t offered;     /* when offers were last sent */
   int64_t planned;     /* when links were last planned */
-  struct marjoram_claim_results claim_results; /* see zone.c */
+  struct marjoram_claim_results claim_results; /* see host_zone.c */
 
   marjoram_config *config;
   int zone; /* own zone's index in the configuration, -1 before one */
@@ -110,7 +110,7 @@
   struct marjoram_link *links;
   struct marjoram_requests *requests;
   struct marjoram_sender *senders;  /* see relay.c */
-  struct marjoram_renewed *renewed; /* see renew.c */
+  struct marjoram_renewed *renewed; /* see renewals.c */
   int64_t renewals_sent;
   struct marjoram_relayed *relayed; /* applies sent on to a keeper */
   uint64_t next_relayed;
@@ -120,8 +120,8 @@
   int64_t drain_limit;
 };
 
-/* zone.c: the other hosts of this host's zone, claims and orders.  */
-int64_t marjoram_host_wall (const marjoram_host *host, int64_t now);
+/* host_zone.c: the other hosts of this host's zone, claims and orders.  */
+int64_t marjoram_host_wall_time (const marjoram_host *host, int64_t now);
 /* The slot in ORDINAL of this host's zone; null if there is none.  */
 const struct marjoram_slot *marjoram_host_zone_slot (const marjoram_host *host,
                                                      int ordinal);
@@ -134,7 +134,7 @@
 void marjoram_host_create_zone (marjoram_host *host);
 /* Acts on the claims that were decided during the event in progress; to be
    called at the end of each event.  */
-void marjoram_host_settle (marjoram_host *host, int64_t now);
+void marjoram_host_deliver_claim_results (marjoram_host *host, int64_t now);
 void marjoram_claim_result_destroy (struct marjoram_claim_result *result);
 
 /* host_consensus.c: the configuration in force, and the keeper.  */
@@ -191,15 +191,15 @@
 /* A host of ZONE whose link is up and that is not draining; null if none.  */
 struct marjoram_link *marjoram_link_to_zone (marjoram_host *host, int zone);
 
-/* renew.c: renewals of upstreams, told to the zone once a second.  */
+/* renewals.c: renewals of upstreams, told to the zone once a second.  */
 void marjoram_renewals_add (marjoram_host *host, const char *upstream);
 void marjoram_renewals_tick (marjoram_host *host, int64_t now);
-void marjoram_renewals_take (marjoram_host *host, int64_t now,
-                             const struct marjoram_renewals *renewals);
+void marjoram_renewals_apply (marjoram_host *host, int64_t now,
+                              const struct marjoram_renewals *renewals);
 void marjoram_renewals_destroy (marjoram_host *host);
 /* Whether ANNOUNCEMENT differs from what is known of the upstream in more than
    a renewal can tell.  */
-bool marjoram_renewals_too_little (
+bool marjoram_renewals_need_announcement (
     const marjoram_host *host, int64_t now,
     const struct marjoram_announcement *announcement);
 
--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -66,7 +66,7 @@
 marjoram_host_announce (marjoram_host *host, int64_t now,
                         const struct marjoram_announcement *announcement)
 {
-  bool whole = marjoram_renewals_too_little (host, now, announcement);
+  bool whole = marjoram_renewals_need_announcement (host, now, announcement);
   enum marjoram_announce_result result;
 
   host->now = now;
@@ -78,7 +78,7 @@
     marjoram_host_send_zone (host, MARJORAM_FRAME_UPSTREAM, announcement);
   else if (result == MARJORAM_ANNOUNCE_RENEWED)
     marjoram_renewals_add (host, announcement->name);
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
   return result;
 }
 
@@ -119,7 +119,7 @@
 
   if (request)
     marjoram_request_done (host, now, request);
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
 
 /* The connection broke after the request was sent.  Whether the upstream died
@@ -175,7 +175,7 @@
                                MARJORAM_REASON_UPSTREAM_SILENT, 0, false);
       break;
     }
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
 
 void
@@ -198,7 +198,7 @@
       marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                                MARJORAM_REASON_UPSTREAM_FAILED, 0, false);
     }
-  marjoram_host_settle (host, now);
+  marjoram_host_deliver_claim_results (host, now);
 }
 
 void
--- a/src/zone.c
+++ b/src/host_zone.c
@@ -10,7 +10,7 @@
 };
 
 int64_t
-marjoram_host_wall (const marjoram_host *host, int64_t now)
+marjoram_host_wall_time (const marjoram_host *host, int64_t now)
 {
   return now + host->wall_offset;
 }
@@ -103,15 +103,15 @@
 
 /* Delivers the verdicts queued by claim_decided, at the end of each event.  */
 void
-marjoram_host_settle (marjoram_host *host, int64_t now)
+marjoram_host_deliver_claim_results (marjoram_host *host, int64_t now)
 {
   struct marjoram_claim_result *result;
 
   while ((result = STAILQ_FIRST (&host->claim_results)))
     {
       STAILQ_REMOVE_HEAD (&host->claim_results, next);
-      marjoram_request_claimed (host, now, result->claim, result->verdict,
-                                &result->kept);
+      marjoram_request_claim_decided (host, now, result->claim,
+                                      result->verdict, &result->kept);
       marjoram_claim_result_destroy (result);
     }
 }
--- a/src/relay.c
+++ b/src/relay.c
@@ -153,9 +153,9 @@
 }
 
 void
-marjoram_relay_take (marjoram_host *host, int64_t now, const char *slot,
-                     uint64_t session, uint64_t incarnation,
-                     const struct marjoram_forward *forward)
+marjoram_relay_accept (marjoram_host *host, int64_t now, const char *slot,
+                       uint64_t session, uint64_t incarnation,
+                       const struct marjoram_forward *forward)
 {
   struct marjoram_sender *sender
       = marjoram_sender_of (host, slot, incarnation);
@@ -202,7 +202,7 @@
   struct marjoram_chunk *chunk;
   uint64_t at = 0;
 
-  if (request->head_passed)
+  if (request->head_delivered)
     peer_head (host, request, &request->head, -1);
   STAILQ_FOREACH (chunk, &request->chunks, next)
   {
--- a/src/renew.c
+++ b/src/renewals.c
@@ -126,8 +126,8 @@
 }
 
 void
-marjoram_renewals_take (marjoram_host *host, int64_t now,
-                        const struct marjoram_renewals *renewals)
+marjoram_renewals_apply (marjoram_host *host, int64_t now,
+                         const struct marjoram_renewals *renewals)
 {
   const struct marjoram_renewal *items = renewals->items.items;
 
@@ -150,8 +150,9 @@
 }
 
 bool
-marjoram_renewals_too_little (const marjoram_host *host, int64_t now,
-                              const struct marjoram_announcement *announcement)
+marjoram_renewals_need_announcement (
+    const marjoram_host *host, int64_t now,
+    const struct marjoram_announcement *announcement)
 {
   const struct marjoram_upstream *upstream
       = marjoram_members_find (host->members, now, announcement->name);
--- a/src/request.c
+++ b/src/request.c
@@ -302,8 +302,8 @@
                                MARJORAM_REASON_LINK_DOWN, 0);
       return;
     }
-  if (now >= request->deadline && !request->abandoned && !request->head_passed
-      && !(request->peer && request->has_head))
+  if (now >= request->deadline && !request->abandoned
+      && !request->head_delivered && !(request->peer && request->has_head))
     {
       handle_deadline (host, now, request);
       return;
@@ -312,7 +312,7 @@
     check_silence (host, now, request);
   else if (request->state == MARJORAM_REQUEST_RESERVING && request->attempt
            && now - request->progress >= MARJORAM_RESERVE_MS)
-    marjoram_attempt_reserved (host, now, request);
+    marjoram_attempt_finish_reservation (host, now, request);
   else if (request->state == MARJORAM_REQUEST_WAITING
            && now - request->progress >= MARJORAM_RESERVE_MS)
     marjoram_attempt_dispatch (host, now, request);
--- a/src/request.h
+++ b/src/request.h
@@ -107,7 +107,7 @@
   bool resuming;          /* a resume is in progress at the upstream */
   bool revoke_pending;    /* to be revoked at the other host over a new link */
   bool has_head;
-  bool head_passed;
+  bool head_delivered;
 
   TAILQ_ENTRY (marjoram_request) all;
   UT_hash_handle by_call;
@@ -146,10 +146,10 @@
    cancelled; another one runs on, so that its answer can be replayed.  */
 void marjoram_request_abandon (marjoram_host *host, int64_t now,
                                struct marjoram_request *request);
-void marjoram_request_claimed (marjoram_host *host, int64_t now,
-                               uint64_t claim,
-                               enum marjoram_claim_verdict verdict,
-                               const struct marjoram_kept_answer *kept);
+void marjoram_request_claim_decided (marjoram_host *host, int64_t now,
+                                     uint64_t claim,
+                                     enum marjoram_claim_verdict verdict,
+                                     const struct marjoram_kept_answer *kept);
 void marjoram_request_count_outcome (marjoram_host *host,
                                      const struct marjoram_request *request,
                                      enum marjoram_outcome outcome);
@@ -177,8 +177,8 @@
 /* The reservation period of a suspect is over: runs it at the reserved
    upstream, or routes it again after a random delay if another suspect
    conflicts.  */
-void marjoram_attempt_reserved (marjoram_host *host, int64_t now,
-                                struct marjoram_request *request);
+void marjoram_attempt_finish_reservation (marjoram_host *host, int64_t now,
+                                          struct marjoram_request *request);
 /* Cancels the attempt in progress at the upstream or the other host.  */
 void marjoram_attempt_cancel (marjoram_host *host, int64_t now,
                               struct marjoram_request *request);
@@ -215,16 +215,17 @@
 void marjoram_forward_link_up (marjoram_host *host, int64_t now,
                                const char *slot);
 /* Handles HEAD, DATA, END and REVOKED frames.  */
-void marjoram_forward_answer (marjoram_host *host, int64_t now,
-                              const char *slot, enum marjoram_frame_type type,
-                              const void *message);
+void marjoram_forward_handle_frame (marjoram_host *host, int64_t now,
+                                    const char *slot,
+                                    enum marjoram_frame_type type,
+                                    const void *message);
 void marjoram_forward_tick (marjoram_host *host, int64_t now,
                             struct marjoram_request *request);
 
 /* relay.c: requests forwarded by hosts of other zones.  */
-void marjoram_relay_take (marjoram_host *host, int64_t now, const char *slot,
-                          uint64_t session, uint64_t incarnation,
-                          const struct marjoram_forward *forward);
+void marjoram_relay_accept (marjoram_host *host, int64_t now, const char *slot,
+                            uint64_t session, uint64_t incarnation,
+                            const struct marjoram_forward *forward);
 void marjoram_relay_revoke (marjoram_host *host, const char *slot,
                             uint64_t session, uint64_t incarnation,
                             const struct marjoram_revoke *revoke);
--- a/src/claimed.c
+++ b/src/request_claim.c
@@ -20,8 +20,9 @@
   request->claim = host->requests->next_attempt++;
   HASH_ADD (by_claim, host->requests->by_claim, claim, sizeof request->claim,
             request);
-  marjoram_claims_acquire (host->claims, now, marjoram_host_wall (host, now),
-                           request->claim, scoped, issued, request->digest);
+  marjoram_claims_acquire (host->claims, now,
+                           marjoram_host_wall_time (host, now), request->claim,
+                           scoped, issued, request->digest);
 }
 
 static void
@@ -88,9 +89,10 @@
 }
 
 void
-marjoram_request_claimed (marjoram_host *host, int64_t now, uint64_t claim,
-                          enum marjoram_claim_verdict verdict,
-                          const struct marjoram_kept_answer *kept)
+marjoram_request_claim_decided (marjoram_host *host, int64_t now,
+                                uint64_t claim,
+                                enum marjoram_claim_verdict verdict,
+                                const struct marjoram_kept_answer *kept)
 {
   struct marjoram_request *request;
 
--- a/test/test_host.c
+++ b/test/test_host.c
@@ -123,7 +123,7 @@
 
 /* The only upstream is in region rb, which caller "bound" may not use: the
    request must be refused and not leave region ra.  */
-START_TEST (residency_holds_when_only_the_forbidden_region_has_room)
+START_TEST (residency_overrides_capacity)
 {
   uint64_t call;
 
@@ -163,7 +163,7 @@
 
 /* Zone b's upstream has left when the forwarded request arrives, and zone a
    has one again.  b must refuse the request instead of forwarding it back.  */
-START_TEST (forwarded_request_never_goes_on)
+START_TEST (receiver_does_not_forward)
 {
   uint64_t call;
 
@@ -187,7 +187,7 @@
 /* An upstream announces itself to one host only.  Batched renewals must extend
    its lease at the others, and restore it at a host that wrongly marked it
    dead.  */
-START_TEST (renewals_keep_an_upstream_at_all_hosts)
+START_TEST (renewals_extend_lease_at_all_hosts)
 {
   for (int second = 0; second < 90; second++)
     {
@@ -216,7 +216,7 @@
 
 /* Only another zone runs the model.  Requests beyond that zone's offered
    capacity must queue there instead of being refused.  */
-START_TEST (work_without_a_home_may_wait_elsewhere)
+START_TEST (work_without_local_upstream_queues_remotely)
 {
   enum
   {
@@ -262,7 +262,7 @@
 
 /* Part of a forwarded answer is missing, at its end or in the middle.  It must
    not be delivered as a complete answer.  */
-START_TEST (answer_with_a_missing_piece_is_not_whole)
+START_TEST (incomplete_answer_is_rejected)
 {
   static const struct
   {
@@ -294,7 +294,7 @@
 
 /* A region partitioned from the other serves its callers' idempotent and
    non-idempotent requests.  */
-START_TEST (region_cut_off_serves_its_own_callers)
+START_TEST (partitioned_region_serves_its_callers)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -316,7 +316,7 @@
 
 /* An upstream fails in the middle of a non-streamed answer.  The caller must
    get only the complete answer of the second upstream.  */
-START_TEST (broken_answer_is_retried_unseen)
+START_TEST (failed_answer_is_retried_transparently)
 {
   uint64_t call;
 
@@ -339,7 +339,7 @@
 /* Two requests run at an upstream when it crashes, and become suspects.  They
    must run one after the other at the remaining upstream, and the second must
    not be refused while it waits.  */
-START_TEST (suspects_take_turns)
+START_TEST (suspects_run_one_at_a_time)
 {
   uint64_t calls[2];
 
@@ -366,7 +366,7 @@
 
 /* Two hosts dispatch one suspect each at the same time.  The suspects must not
    run together at the remaining upstream: its crash would convict neither.  */
-START_TEST (suspects_of_two_hosts_do_not_meet)
+START_TEST (suspects_of_two_hosts_do_not_overlap)
 {
   uint64_t calls[2];
   int open = 0;
@@ -398,7 +398,7 @@
 
 /* An upstream fails in the middle of a stream.  The stream must be aborted,
    never continued with another upstream's output.  */
-START_TEST (broken_stream_is_cut)
+START_TEST (failed_stream_is_aborted)
 {
   uint64_t call;
 
@@ -500,7 +500,7 @@
 
 /* A host that is still recovering its state after a restart must not reject a
    new key as expired.  */
-START_TEST (recovering_neighbour_calls_no_key_expired)
+START_TEST (recovering_host_does_not_expire_new_key)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -519,7 +519,7 @@
 
 /* Two callers send the same key and the same body.  The second must not get
    the first one's stored answer.  */
-START_TEST (keys_of_two_callers_are_two)
+START_TEST (keys_are_scoped_to_callers)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -539,7 +539,7 @@
 
 /* The host that ran a request fails after the answer.  A resend to another
    host of the zone must get the stored answer.  */
-START_TEST (answer_survives_its_host)
+START_TEST (answer_survives_host_failure)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -559,7 +559,7 @@
 
 /* The link is lost while a non-idempotent request runs in the other zone.  The
    answer must be fetched over the new link without a second run.  */
-START_TEST (request_survives_a_broken_link)
+START_TEST (request_survives_link_loss)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -583,7 +583,7 @@
 
 /* A FORWARD frame is lost with its link.  The receiver's "never started" over
    the new link proves that a non-idempotent request may be retried.  */
-START_TEST (lost_forward_is_proved_not_run)
+START_TEST (lost_forward_is_proven_not_run)
 {
   char key[MARJORAM_KEY_MAX];
   uint64_t call;
@@ -626,7 +626,7 @@
 
 /* The host that ran a forwarded request restarts before it answers, and loses
    its state.  The caller must be told unknown, not not-run.  */
-START_TEST (restarted_host_proves_nothing)
+START_TEST (restarted_host_leaves_outcome_unknown)
 {
   uint64_t call;
 
@@ -643,7 +643,7 @@
 
 /* A FORWARD frame that arrives after its sender was told "never started" must
    not start the request.  */
-START_TEST (barred_forward_does_not_start_late)
+START_TEST (revoked_forward_does_not_start)
 {
   struct marjoram_forward forward = forged_forward (500);
   struct marjoram_revoke revoke = { 500, 0 };
@@ -705,7 +705,7 @@
 
 /* A link that receives part of a large frame, while heartbeats wait behind it,
    must not be closed as silent.  One that receives nothing must be.  */
-START_TEST (link_on_which_parts_come_is_not_silent)
+START_TEST (link_receiving_partial_frames_is_not_silent)
 {
   const int64_t start = test_now (hosts);
   int64_t now;
@@ -725,7 +725,7 @@
 
 /* A newer configuration forbids region rb while a request runs there.  The
    retry must follow the newer rule.  */
-START_TEST (newer_residency_rule_binds_at_the_next_step)
+START_TEST (newer_residency_rule_applies_to_retry)
 {
   static const char callers[]
       = "[caller free]\ntoken = free-0123456789abcdef\nhome = ra\n"
@@ -746,7 +746,7 @@
 
 /* A newer configuration removes zone b while requests run there.  They must
    end with a definite outcome, and the stale zone index must not be used.  */
-START_TEST (zone_removed_under_a_request)
+START_TEST (zone_removed_during_request)
 {
   uint64_t first;
   uint64_t second;
@@ -767,7 +767,7 @@
 
 /* An authenticated host sends frames with empty fields and arrays of empty
    items.  The receiver must not crash.  */
-START_TEST (empty_frames_do_no_harm)
+START_TEST (empty_frames_are_harmless)
 {
   static const char *const slots[] = { "a-2", "b-1", "nobody" };
   enum marjoram_frame_type type = (enum marjoram_frame_type)_i;
@@ -799,7 +799,7 @@
 END_TEST
 
 /* A host without a configuration must refuse all requests.  */
-START_TEST (host_without_configuration_serves_nobody)
+START_TEST (host_without_configuration_refuses_requests)
 {
   uint64_t call;
 
@@ -839,36 +839,36 @@
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_test (c, answers_from_own_zone);
   tcase_add_test (c, answers_from_another_zone);
-  tcase_add_test (c, residency_holds_when_only_the_forbidden_region_has_room);
+  tcase_add_test (c, residency_overrides_capacity);
   tcase_add_test (c, residency_is_checked_at_receipt);
-  tcase_add_test (c, forwarded_request_never_goes_on);
-  tcase_add_test (c, renewals_keep_an_upstream_at_all_hosts);
-  tcase_add_test (c, work_without_a_home_may_wait_elsewhere);
+  tcase_add_test (c, receiver_does_not_forward);
+  tcase_add_test (c, renewals_extend_lease_at_all_hosts);
+  tcase_add_test (c, work_without_local_upstream_queues_remotely);
   tcase_add_test (c, receiver_does_not_retry);
-  tcase_add_test (c, answer_with_a_missing_piece_is_not_whole);
-  tcase_add_test (c, region_cut_off_serves_its_own_callers);
-  tcase_add_test (c, broken_answer_is_retried_unseen);
-  tcase_add_test (c, suspects_take_turns);
-  tcase_add_test (c, suspects_of_two_hosts_do_not_meet);
-  tcase_add_test (c, broken_stream_is_cut);
+  tcase_add_test (c, incomplete_answer_is_rejected);
+  tcase_add_test (c, partitioned_region_serves_its_callers);
+  tcase_add_test (c, failed_answer_is_retried_transparently);
+  tcase_add_test (c, suspects_run_one_at_a_time);
+  tcase_add_test (c, suspects_of_two_hosts_do_not_overlap);
+  tcase_add_test (c, failed_stream_is_aborted);
   tcase_add_test (c, late_answer_of_an_earlier_attempt_is_dropped);
   tcase_add_test (c, non_idempotent_request_is_not_retried);
   tcase_add_test (c, resent_request_runs_once);
-  tcase_add_test (c, recovering_neighbour_calls_no_key_expired);
-  tcase_add_test (c, keys_of_two_callers_are_two);
-  tcase_add_test (c, answer_survives_its_host);
-  tcase_add_test (c, request_survives_a_broken_link);
-  tcase_add_test (c, lost_forward_is_proved_not_run);
+  tcase_add_test (c, recovering_host_does_not_expire_new_key);
+  tcase_add_test (c, keys_are_scoped_to_callers);
+  tcase_add_test (c, answer_survives_host_failure);
+  tcase_add_test (c, request_survives_link_loss);
+  tcase_add_test (c, lost_forward_is_proven_not_run);
   tcase_add_test (c, refused_claim_is_not_run_elsewhere);
-  tcase_add_test (c, restarted_host_proves_nothing);
-  tcase_add_test (c, barred_forward_does_not_start_late);
+  tcase_add_test (c, restarted_host_leaves_outcome_unknown);
+  tcase_add_test (c, revoked_forward_does_not_start);
   tcase_add_test (c, deadline_leaves_non_idempotent_work_running);
   tcase_add_test (c, silent_connection_is_resumed_by_id);
-  tcase_add_test (c, link_on_which_parts_come_is_not_silent);
-  tcase_add_test (c, newer_residency_rule_binds_at_the_next_step);
-  tcase_add_loop_test (c, empty_frames_do_no_harm, 0, MARJORAM_FRAME_COUNT);
-  tcase_add_test (c, zone_removed_under_a_request);
-  tcase_add_test (c, host_without_configuration_serves_nobody);
+  tcase_add_test (c, link_receiving_partial_frames_is_not_silent);
+  tcase_add_test (c, newer_residency_rule_applies_to_retry);
+  tcase_add_loop_test (c, empty_frames_are_harmless, 0, MARJORAM_FRAME_COUNT);
+  tcase_add_test (c, zone_removed_during_request);
+  tcase_add_test (c, host_without_configuration_refuses_requests);
   tcase_add_test (c, draining_host_finishes_its_requests);
   suite_add_tcase (s, c);
   return s;
--- a/test/test_mix.c
+++ b/test/test_mix.c
@@ -331,7 +331,7 @@
   return text ? strtoull (text, NULL, 10) : fallback;
 }
 
-START_TEST (promises_hold_under_random_faults)
+START_TEST (guarantees_hold_under_random_faults)
 {
   uint64_t first = env_uint64 ("FIRST_SEED", 1);
   uint64_t count = env_uint64 ("SEEDS", DEFAULT_SEEDS);
@@ -350,7 +350,7 @@
   marjoram_log_open ("test", getenv ("VERBOSE") ? MARJORAM_LOG_DEBUG
                                                 : MARJORAM_LOG_ERROR);
   tcase_set_timeout (c, 0);
-  tcase_add_test (c, promises_hold_under_random_faults);
+  tcase_add_test (c, guarantees_hold_under_random_faults);
   suite_add_tcase (s, c);
   return s;
 }
