--- a/src/http_client.c
+++ b/src/http_client.c
@@ -15,35 +15,34 @@
 
 enum
 {
-  /* To an upstream of the own region; many times its round trip, and short
-     enough to try another one inside an objective of some hundred ms.  */
+  /* Short enough to try another upstream within the latency objective.  */
   CONNECT_TIMEOUT_MS = 600,
-  /* How long a connection stays unused if the upstream names no time, and how
-     long before the named time it is given up: the upstream's close may be on
-     its way while a request is sent.  */
+  /* Idle timeout for upstreams that send no Keep-Alive timeout.  */
   UNUSED_DEFAULT_MS = 4000,
+  /* Subtracted from the upstream's Keep-Alive timeout, so that a request does
+     not cross the upstream's close.  */
   UNUSED_MARGIN_MS = 400,
-  /* What can't be sent twice takes only connections used this lately.  */
+  /* Idle limit for requests that must not be retried.  */
   CAREFUL_UNUSED_MS = 1000,
   SECOND_MS = 1000
 };
 
 struct connection
 {
-  TAILQ_ENTRY (connection) link; /* of the pool, while unused */
+  TAILQ_ENTRY (connection) link; /* in the pool, while idle */
   marjoram_http_client *client;
   struct pool *pool;
   struct bufferevent *bev;
   marjoram_http_reader *reader;
-  uint64_t attempt;        /* 0 while unused */
+  uint64_t attempt;        /* 0 while idle */
   marjoram_bytes *message; /* until connected */
   int64_t unused_since;
   int64_t unused_limit;
   int64_t connect_by; /* 0 once connected */
   bool head_only;
-  bool skipping; /* the answer that comes belongs to another request */
-  bool interim;  /* a 1xx answer comes */
-  bool complete; /* the answer that was read last is whole */
+  bool skipping; /* current response belongs to another request */
+  bool interim;  /* current response is 1xx */
+  bool complete; /* response has been read completely */
   bool ends_with_stream;
   bool reusable;
   UT_hash_handle hh; /* by attempt */
@@ -54,7 +53,7 @@
 struct pool
 {
   char *address;
-  struct connection_list unused; /* the one used last comes first */
+  struct connection_list unused; /* most recently used first */
   UT_hash_handle hh;
 };
 
@@ -111,7 +110,7 @@
   free (address);
 }
 
-/* ---- Reading an answer.  ---- */
+/* ---- Response parsing.  ---- */
 
 static int64_t
 unused_limit (const struct marjoram_header_list *headers)
@@ -163,7 +162,7 @@
     return false;
   if (!connection->skipping && !connection->interim)
     client->ops->data (client->context, connection->attempt, data, size);
-  /* The owner may have cancelled this attempt by now.  */
+  /* The callback may have cancelled this attempt.  */
   return connection->attempt != 0;
 }
 
@@ -183,10 +182,10 @@
 static const struct marjoram_http_reader_ops reader_ops
     = { .head = on_head, .body = on_body, .complete = on_complete };
 
-/* ---- A connection's course.  ---- */
+/* ---- Connection life cycle.  ---- */
 
-/* Bytes after a whole answer belong to no request, and what is left of our
-   message would stand where the next one begins.  */
+/* Whether both buffers are empty.  Input left after a complete response
+   belongs to no request; unsent output would corrupt the next request.  */
 static bool
 is_clean (const struct connection *connection)
 {
@@ -195,9 +194,9 @@
                 == 0;
 }
 
-/* An upstream that closes a kept connection may have done so in this turn of
-   the loop: its end is in the socket, and a request sent now is not answered,
-   though it has not run.  What must not run twice could not be sent again.  */
+/* Whether the socket is open and has no pending input.  Detects a close by the
+   upstream that the event loop has not processed yet; a request sent on such a
+   connection could not be retried safely.  */
 static bool
 is_quiet (const struct connection *connection)
 {
@@ -262,8 +261,8 @@
   client->ops->connected (client->context, connection->pool->address);
 }
 
-/* An answer without a length is whole if its connection was closed in order,
-   and not if it was reset.  */
+/* A response without a length is complete if its connection was closed
+   orderly, but not if it was reset.  */
 static void
 on_closed (struct connection *connection)
 {
@@ -325,8 +324,8 @@
   return connection;
 }
 
-/* A refusal that the system tells at once comes as a deferred event, as all
-   others do: the owner is never entered while it sends.  */
+/* Immediate connect errors are reported by a deferred event, so that no
+   callback runs before marjoram_http_client_send returns.  */
 static void
 connect_and_send (marjoram_http_client *client, struct pool *pool,
                   const struct marjoram_http_send *send)
@@ -387,8 +386,8 @@
   HASH_FIND (hh, client->busy, &attempt, sizeof attempt, connection);
   if (!connection)
     return;
-  /* The reader may be at work on this connection: it is closed by the event,
-     once that has returned.  */
+  /* The call may come from a callback of this connection's reader, so the
+     connection is destroyed by a deferred event.  */
   HASH_DELETE (hh, client->busy, connection);
   connection->attempt = 0;
   connection->complete = false;
@@ -425,9 +424,9 @@
     }
 }
 
-/* HEARD_UNTIL is the time up to which this host has heard: where its own link
-   is full, the word that a connection is made waits there, and each upstream
-   would be out of reach.  */
+/* HEARD_UNTIL is the time up to which network events have been processed.
+   When this host lags, a completed connect may not have been seen yet, and
+   must not count as a timeout.  */
 static void
 give_up_connecting (marjoram_http_client *client, int64_t heard_until)
 {
@@ -485,9 +484,9 @@
   HASH_ITER (hh, client->pools, pool, next_pool)
   {
     while ((connection = TAILQ_FIRST (&pool->unused)))
-      /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+      /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
       destroy (connection);
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, client->pools, pool);
     free (pool->address);
     free (pool);
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -1,6 +1,6 @@
-/* The task of connections to upstreams: keeps them open between requests, one
-   request at a time on each, and tells precisely how an attempt ended, so that
-   its owner knows whether it may have run.  */
+/* HTTP/1.1 client for upstreams.  Pools persistent connections, sends one
+   request at a time on each, and reports whether a failed attempt may have
+   been processed by the upstream.  */
 #ifndef MARJORAM_HTTP_CLIENT_H
 #define MARJORAM_HTTP_CLIENT_H
 
@@ -14,9 +14,10 @@
 
 enum marjoram_http_end
 {
-  MARJORAM_HTTP_COMPLETE, /* the whole answer came */
-  MARJORAM_HTTP_UNSENT,   /* no byte was sent: it has not run */
-  MARJORAM_HTTP_BROKEN    /* reset, closed or malformed: may have run */
+  MARJORAM_HTTP_COMPLETE, /* complete response received */
+  MARJORAM_HTTP_UNSENT,   /* not processed: no byte was sent */
+  MARJORAM_HTTP_BROKEN /* reset, closed or malformed: may have been processed
+                        */
 };
 
 struct marjoram_http_send
@@ -25,22 +26,22 @@
   const char *address; /* IP:port */
   marjoram_bytes *message;
   bool head_only; /* the method is HEAD */
-  /* Only over a connection that has shown to be alive just now, or a new one:
-     for what can't be sent twice.  */
+  /* Use only a new or recently used connection.  For requests that must not
+     be retried.  */
   bool careful;
 };
 
 struct marjoram_http_client_ops
 {
-  /* The head of an answer; returns false if it belongs to another request, and
-     is then skipped.  */
+  /* Called with the status and headers of a response.  Returns false if the
+     response belongs to another request and has to be skipped.  */
   bool (*head) (void *context, uint64_t attempt, int status,
                 struct marjoram_header_list *headers);
   void (*data) (void *context, uint64_t attempt, const char *data,
                 size_t size);
   void (*end) (void *context, uint64_t attempt, enum marjoram_http_end how);
-  /* A connection to ADDRESS was refused or reset while it was unused, or was
-     lost under a request: the upstream may have restarted.  */
+  /* Called when a connection to ADDRESS is refused, reset or closed
+     unexpectedly.  The upstream may have restarted.  */
   void (*lost) (void *context, const char *address);
   void (*connected) (void *context, const char *address);
 };
@@ -51,16 +52,16 @@
 void marjoram_http_client_destroy (marjoram_http_client *client);
 void marjoram_http_client_send (marjoram_http_client *client,
                                 const struct marjoram_http_send *send);
-/* Closes the attempt's connection, so that the upstream stops work; nothing
-   more is told of it.  */
+/* Closes the attempt's connection, so that the upstream can stop processing.
+   No further callback is made for ATTEMPT.  */
 void marjoram_http_client_cancel (marjoram_http_client *client,
                                   uint64_t attempt);
-/* Closes the unused connections to ADDRESS.  */
+/* Closes the idle connections to ADDRESS.  */
 void marjoram_http_client_forget (marjoram_http_client *client,
                                   const char *address);
-/* Closes connections that were unused for long, and gives up those that are
-   not made in time; at least every 250 ms.  LAG_MS: how far behind this host's
-   own hearing is (own_lag.h).  */
+/* Closes expired idle connections and times out pending connects.  Has to be
+   called at least every 250 ms.  LAG_MS is the delay with which this host
+   processes its own network events (own_lag.h).  */
 void marjoram_http_client_tick (marjoram_http_client *client, int64_t lag_ms);
 
 #endif
