--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -7,12 +7,12 @@
 enum
 {
   FIRST_TEXT_ROOM = 64,
-  DEFAULT_HEAD_LIMIT = 64 * 1024 /* bytes; of upstreams' answers */
+  DEFAULT_HEAD_LIMIT = 64 * 1024 /* bytes */
 };
 
 struct text
 {
-  char *data; /* NUL-terminated once not null */
+  char *data; /* NUL-terminated if not null */
   size_t size;
   size_t room;
 };
@@ -100,8 +100,8 @@
   return count_head (reader, size);
 }
 
-/* The parser lets a NUL pass inside a value; read as a C string, the value
-   would then differ from the bytes that the sender meant.  */
+/* Stores the header that was just parsed.  Rejects values with an embedded
+   NUL, which the parser accepts but which would truncate the C string.  */
 static int
 keep_header (marjoram_http_reader *reader)
 {
@@ -137,7 +137,7 @@
 
   reader->in_value = true;
   text_add (&reader->value, data, size);
-  /* With ": " and the end of the line.  */
+  /* Includes ": " and CRLF.  */
   return count_head (reader, size + 4);
 }
 
