--- a/src/http_server.c
+++ b/src/http_server.c
@@ -16,19 +16,18 @@
 
 enum
 {
-  BACKLOG = 1024, /* connections; a full queue costs its caller seconds */
-  /* Bytes kept of what a caller sends ahead of its answer.  */
+  BACKLOG = 1024, /* connections; SYN retries after an overflow take seconds */
+  /* Input buffer limit for pipelined requests, in bytes.  */
   READ_AHEAD = 64 * 1024,
-  /* Bytes that may wait for a caller that reads slowly.  */
+  /* Output buffer limit for slow callers, in bytes.  */
   OUTPUT_MAX = 16 * 1024 * 1024,
-  /* After our last byte, for the caller to read it: closing with unread bytes
-     resets the connection and may take the answer away.  */
+  /* Time between shutdown and close.  Closing with unread input resets the
+     connection and may discard the response.  */
   LINGER_MS = 1000,
-  /* A caller that takes no byte of its last answer for so long has gone.  */
+  /* Write timeout without progress on the last response.  */
   STALLED_MS = 5000,
-  /* From the call to close what is idle to the closing itself: a request that
-     a caller sent just before may be on a link between regions (some 55 ms
-     one way) and behind other bytes there.  */
+  /* Delay before idle connections are closed, for requests in flight from
+     another region.  */
   GRACE_MS = 200,
   DEFAULT_HEAD_BYTES = 16 * 1024,
   DEFAULT_BODY_BYTES = 4 * 1024 * 1024,
@@ -38,11 +37,11 @@
 
 enum state
 {
-  STATE_IDLE,    /* waits for a request's first byte */
-  STATE_READING, /* has part of a request */
-  STATE_BUSY,    /* a request waits for its answer */
-  STATE_CLOSING, /* the last answer is on its way out */
-  STATE_LINGER   /* our side is shut; waits for the caller to close */
+  STATE_IDLE,    /* waiting for the first byte of a request */
+  STATE_READING, /* a request has been read partly */
+  STATE_BUSY,    /* a request awaits its response */
+  STATE_CLOSING, /* the last response is being written */
+  STATE_LINGER   /* write side shut down; waiting for the caller to close */
 };
 
 struct connection
@@ -52,10 +51,10 @@
   struct bufferevent *bev;
   marjoram_http_reader *reader;
   enum state state;
-  int64_t since; /* when STATE began; CLOSING: when bytes last went */
-  size_t unsent; /* CLOSING: bytes of the answer that have not gone yet */
+  int64_t since; /* start of STATE; CLOSING: time of last write */
+  size_t unsent; /* CLOSING: size of the output buffer */
   struct evbuffer *body;
-  struct marjoram_http_request *whole; /* read, not yet handed out */
+  struct marjoram_http_request *whole; /* read, not yet dispatched */
   int reject;                          /* status; 0 if none */
   const char *reject_why;
   uint64_t call; /* 0 unless busy */
@@ -130,9 +129,8 @@
     server->ops->gone (server->context, call);
 }
 
-/* Whether bytes have come that were not looked at.  To close in spite of them
-   takes a request away from a caller that sent it in time: it is read and
-   thrown away, and its connection ends without an answer.  */
+/* Whether there is unprocessed input, in the buffer or in the socket.  Closing
+   such a connection would drop a request without a response.  */
 static bool
 has_bytes (const struct connection *connection)
 {
@@ -145,7 +143,7 @@
                 > 0;
 }
 
-/* ---- Reading a request.  ---- */
+/* ---- Request parsing.  ---- */
 
 static bool
 reject (struct connection *connection, int status, const char *why)
@@ -155,8 +153,8 @@
   return false;
 }
 
-/* A second length, or a length beside chunks, makes two readers see two
-   different requests: the second one would be smuggled past this host.  */
+/* Rejects duplicate or conflicting Content-Length and Transfer-Encoding, which
+   would allow request smuggling (RFC 9112, 6.3).  */
 static bool
 framing_is_plain (const struct marjoram_header_list *headers)
 {
@@ -248,7 +246,7 @@
 static const struct marjoram_http_reader_ops reader_ops
     = { .head = on_head, .body = on_body, .complete = on_complete };
 
-/* ---- Writing an answer.  ---- */
+/* ---- Response writing.  ---- */
 
 static struct connection *
 find (marjoram_http_server *server, uint64_t call)
@@ -292,8 +290,9 @@
     connection->keep_alive = false;
 }
 
-/* A caller that sends ahead without an end must not hold the host up: once the
-   listener is closed, each answer is the last one.  */
+/* Whether to close the connection after this response.  Pipelined requests are
+   still processed while draining, but only until the listener is closed, so
+   that a caller can't delay the shutdown indefinitely.  */
 static bool
 is_last_answer (const struct connection *connection)
 {
@@ -397,12 +396,12 @@
   if (!connection)
     return;
   forget_call (connection);
-  /* What was passed on already is still delivered; the missing end tells the
-     caller that the answer is not whole.  */
+  /* Buffered output is still written; the missing end marks the response as
+     truncated.  */
   close_when_written (connection);
 }
 
-/* ---- A connection's course.  ---- */
+/* ---- Connection life cycle.  ---- */
 
 static void
 write_rejection (struct connection *connection)
@@ -523,7 +522,7 @@
   add_connection (context, fd);
 }
 
-/* ---- The task.  ---- */
+/* ---- Server.  ---- */
 
 marjoram_http_server *
 marjoram_http_server_create (struct event_base *base,
@@ -559,7 +558,7 @@
     return;
   while ((connection = TAILQ_FIRST (&server->connections)))
     {
-      /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+      /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
       forget_call (connection);
       destroy (connection);
     }
@@ -592,7 +591,7 @@
   server->closing_since = marjoram_clock_now (server->clock);
 }
 
-/* Takes what waits at the listener; whether nothing does any more.  */
+/* Accepts all pending connections.  Returns whether none is left.  */
 static bool
 accept_waiting (marjoram_http_server *server)
 {
@@ -609,9 +608,9 @@
   return errno == EAGAIN;
 }
 
-/* Closing a listener resets the connections that wait there, which their
-   callers take for accepted and may have sent a request on.  Without a free
-   descriptor they wait for the next tick.  */
+/* Accepts pending connections first, as closing the listener would reset them
+   although their callers may have sent a request.  If accept fails, for
+   example for lack of descriptors, the next tick tries again.  */
 static void
 close_listener (marjoram_http_server *server)
 {
@@ -634,9 +633,9 @@
   return server->closing && now - since >= GRACE_MS;
 }
 
-/* Whether nobody waits for the rest of a closing connection any more.  A
-   caller on a slow link takes its last answer for longer than a connection
-   lingers; closed meanwhile, the answer would end in the middle.  */
+/* Whether a closing connection has timed out.  While the last response is
+   written, each progress restarts the timer, so that it is not truncated for
+   callers on slow links.  */
 static bool
 is_over (struct connection *connection, int64_t now)
 {
