--- a/src/header.h
+++ b/src/header.h
@@ -1,4 +1,4 @@
-/* Headers of HTTP messages: which are passed on, and how large they may be. */
+/* Filtering and size limits of forwarded HTTP headers.  */
 #ifndef MARJORAM_HEADER_H
 #define MARJORAM_HEADER_H
 
@@ -6,15 +6,14 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Whether a header is the message's own, to be passed on; not the
-   connection's, the hosts' or a secret of the caller.  */
+/* Whether header NAME is forwarded.  False for hop-by-hop headers, credentials
+   and headers that the hosts set or read themselves.  */
 bool marjoram_header_is_passed_on (const char *name);
-/* How many headers of NAME there are; VALUE, unless null, gets the last one's
-   value if there is any.  */
+/* Counts the headers called NAME.  VALUE, unless null, receives the value of
+   the last one, if any.  */
 size_t marjoram_header_count (const struct evkeyvalq *headers,
                               const char *name, const char **value);
-/* Whether those to be passed on are few and short enough to cross to another
-   host.  */
+/* Whether the forwarded headers are within the limits of a frame.  */
 bool marjoram_header_fits (const struct evkeyvalq *headers);
 
 #endif
