--- a/src/header_list.h
+++ b/src/header_list.h
@@ -1,4 +1,4 @@
-/* A list of HTTP headers that owns its names and values.  */
+/* List of HTTP headers that owns its names and values.  */
 #ifndef MARJORAM_HEADER_LIST_H
 #define MARJORAM_HEADER_LIST_H
 
@@ -13,32 +13,32 @@
   size_t room;
 };
 
-/* Both are copied.  */
+/* Appends a header.  NAME and VALUE are copied.  */
 void marjoram_header_list_add (struct marjoram_header_list *list,
                                const char *name, const char *value);
 void marjoram_header_list_add_size (struct marjoram_header_list *list,
                                     const char *name, const char *value,
                                     size_t size);
-/* In place of all that NAME had.  */
+/* Replaces all values of NAME.  */
 void marjoram_header_list_set (struct marjoram_header_list *list,
                                const char *name, const char *value);
-/* The first value of NAME, whatever its case; null if there is none.  */
+/* Returns the first value of NAME, or null.  Names are compared without
+   regard to case.  */
 const char *marjoram_header_list_get (const struct marjoram_header_list *list,
                                       const char *name);
-/* How often NAME stands in LIST.  */
 size_t marjoram_header_list_times (const struct marjoram_header_list *list,
                                    const char *name);
-/* Whether one of the comma-separated words of NAME's values is WORD.  */
+/* Whether a value of NAME contains WORD as a comma-separated token.  */
 bool marjoram_header_list_has_word (const struct marjoram_header_list *list,
                                     const char *name, const char *word);
-/* Frees the items and empties the list.  */
+/* Frees the items and resets the list to empty.  */
 void marjoram_header_list_clear (struct marjoram_header_list *list);
-/* Moves all of SOURCE to TARGET, which must be empty.  */
+/* Moves the items of SOURCE to TARGET, which must be empty.  */
 void marjoram_header_list_move (struct marjoram_header_list *target,
                                 struct marjoram_header_list *source);
 
-/* Whether NAME concerns one connection only (RFC 9110, 7.6.1), or is named as
-   such by LIST's Connection header, so that it must not be passed on.  */
+/* Whether NAME is a hop-by-hop header (RFC 9110, 7.6.1) or is listed in LIST's
+   Connection header, and must not be forwarded.  */
 bool marjoram_header_list_is_hop (const struct marjoram_header_list *list,
                                   const char *name);
 
