--- a/src/event_stream.c
+++ b/src/event_stream.c
@@ -8,7 +8,7 @@
 
 struct marjoram_event_stream
 {
-  struct evbuffer *torn; /* of the event that is not whole yet */
+  struct evbuffer *torn; /* data of the incomplete event */
   char last[MARJORAM_ID_MAX];
   bool resumed;
 };
@@ -31,7 +31,7 @@
   free (stream);
 }
 
-/* Bytes of the first whole event, its empty line included; 0 if none.  */
+/* Returns the size of the first complete event with its empty line, or 0.  */
 static size_t
 event_size (struct evbuffer *buffer)
 {
@@ -43,7 +43,7 @@
   return lines.pos >= 0 ? (size_t)lines.pos + 2 : 0;
 }
 
-/* The value of the event's id line; "" if it has none.  */
+/* Stores the value of the event's id field in ID, or "" if it has none.  */
 static void
 read_id (const char *event, size_t size, char id[MARJORAM_ID_MAX])
 {
@@ -74,8 +74,8 @@
     }
 }
 
-/* Ids grow; one that doesn't, after another upstream took over, was passed on
-   before.  */
+/* Whether the event was already forwarded before the stream was resumed.
+   Event ids are increasing numbers.  */
 static bool
 is_repeated (const marjoram_event_stream *stream, const char *id)
 {
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -1,5 +1,5 @@
-/* The events of one streamed answer (text/event-stream): passes on whole ones
-   only, so that another upstream can go on after the last of them.  */
+/* Splits a text/event-stream response into events.  Forwards complete events
+   only, so that another upstream can resume the stream after the last one.  */
 #ifndef MARJORAM_EVENT_STREAM_H
 #define MARJORAM_EVENT_STREAM_H
 
@@ -10,18 +10,18 @@
 
 marjoram_event_stream *marjoram_event_stream_create (void);
 void marjoram_event_stream_destroy (marjoram_event_stream *stream);
-/* Bytes as an upstream sent them; whole events are moved to OUT.  Returns how
-   many events that were.  */
+/* Adds data received from an upstream and moves complete events to OUT.
+   Returns the number of events moved.  */
 size_t marjoram_event_stream_feed (marjoram_event_stream *stream,
                                    const void *data, size_t size,
                                    struct evbuffer *out);
-/* The upstream has ended in order: what is left goes to OUT as it is.  */
+/* Signals a regular end of stream.  Moves the remaining data to OUT.  */
 void marjoram_event_stream_finish (marjoram_event_stream *stream,
                                    struct evbuffer *out);
-/* Another upstream goes on: the torn event is dropped, and events that were
-   passed on already will be.  */
+/* Prepares for data from another upstream.  Discards the incomplete event;
+   events that were already forwarded will be discarded as well.  */
 void marjoram_event_stream_resume (marjoram_event_stream *stream);
-/* The id of the last event that was passed on; null before any.  */
+/* Returns the id of the last forwarded event, or null.  */
 const char *marjoram_event_stream_last (const marjoram_event_stream *stream);
 
 #endif
