--- a/src/outcall.c
+++ b/src/outcall.c
@@ -21,7 +21,7 @@
   marjoram_outcall_done *done;
   void *context;
   bool timed_out;
-  bool starting; /* evhttp may fail before it returns */
+  bool starting; /* evhttp may call on_done from evhttp_make_request */
   TAILQ_ENTRY (outcall) next;
 };
 
@@ -87,7 +87,7 @@
     return;
   while ((call = TAILQ_FIRST (&calls->all)))
     {
-      /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
+      /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
       forget (call->context);
       evhttp_connection_free (call->connection);
       outcall_destroy (call);
--- a/src/outcall.h
+++ b/src/outcall.h
@@ -1,5 +1,5 @@
-/* Short HTTP calls to upstreams that carry no caller's work: probes and
-   orders.  Each has a connection of its own.  */
+/* Asynchronous HTTP calls to upstreams for probes and control commands.  Each
+   uses a separate connection.  */
 #ifndef MARJORAM_OUTCALL_H
 #define MARJORAM_OUTCALL_H
 
@@ -10,24 +10,26 @@
 
 typedef struct marjoram_outcalls marjoram_outcalls;
 
-/* STATUS is 0 if no answer came; then TIMED_OUT says whether the connection
-   was merely silent.  RETRY_MS is from Retry-After, 0 if there is none.  */
+/* STATUS is 0 if there was no response; TIMED_OUT then tells a timeout from
+   other failures.  RETRY_MS is the value of Retry-After, or 0.  */
 typedef void marjoram_outcall_done (void *context, int status, bool timed_out,
                                     int64_t retry_ms);
 
-/* A connection to ADDRESS, IP:port; null if that is no address.  */
+/* Creates a connection to ADDRESS (IP:port).  Returns null if ADDRESS is
+   malformed.  */
 struct evhttp_connection *marjoram_outcall_connect (struct event_base *base,
                                                     const char *address);
-/* From the event loop, as evhttp may still be at work on it.  */
+/* Frees CONNECTION from the event loop, as evhttp may still be using it.  */
 void marjoram_outcall_free_later (struct event_base *base,
                                   struct evhttp_connection *connection);
 
 marjoram_outcalls *marjoram_outcalls_create (struct event_base *base);
-/* Calls under way end without DONE; FORGET is called with their contexts.  */
+/* Aborts pending calls without calling DONE; calls FORGET with their
+   contexts.  */
 void marjoram_outcalls_destroy (marjoram_outcalls *calls,
                                 void (*forget) (void *context));
-/* BODY is JSON text, or null for a GET.  DONE is called once, not before this
-   returns true.  */
+/* Sends a POST with the JSON text BODY, or a GET if BODY is null.  If this
+   returns true, DONE is called once, from the event loop.  */
 bool marjoram_outcall (marjoram_outcalls *calls, const char *address,
                        const char *path, const char *body, int64_t timeout_ms,
                        marjoram_outcall_done *done, void *context);
