--- a/src/ask_server.c
+++ b/src/ask_server.c
@@ -12,7 +12,7 @@
 enum
 {
   HEAD_BYTES_MAX = 16 * 1024,
-  /* Of a configuration, well above one of a thousand routes.  */
+  /* Must allow for large configuration files.  */
   BODY_BYTES_MAX = 8 * 1024 * 1024,
   CONNECTION_TIMEOUT_S = 10
 };
@@ -90,7 +90,7 @@
   struct pending *pending = hold (server, req);
 
   evbuffer_remove (input, body, size);
-  /* The answer may come before this returns and free PENDING.  */
+  /* The callback may send the response, which frees PENDING.  */
   server->ops->receive (server->context, pending->ask,
                         method_name (evhttp_request_get_command (req)),
                         evhttp_request_get_uri (req), body, size);
@@ -123,7 +123,7 @@
 {
   if (!server)
     return;
-  /* Closing the connections forgets what is pending.  */
+  /* Closing the connections frees the pending requests.  */
   evhttp_free (server->http);
   free (server);
 }
--- a/src/ask_server.h
+++ b/src/ask_server.h
@@ -1,5 +1,5 @@
-/* The task of short calls to a host's own interface: look-ups, heartbeats,
-   operators' orders, readiness, metrics.  An answer may come later.  */
+/* HTTP server for a host's own interface: look-ups, heartbeats, operators'
+   commands, readiness and metrics.  Responses may be sent asynchronously.  */
 #ifndef MARJORAM_ASK_SERVER_H
 #define MARJORAM_ASK_SERVER_H
 
@@ -13,7 +13,7 @@
 
 struct marjoram_ask_server_ops
 {
-  /* BODY is NUL-terminated and borrowed.  */
+  /* BODY is NUL-terminated and only valid during the call.  */
   void (*receive) (void *context, uint64_t ask, const char *method,
                    const char *target, const char *body, size_t size);
 };
@@ -23,13 +23,13 @@
                             const struct marjoram_ask_server_ops *ops,
                             void *context);
 void marjoram_ask_server_destroy (marjoram_ask_server *server);
-/* May be called for several addresses; false with ERR set if ADDRESS, IP:port,
-   can't be listened on.  */
+/* Adds a listener on ADDRESS (IP:port).  Returns false with ERR set on
+   failure.  */
 bool marjoram_ask_server_listen (marjoram_ask_server *server,
                                  const char *address,
                                  struct marjoram_error *err);
-/* BODY may be null; TYPE is its media type.  Calls that are gone are
-   ignored.  */
+/* Sends the response to ASK.  BODY may be null; TYPE is its media type.  Does
+   nothing if the connection has been closed.  */
 void marjoram_ask_server_answer (marjoram_ask_server *server, uint64_t ask,
                                  int status, const char *type,
                                  const char *body, size_t size);
