--- a/src/plain_call.h
+++ b/src/plain_call.h
@@ -1,5 +1,4 @@
-/* One call without a proof, for addresses that need none: blocks until the
-   answer is there or the time is up.  */
+/* Blocking HTTP call, for endpoints that need no authentication.  */
 #ifndef MARJORAM_PLAIN_CALL_H
 #define MARJORAM_PLAIN_CALL_H
 
@@ -12,12 +11,12 @@
   const char *address; /* IP:port */
   enum evhttp_cmd_type method;
   const char *path;
-  const char *body; /* null: none */
+  const char *body; /* may be null */
   int64_t timeout_ms;
 };
 
-/* False if the address is no IP:port.  STATUS is 0 if no answer came; BODY is
-   malloc'd, null without an answer.  */
+/* Returns false if the address is not IP:port.  STATUS is 0 and BODY null if
+   there was no response within the timeout; otherwise BODY is malloc'd.  */
 bool marjoram_plain_call (const struct marjoram_plain_call *call, int *status,
                           char **body);
 
