--- a/src/frame.h
+++ b/src/frame.h
@@ -1,5 +1,5 @@
-/* Frames between hosts: four bytes of length, big-endian, then one type byte,
-   then the message packed by that type's layout.  */
+/* Frames between hosts: a 4-byte big-endian length, a type byte, and the
+   message packed with the layout of that type.  */
 #ifndef MARJORAM_FRAME_H
 #define MARJORAM_FRAME_H
 
@@ -23,8 +23,8 @@
   MARJORAM_FRAME_ORDER,
   MARJORAM_FRAME_SUSPECT,
   MARJORAM_FRAME_OFFERS,
-  /* Not sent, and passed over: types are numbers on the wire, and hosts of
-     different releases may meet.  */
+  /* Used by earlier releases; ignored on receipt.  Type numbers must not be
+     reused.  */
   MARJORAM_FRAME_RESERVED_ASK,
   MARJORAM_FRAME_RESERVED_GIVE,
   MARJORAM_FRAME_APPLY,
@@ -40,8 +40,8 @@
   MARJORAM_FRAME_STATE_ASK,   /* struct marjoram_state_ask */
   MARJORAM_FRAME_STATE_PIECE, /* struct marjoram_state_piece */
   MARJORAM_FRAME_REPEAT_SUMS, /* struct marjoram_repeat_sums */
-  /* Struct marjoram_load_report: a host's changes to a collector, and a
-     collector's sums to all hosts.  */
+  /* struct marjoram_load_report: changes from a host to a collector, and
+     totals from a collector to all hosts.  */
   MARJORAM_FRAME_LOAD_CHANGES,
   MARJORAM_FRAME_LOAD_SUMS,
   MARJORAM_FRAME_COUNT
@@ -55,7 +55,7 @@
   MARJORAM_RENEWALS_MAX = 1024,
   MARJORAM_HEADERS_MAX = 64,
   MARJORAM_HEADER_VALUE_MAX = 8192, /* bytes */
-  /* Of the operators' files together, as a state is taken from one frame.  */
+  /* Total size of the operators' files, as a state is sent in one frame.  */
   MARJORAM_STATE_MAX = 16 * 1024 * 1024
 };
 
@@ -69,7 +69,7 @@
   marjoram_bytes *nonce;
 };
 
-/* Proves the owner's secret: a keyed hash over both hellos.  */
+/* Proves possession of the shared secret: a keyed hash of both hellos.  */
 struct marjoram_proof
 {
   marjoram_bytes *code;
@@ -81,8 +81,8 @@
   uint64_t incarnation;
   uint64_t config_number;
   bool draining;
-  uint64_t echo;    /* the other side's last sequence, for round trips */
-  uint64_t held_ms; /* since it came */
+  uint64_t echo;    /* the peer's last sequence, to measure the round trip */
+  uint64_t held_ms; /* time since ECHO was received */
 };
 
 struct marjoram_header
@@ -91,14 +91,14 @@
   char *value;
 };
 
-/* Of an upstream that the receiver knows: all that changes from announcement
-   to announcement.  */
+/* Renews the announcement of an upstream that the receiver already knows.
+   Contains only the fields that change.  */
 struct marjoram_renewal
 {
   char *name;
   uint64_t incarnation;
   uint64_t sequence;
-  uint64_t lease_ms; /* what is left of it */
+  uint64_t lease_ms; /* remaining time */
   uint64_t running;
   uint64_t waiting;
 };
@@ -108,12 +108,12 @@
   struct marjoram_array items; /* of struct marjoram_renewal */
 };
 
-/* A request that crosses to another zone, or to another host of this one; the
-   receiver runs it or refuses it, and may not send it on.  */
+/* A request forwarded to another zone, or to another host of the same zone.
+   The receiver processes or refuses it, but must not forward it again.  */
 struct marjoram_forward
 {
-  uint64_t request; /* number on this link's session */
-  char *id;         /* for log lines */
+  uint64_t request; /* unique within the link's session */
+  char *id;         /* for logging */
   char *caller;
   char *work;
   char *method;
@@ -121,7 +121,7 @@
   struct marjoram_array headers; /* of struct marjoram_header */
   marjoram_bytes *body;
   char *digest;
-  char *key;         /* null for idempotent work */
+  char *key;         /* idempotency key; null if idempotent */
   int64_t budget_ms; /* until the deadline */
   uint64_t class;    /* enum marjoram_class */
   uint64_t prompt_tokens;
@@ -130,9 +130,9 @@
   uint64_t config_number;
   uint64_t suspicion; /* enum marjoram_suspicion */
   bool stream;
-  bool claim_here; /* the receiver's zone guards the key */
-  bool homeless;   /* the sender's zone has no upstream for it */
-  /* Left until a first event is late; 0 if this is not known.  */
+  bool claim_here; /* the receiver's zone owns the key */
+  bool homeless;   /* the sender's zone has no upstream for the request */
+  /* Remaining time until the first event is late; 0 if unknown.  */
   int64_t useful_ms;
 };
 
@@ -147,43 +147,44 @@
 struct marjoram_data
 {
   uint64_t request;
-  uint64_t offset; /* of the first byte, counted from the body's start */
+  uint64_t offset; /* of the first byte within the body */
   marjoram_bytes *bytes;
 };
 
-/* The end of an answer, or of a request that has none.  */
+/* Ends a response, or a request that has no response.  */
 struct marjoram_end
 {
   uint64_t request;
   uint64_t outcome; /* enum marjoram_outcome */
   uint64_t reason;  /* enum marjoram_reason */
-  uint64_t length;  /* of the whole body, if done */
+  uint64_t length;  /* of the complete body, if the request succeeded */
   int64_t retry_ms;
-  uint64_t deaths; /* upstreams that died while running it */
+  uint64_t deaths; /* upstreams that crashed while processing the request */
 };
 
-/* CANCEL: the first host no longer wants it.  */
+/* Cancels a forwarded request.  */
 struct marjoram_cancel
 {
   uint64_t request;
 };
 
-/* Sent over a new session after the one that carried a FORWARD broke: bars the
-   request if it never started, else asks for the rest of its answer.  */
+/* Sent after reconnecting when a session with pending FORWARD requests was
+   lost.  Revokes the request if it was not started; otherwise requests the
+   rest of its response.  */
 struct marjoram_revoke
 {
   uint64_t request;
-  uint64_t offset; /* body bytes that have come */
+  uint64_t offset; /* body bytes received so far */
 };
 
 struct marjoram_revoked
 {
   uint64_t request;
-  bool never_started; /* and barred from now on */
-  bool known;         /* started, and the rest of its answer follows */
+  bool never_started; /* and will not be started */
+  bool known;         /* started; the rest of its response follows */
 };
 
-/* Of a reserved type; its fields are not read.  */
+/* Message of a reserved type; its content is ignored.  */
 struct marjoram_reserved
 {
   uint64_t none;
@@ -209,10 +210,9 @@
   char *message;
 };
 
-/* The layout of a type's message.  */
 const struct marjoram_layout *
 marjoram_frame_layout (enum marjoram_frame_type type);
-/* A whole frame, header included.  */
+/* Returns a complete frame, header included.  */
 marjoram_bytes *marjoram_frame_pack (enum marjoram_frame_type type,
                                      const void *message);
 
