--- a/src/wire.c
+++ b/src/wire.c
@@ -139,10 +139,10 @@
   if (object->via.str.size > field->limit)
     return wrong ("size", err);
   text = marjoram_alloc (object->via.str.size + 1);
-  /* msgpack-c gives an empty string a null pointer.  */
+  /* msgpack-c represents an empty string by a null pointer.  */
   if (object->via.str.size)
     memcpy (text, object->via.str.ptr, object->via.str.size);
-  /* A NUL inside would make the text read shorter than it was sent.  */
+  /* Reject embedded NULs, which would truncate the C string.  */
   if (strlen (text) != object->via.str.size)
     {
       free (text);
@@ -242,8 +242,8 @@
   return true;
 }
 
-/* What stands at the start of a msgpack item: SIZE bytes of header and content
-   that hold no further items, then ITEMS further items.  */
+/* Extent of a msgpack item: SIZE bytes of header and scalar content, followed
+   by ITEMS nested items.  */
 struct item_extent
 {
   uint64_t size;
@@ -260,8 +260,8 @@
   return value;
 }
 
-/* Types 0xc4 to 0xc6 (bin), 0xc7 to 0xc9 (ext) and 0xd9 to 0xdf (str, array,
-   map) carry a length of WIDTH bytes after the first byte.  */
+/* Returns the width of the length that follows the first byte of types 0xc4 to
+   0xc6 (bin), 0xc7 to 0xc9 (ext) and 0xd9 to 0xdf (str, array, map), or 0.  */
 static size_t
 length_width (uint8_t first)
 {
@@ -313,10 +313,10 @@
   return (struct item_extent){ 1 + width + length, 0 };
 }
 
-/* Stops a length bomb: msgpack-c allocates for as many items as a header
-   promises before it sees them, so that five bytes ask for gigabytes and end
-   the process.  Every item takes at least one byte, so a promise of more items
-   than bytes that follow is refused first.  */
+/* Checks all lengths against the size of the input.  msgpack-c allocates
+   memory for the item count in a header before it reads the items, so that a
+   5-byte message could exhaust memory.  Each item takes at least one byte,
+   which bounds the valid counts.  */
 static bool
 promises_hold (const uint8_t *data, size_t size)
 {
@@ -360,8 +360,8 @@
     }
   else
     marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                        "not one whole msgpack message of type %s; check "
-                        "that all hosts run the same release",
+                        "malformed msgpack message of type %s; check that all "
+                        "hosts run the same release",
                         layout->name);
   msgpack_unpacked_destroy (&unpacked);
   return message;
--- a/src/wire.h
+++ b/src/wire.h
@@ -1,8 +1,7 @@
-/* Typed messages as msgpack.  A message is a C struct with a layout, a table
-   that says where each field lies and how large it may be.  A packed message
-   is a msgpack array of the fields in the table's order; fields may be added
-   at the end only, and missing ones are read as zero.  The same code packs
-   frames between hosts and records on disk.  */
+/* Serialization of C structs as msgpack, for frames between hosts and records
+   on disk.  A layout lists the offset and size limit of each field.  A message
+   is a msgpack array of the fields in layout order.  For compatibility, fields
+   may only be appended; missing fields are read as zero.  */
 #ifndef MARJORAM_WIRE_H
 #define MARJORAM_WIRE_H
 
@@ -17,12 +16,12 @@
   MARJORAM_FIELD_UINT,   /* uint64_t */
   MARJORAM_FIELD_INT,    /* int64_t */
   MARJORAM_FIELD_BOOL,   /* bool */
-  MARJORAM_FIELD_STRING, /* char *, malloc'd, null is packed as nil */
-  MARJORAM_FIELD_BYTES,  /* marjoram_bytes *, null is packed as nil */
+  MARJORAM_FIELD_STRING, /* char *, malloc'd; null is packed as nil */
+  MARJORAM_FIELD_BYTES,  /* marjoram_bytes *; null is packed as nil */
   MARJORAM_FIELD_ARRAY   /* struct marjoram_array of structs of LAYOUT */
 };
 
-/* A malloc'd array of COUNT structs.  */
+/* ITEMS is a malloc'd array of COUNT structs.  */
 struct marjoram_array
 {
   void *items;
@@ -35,7 +34,7 @@
 {
   enum marjoram_field_kind kind;
   size_t offset;
-  size_t limit; /* most bytes of a string, most items of an array */
+  size_t limit; /* maximum bytes of a string, or items of an array */
   const struct marjoram_layout *layout; /* of an array's items */
 };
 
@@ -47,7 +46,7 @@
   size_t field_count;
 };
 
-/* Table entries, for example
+/* Initializers for struct marjoram_field, for example
    { MARJORAM_WIRE_UINT (struct hello, incarnation) }.  */
 #define MARJORAM_WIRE_UINT(type, member)                                      \
   MARJORAM_FIELD_UINT, offsetof (type, member), 0, NULL
@@ -62,18 +61,18 @@
 #define MARJORAM_WIRE_ARRAY(type, member, limit, layout)                      \
   MARJORAM_FIELD_ARRAY, offsetof (type, member), limit, layout
 
-/* Never fails for a message within its limits; over them it aborts, as that
-   is a fault of this program.  */
+/* Aborts if a field exceeds its limit; callers must check limits before.  */
 marjoram_bytes *marjoram_wire_pack (const struct marjoram_layout *layout,
                                     const void *message);
-/* A new message, or null with ERR set: wrong type, over a limit, nested too
-   deeply, or cut off.  Reads foreign input.  */
+/* Returns a new message, or null with ERR set if DATA has the wrong types,
+   exceeds a limit, is nested too deeply or is truncated.  Safe for untrusted
+   input.  */
 void *marjoram_wire_unpack (const struct marjoram_layout *layout,
                             const void *data, size_t size,
                             struct marjoram_error *err);
-/* Frees what the fields own, not MESSAGE itself.  */
+/* Frees the memory owned by the fields, but not MESSAGE.  */
 void marjoram_wire_clear (const struct marjoram_layout *layout, void *message);
-/* Frees a message made by unpack; null is allowed.  */
+/* Frees a message returned by marjoram_wire_unpack.  MESSAGE may be null.  */
 void marjoram_wire_destroy (const struct marjoram_layout *layout,
                             void *message);
 
