--- a/src/message.c
+++ b/src/message.c
@@ -20,8 +20,8 @@
 
   (void)fd;
   (void)what;
-  /* What is posted meanwhile waits for the next round, so that sockets get
-     their turn.  */
+  /* Messages posted during delivery wait for the next iteration of the event
+     loop, so that socket events are not starved.  */
   STAILQ_CONCAT (&batch, &mailbox->queue);
   while ((message = STAILQ_FIRST (&batch)))
     {
--- a/src/message.h
+++ b/src/message.h
@@ -1,5 +1,5 @@
-/* Messages between tasks.  A task posts, the receiver's event loop delivers
-   later, so that no task is entered while it is at work.  */
+/* Message queue between tasks of one event loop.  Messages are delivered
+   asynchronously, so that no task is re-entered.  */
 #ifndef MARJORAM_MESSAGE_H
 #define MARJORAM_MESSAGE_H
 
@@ -11,11 +11,11 @@
 struct marjoram_message_ops
 {
   void (*deliver) (struct marjoram_message *message, void *context);
-  /* Frees MESSAGE, delivered or not.  */
+  /* Frees MESSAGE; also called for undelivered messages.  */
   void (*destroy) (struct marjoram_message *message);
 };
 
-/* To be the first member of the messages of each kind.  */
+/* Must be the first member of each message type.  */
 struct marjoram_message
 {
   const struct marjoram_message_ops *ops;
@@ -24,11 +24,12 @@
 
 typedef struct marjoram_mailbox marjoram_mailbox;
 
-/* CONTEXT goes to each message's deliver.  */
+/* CONTEXT is passed to the deliver callbacks.  */
 marjoram_mailbox *marjoram_mailbox_create (struct event_base *base,
                                            void *context);
 void marjoram_mailbox_destroy (marjoram_mailbox *mailbox);
-/* Takes MESSAGE.  In the event loop's own thread only.  */
+/* Takes ownership of MESSAGE.  Not thread-safe: must be called from the event
+   loop's thread.  */
 void marjoram_mailbox_post (marjoram_mailbox *mailbox,
                             struct marjoram_message *message);
 
