--- a/src/bytes.h
+++ b/src/bytes.h
@@ -1,4 +1,4 @@
-/* Immutable byte strings with a reference count, handed between tasks without
+/* Immutable, reference-counted byte strings, shared between tasks without
    copying.  The count is atomic, as the disk task runs in its own thread.  */
 #ifndef MARJORAM_BYTES_H
 #define MARJORAM_BYTES_H
@@ -11,9 +11,9 @@
 /* DATA is copied.  */
 marjoram_bytes *marjoram_bytes_create (const void *data, size_t size);
 marjoram_bytes *marjoram_bytes_retain (marjoram_bytes *bytes);
-/* Drops one reference; a null pointer is allowed.  */
+/* Drops one reference.  BYTES may be null.  */
 void marjoram_bytes_release (marjoram_bytes *bytes);
-/* A null pointer counts as empty.  */
+/* A null pointer is treated as empty.  */
 const uint8_t *marjoram_bytes_data (const marjoram_bytes *bytes);
 size_t marjoram_bytes_size (const marjoram_bytes *bytes);
 
