--- a/src/compress.c
+++ b/src/compress.c
@@ -8,8 +8,8 @@
 enum
 {
   LEVEL = 3,
-  /* Bytes back in which repetitions are found, as a power of two: the largest
-     state and its base together.  */
+  /* Base-2 logarithm of the window size, which has to cover the largest state
+     and its base.  */
   WINDOW_LOG = 25
 };
 
@@ -51,7 +51,7 @@
   set_base (writer, base);
   size = ZSTD_compress2 (writer, out, room, marjoram_bytes_data (data),
                          marjoram_bytes_size (data));
-  /* With room for the worst case only memory can be lacking.  */
+  /* OUT has the worst-case size, so this can only be an allocation failure. */
   if (ZSTD_isError (size))
     abort ();
   return marjoram_bytes_create (out, size);
@@ -69,10 +69,10 @@
 
   if (!reader)
     abort ();
-  if (size > limit) /* an unknown size is the largest number */
+  if (size > limit) /* unknown sizes and errors are larger than any limit */
     {
       marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                          "compressed bytes are not ours or over the limit; "
+                          "compressed data is malformed or too large; "
                           "check that all hosts run the same release");
       return NULL;
     }
@@ -86,7 +86,7 @@
   if (!ZSTD_isError (got) && got == size)
     return marjoram_bytes_create (out, size);
   marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                      "compressed bytes can't be read: %s; ask for them again",
+                      "can't decompress data: %s; request it again",
                       ZSTD_getErrorName (got));
   return NULL;
 }
--- a/src/compress.h
+++ b/src/compress.h
@@ -1,5 +1,5 @@
-/* Compression of what hosts send one another in bulk.  Against a base that
-   both ends hold, what the two have in common costs next to nothing.  */
+/* Compression of bulk transfers between hosts.  If both ends have a common
+   base, only the differences from it are encoded.  */
 #ifndef MARJORAM_COMPRESS_H
 #define MARJORAM_COMPRESS_H
 
@@ -9,8 +9,8 @@
 /* BASE may be null.  */
 marjoram_bytes *marjoram_compress (const marjoram_bytes *data,
                                    const marjoram_bytes *base);
-/* Null with ERR set if DATA was not made by marjoram_compress with BASE, or is
-   of more than LIMIT bytes.  */
+/* Returns null with ERR set if DATA was not compressed with BASE, is corrupt,
+   or decompresses to more than LIMIT bytes.  */
 marjoram_bytes *marjoram_decompress (const marjoram_bytes *data,
                                      const marjoram_bytes *base, size_t limit,
                                      struct marjoram_error *err);
