--- a/src/digest.h
+++ b/src/digest.h
@@ -1,5 +1,4 @@
-/* The digest of a request as its sender means it: the same when it is sent
-   again.  */
+/* Digest of a request's content, identical for retries of the request.  */
 #ifndef MARJORAM_DIGEST_H
 #define MARJORAM_DIGEST_H
 
@@ -11,8 +10,8 @@
   MARJORAM_DIGEST_TEXT = 2 * MARJORAM_DIGEST_BYTES /* hex digits */
 };
 
-/* Of COUNT texts in order and BODY, which may be null; DIGEST gets
-   MARJORAM_DIGEST_TEXT digits and a NUL.  */
+/* Hashes COUNT strings, in order, and BODY, which may be null.  DIGEST
+   receives MARJORAM_DIGEST_TEXT hex digits and a NUL.  */
 void marjoram_digest_request (const char *const *texts, size_t count,
                               const marjoram_bytes *body, char *digest);
 
