--- a/src/secret.c
+++ b/src/secret.c
@@ -17,20 +17,20 @@
 
   if (stat (path, &st) != 0)
     return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                               "can't find %s: %s; make it with "
+                               "can't find %s: %s; create it with "
                                "\"marjoramctl new-secret %s\" or copy it from "
                                "another host",
                                path, strerror (errno), path);
   if (!S_ISREG (st.st_mode))
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "%s is not a plain file; name the file that "
-                               "holds the secret",
+                               "%s is not a regular file; specify the file "
+                               "that contains the secret",
                                path);
   if (st.st_mode & (S_IRWXG | S_IRWXO))
-    return marjoram_error_set (
-        err, MARJORAM_ERROR_REFUSED,
-        "%s may be used by others (mode %03o); run \"chmod 600 %s\"", path,
-        (unsigned)st.st_mode & 0777, path);
+    return marjoram_error_set (err, MARJORAM_ERROR_REFUSED,
+                               "%s is accessible by group or others (mode "
+                               "%03o); run \"chmod 600 %s\"",
+                               path, (unsigned)st.st_mode & 0777, path);
   return true;
 }
 
@@ -50,7 +50,7 @@
   if (size >= MARJORAM_SECRET_MIN && strlen (text) == size)
     return text;
   marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                      "%s holds no secret of at least %d bytes of text; make "
+                      "%s has no secret of at least %d bytes of text; create "
                       "one with \"marjoramctl new-secret FILE\"",
                       path, MARJORAM_SECRET_MIN);
   free (text);
@@ -67,8 +67,8 @@
 
   if (fd < 0)
     return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                               "can't make %s: %s; name a new file in a "
-                               "folder that you may write to",
+                               "can't create %s: %s; name a new file in a "
+                               "writable directory",
                                path, strerror (errno));
   randombytes_buf (key, sizeof key);
   sodium_bin2hex (text, sizeof text, key, sizeof key);
@@ -81,7 +81,7 @@
     return true;
   unlink (path);
   return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                             "can't write %s: %s; check the disk's room", path,
+                             "can't write %s: %s; check free disk space", path,
                              strerror (errno));
 }
 
--- a/src/secret.h
+++ b/src/secret.h
@@ -1,5 +1,5 @@
-/* The owner's secret: read from a file, it proves by keyed hashes that a host
-   or an operator belongs to the cluster, and never crosses a link itself.  */
+/* Shared secret of the cluster, read from a file.  Hosts and operators
+   authenticate with keyed hashes; the secret itself is never sent.  */
 #ifndef MARJORAM_SECRET_H
 #define MARJORAM_SECRET_H
 
@@ -15,14 +15,14 @@
   MARJORAM_PROOF_SIZE = 32 /* bytes */
 };
 
-/* The secret as malloc'd text, without the end of its line; null with ERR set
-   if it is short, or if others than its owner may read the file.  */
+/* Returns the secret as malloc'd text without the trailing newline.  Returns
+   null with ERR set if it is too short, or if group or others have access to
+   the file.  */
 char *marjoram_secret_read (const char *path, struct marjoram_error *err);
-/* Writes a new random secret to PATH, which may not exist yet, readable by its
-   owner only.  */
+/* Writes a new random secret to PATH, with mode 600.  PATH must not exist.  */
 bool marjoram_secret_create (const char *path, struct marjoram_error *err);
-/* A keyed hash of DATA.  Different uses of the secret must differ in DATA, so
-   that a proof for one is none for the other.  */
+/* Computes a keyed hash of DATA.  Different uses of the secret must use
+   distinct DATA, so that a hash can't be replayed for another use.  */
 void marjoram_secret_prove (const char *secret, const void *data, size_t size,
                             uint8_t code[MARJORAM_PROOF_SIZE]);
 /* Compares in constant time.  */
