--- a/src/keepalive.c
+++ b/src/keepalive.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  /* Short, as an idle connection may have gone silent.  */
+  /* Short, as the peer of an idle connection may have become unreachable.  */
   IDLE_SEC = 2,
   IDLE_MAX = 256,
   ADDRESS_SIZE = 64
@@ -60,7 +60,7 @@
     return;
   while ((idle = TAILQ_FIRST (&keepalive->idles)))
     {
-      /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
+      /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
       struct evhttp_connection *connection = idle->connection;
 
       idle_destroy (idle);
@@ -87,7 +87,7 @@
   struct idle *idle = context;
   struct timeval at_once = { 0, 0 };
 
-  /* evhttp still uses the connection: it is freed from the loop.  */
+  /* evhttp still uses the connection, so it is freed from the event loop.  */
   (void)connection;
   evtimer_add (idle->timer, &at_once);
 }
--- a/src/keepalive.h
+++ b/src/keepalive.h
@@ -1,5 +1,5 @@
-/* Connections to upstreams that are kept open for a short time, to be used
-   again.  */
+/* Pool of idle evhttp connections to upstreams, kept open briefly for
+   reuse.  */
 #ifndef MARJORAM_KEEPALIVE_H
 #define MARJORAM_KEEPALIVE_H
 
@@ -10,11 +10,12 @@
 
 marjoram_keepalive *marjoram_keepalive_create (struct event_base *base);
 void marjoram_keepalive_destroy (marjoram_keepalive *keepalive);
-/* Takes CONNECTION, which has no request on it.  */
+/* Takes ownership of CONNECTION, which must have no pending request.  */
 void marjoram_keepalive_put (marjoram_keepalive *keepalive,
                              struct evhttp_connection *connection,
                              const char *address);
-/* Gives up the connection used last to ADDRESS; null if there is none.  */
+/* Removes and returns the most recently used connection to ADDRESS, or
+   null.  */
 struct evhttp_connection *
 marjoram_keepalive_take (marjoram_keepalive *keepalive, const char *address);
 
