--- a/src/socket_option.c
+++ b/src/socket_option.c
@@ -9,12 +9,9 @@
 
 enum
 {
-  /* Bytes sent that stay unacknowledged for this long end a connection.  Well
-     above the longest round trip between regions (some 110 ms) with a few
-     packets lost.  */
+  /* TCP_USER_TIMEOUT.  Allows for several retransmissions between regions.  */
   UNACKNOWLEDGED_MS = 3000,
-  /* An idle connection is probed after this long, and given up after as many
-     silent probes, a second apart.  */
+  /* TCP keepalive: idle time, interval and count of the probes.  */
   PROBE_AFTER_S = 2,
   PROBE_EVERY_S = 1,
   PROBES = 3
--- a/src/socket_option.h
+++ b/src/socket_option.h
@@ -1,4 +1,4 @@
-/* Listening sockets, and the options that all TCP connections get.  */
+/* Listening sockets and common TCP socket options.  */
 #ifndef MARJORAM_SOCKET_OPTION_H
 #define MARJORAM_SOCKET_OPTION_H
 
@@ -6,12 +6,11 @@
 
 #include <event2/listener.h>
 
-/* Small writes go out at once, and a connection whose other end is gone
-   without a word ends in error within a few seconds, instead of holding its
-   request until a timeout of the caller.  */
+/* Disables Nagle's algorithm, and sets keepalive and user timeouts so that an
+   unreachable peer is detected within a few seconds.  */
 void marjoram_socket_tune (evutil_socket_t fd);
 
-/* Null with ERR set if ADDRESS, IP:port, can't be listened on.  */
+/* Listens on ADDRESS (IP:port).  Returns null with ERR set on failure.  */
 struct evconnlistener *
 marjoram_socket_listen (struct event_base *base, const char *address,
                         int backlog, evconnlistener_cb on_accept,
