--- a/test/test_http.c
+++ b/test/test_http.c
@@ -1,5 +1,5 @@
-/* Connections to callers and to upstreams, over loopback: what the parser must
-   not let pass, and how an attempt is told to have ended.  */
+/* HTTP server and client over loopback: parser strictness, connection life
+   cycle and the reported result of attempts.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -20,19 +20,19 @@
 {
   LIMIT_MS = 5000,
   TEXT_MAX = 4096,
-  QUEUE = 4,             /* a listener, and connections that fill its queue */
-  CONNECT_LATE_MS = 700, /* above the limit for a connection */
-  GRACE_MS = 200,        /* for requests under way to a host that closes */
-  SOON_MS = 600,         /* a grace, a tick and a caller that closes */
-  LATE_MS = 400,         /* well after a grace */
-  LARGE_BYTES = 9 * 1024 * 1024 /* more than sockets hold */
+  QUEUE = 4,             /* a listener, and connections to fill its backlog */
+  CONNECT_LATE_MS = 700, /* above the connect timeout */
+  GRACE_MS = 200,        /* of a server that closes idle connections */
+  SOON_MS = 600,         /* grace period, tick and close by the caller */
+  LATE_MS = 400,         /* well after the grace period */
+  LARGE_BYTES = 9 * 1024 * 1024 /* exceeds the socket buffers */
 };
 
 static struct event_base *base;
 static marjoram_http_server *server;
 static char server_address[64];
-static struct bufferevent *raw; /* to the server */
-static char got[TEXT_MAX];      /* from it */
+static struct bufferevent *raw; /* connection to the server */
+static char got[TEXT_MAX];      /* data received on RAW */
 static bool raw_closed;
 static int requests;
 static int gone;
@@ -41,7 +41,7 @@
 static char last_body[256];
 static int rejected;
 
-/* ---- A server that answers by itself.  ---- */
+/* ---- Server fixture.  ---- */
 
 static void
 on_request (void *context, uint64_t call,
@@ -119,7 +119,7 @@
   raw_closed = false;
 }
 
-/* Turns the loop until DONE, or fails.  */
+/* Runs the event loop until DONE returns true; fails after LIMIT_MS.  */
 static void
 run_until (bool (*done) (void))
 {
@@ -128,8 +128,8 @@
 
   while (!done ())
     {
-      ck_assert_msg (marjoram_clock_now (clock) < end, "waited in vain: %s",
-                     got);
+      ck_assert_msg (marjoram_clock_now (clock) < end,
+                     "timed out; received: %s", got);
       event_base_loop (base, EVLOOP_NONBLOCK);
       if (server)
         marjoram_http_server_tick (server);
@@ -171,7 +171,7 @@
   signal (SIGPIPE, SIG_IGN);
   base = event_base_new ();
   requests = gone = rejected = 0;
-  /* A free port of a loopback address of this process's own.  */
+  /* A free port on a loopback address derived from the process id.  */
   for (int port = 20100; port < 20200 && !server; port++)
     {
       snprintf (server_address, sizeof server_address, "127.77.%d.%d:%d",
@@ -185,7 +185,7 @@
   connect_raw ();
 }
 
-/* What was freed while a callback waited is let go of by the loop.  */
+/* Runs the loop once to release objects with deferred callbacks.  */
 static void
 free_base (void)
 {
@@ -220,8 +220,7 @@
 }
 END_TEST
 
-/* Two readers that see two different lengths see two different requests: the
-   second one would be smuggled.  */
+/* Guards against request smuggling by conflicting message lengths.  */
 START_TEST (ambiguous_framing_is_refused)
 {
   static const char *const texts[] = {
@@ -275,8 +274,8 @@
 }
 END_TEST
 
-/* A caller leaves while its request is held: it is told at once, so that the
-   upstream's work can be stopped.  */
+/* A disconnect during a pending request is reported at once, so that the
+   upstream request can be cancelled.  */
 START_TEST (caller_that_leaves_is_noticed)
 {
   say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -287,7 +286,7 @@
 }
 END_TEST
 
-/* A host that is stopped answers what comes and closes after it.  */
+/* A draining server answers requests and then closes the connection.  */
 START_TEST (draining_closes_after_the_answer)
 {
   marjoram_http_server_drain (server);
@@ -298,11 +297,11 @@
 }
 END_TEST
 
-/* ---- A host that is stopped closes what is idle.  ---- */
+/* ---- Closing of idle connections at shutdown.  ---- */
 
 #define PLAIN "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-/* Puts TEXT into the server's socket without a turn of the loop.  */
+/* Sends TEXT without running the event loop.  */
 static void
 send_now (const char *text)
 {
@@ -341,16 +340,12 @@
 assert_last_answer (void)
 {
   run_until (is_closed);
-  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no answer: %s", got);
+  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no response: %s", got);
   ck_assert_msg (strstr (got, "Connection: close"), "not closed: %s", got);
 }
 
-/* A caller's kept connection was closed without an answer to its request, two
-   seconds after the host was told to stop.  A request that arrived in the turn
-   of the loop in which idle connections were closed lay in the socket, unread:
-   the connection counted as idle, and the request was read and thrown away
-   once our side was shut.  That it was this way, and none of those below, on
-   the one day on which it was seen is suspected, not shown.  */
+/* A request that is still unread in the socket when idle connections are
+   closed must not be dropped.  */
 START_TEST (request_in_the_socket_is_answered)
 {
   run_until (is_accepted);
@@ -361,9 +356,8 @@
 }
 END_TEST
 
-/* A caller has connected and sent its request before the host closes its
-   listener, and is reset: the connection was whole for the system and waited
-   to be accepted.  */
+/* Connections in the accept queue must not be reset when the listener is
+   closed.  */
 START_TEST (connection_not_yet_accepted_is_answered)
 {
   marjoram_http_server_drain (server);
@@ -373,8 +367,8 @@
 }
 END_TEST
 
-/* The same at any later moment at which the listener is closed.  The loop
-   stands still while the caller comes.  */
+/* The same for a connection made at the end of the grace period, before the
+   event loop runs again.  */
 START_TEST (connection_of_the_last_moment_is_answered)
 {
   bufferevent_free (raw);
@@ -389,8 +383,8 @@
 }
 END_TEST
 
-/* A caller sends two requests at once; the second had been read and waited for
-   its turn when idle connections were closed, and was thrown away.  */
+/* A pipelined request in the input buffer must not be dropped when idle
+   connections are closed.  */
 START_TEST (request_in_the_buffer_is_answered)
 {
   struct marjoram_header_list headers = { 0 };
@@ -406,9 +400,8 @@
 }
 END_TEST
 
-/* Two requests that were sent at once before the host was told to stop: the
-   answer to the first one closed the connection, and the second, which had
-   come with it, was thrown away.  */
+/* The response to the first of two pipelined requests must not close the
+   connection while draining.  */
 START_TEST (draining_answers_what_came_together)
 {
   marjoram_http_server_drain (server);
@@ -418,8 +411,7 @@
 }
 END_TEST
 
-/* A request is on its way to the host while that closes idle connections: it
-   arrives a moment later, and is thrown away.  */
+/* A request that arrives within the grace period must not be dropped.  */
 START_TEST (request_under_way_is_answered)
 {
   run_until (is_accepted);
@@ -432,7 +424,7 @@
 }
 END_TEST
 
-/* What stays silent does not hold the host up.  */
+/* Idle connections must not delay shutdown.  */
 START_TEST (silent_connection_is_closed_soon)
 {
   struct marjoram_clock *clock = marjoram_clock_system ();
@@ -449,9 +441,8 @@
 }
 END_TEST
 
-/* A stopped host did not end before its limit: the head of a long answer had
-   gone out before the signal, without a word of closing, and its connection
-   stayed open after the answer's end, as nobody closed idle ones any more.  */
+/* A connection whose response head was sent before draining, without
+   "Connection: close", must still be closed after the response.  */
 START_TEST (connection_is_closed_after_an_old_answer)
 {
   struct marjoram_header_list headers = { 0 };
@@ -481,10 +472,8 @@
   evbuffer_drain (input, evbuffer_get_length (input));
 }
 
-/* The last answer of a stopped host went to a caller on a slow link.  The host
-   closed the connection one second after it had made the answer's end, and the
-   caller got the first part of it.  As long as the caller takes bytes, it gets
-   them all.  */
+/* The last response must not be truncated for a caller that reads slowly but
+   steadily.  */
 START_TEST (slow_caller_gets_the_whole_last_answer)
 {
   struct marjoram_header_list headers = { 0 };
@@ -511,8 +500,8 @@
 }
 END_TEST
 
-/* On any day a connection that was idle for long is closed; a request that had
-   arrived in that moment was thrown away.  The loop stands still meanwhile. */
+/* A request that arrives just before the idle timeout is enforced must not be
+   dropped.  */
 START_TEST (request_at_the_idle_timeout_is_answered)
 {
   const struct marjoram_http_limits limits = { 1000, 1000, 5000, 50 };
@@ -523,7 +512,7 @@
   send_now (PLAIN);
   marjoram_http_server_tick (server);
   run_until (is_closed);
-  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no answer: %s", got);
+  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no response: %s", got);
 }
 END_TEST
 
@@ -542,13 +531,12 @@
 }
 END_TEST
 
-/* ---- The client, against an upstream that says what a test tells it.  ----
- */
+/* ---- Client, against an upstream with scripted responses.  ---- */
 
 static struct evconnlistener *listener;
 static char upstream_address[64];
-static const char *script; /* what it answers to each request */
-static bool reset_after;   /* resets its connection after that */
+static const char *script; /* response to each request */
+static bool reset_after;   /* reset the connection after the response */
 static bool close_after;
 static int connections;
 static int ends;
@@ -556,7 +544,7 @@
 static int heads;
 static char data[TEXT_MAX];
 
-/* The connection that was accepted last; one is open at a time.  */
+/* The connection accepted last; only one is open at a time.  */
 static struct bufferevent *accepted;
 
 static void
@@ -733,18 +721,15 @@
 }
 END_TEST
 
-/* A request was sent over a kept connection that its upstream had closed: the
-   end lay in the socket, unread, so the connection counted as good.  Where a
-   request must not run twice its caller was told that it may have run, and the
-   upstream was suspected to have died of it.  The loop stands still
-   meanwhile.  */
+/* A pooled connection must not be used if the upstream has closed it, even if
+   the event loop has not processed the close yet.  */
 START_TEST (closed_connection_is_not_used)
 {
   static const char answer[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
   ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
-  /* Freeing it closes it only in a later turn.  */
+  /* bufferevent_free closes the socket later, so shut it down now.  */
   shutdown (bufferevent_getfd (accepted), SHUT_RDWR);
   close_accepted ();
   ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
@@ -752,8 +737,8 @@
 }
 END_TEST
 
-/* An answer without a length is whole if its connection ends in order, and not
-   if it is reset: a part of a panel must not pass for a panel.  */
+/* A response without a length is complete after an orderly close, but not
+   after a reset.  */
 START_TEST (answer_without_length)
 {
   static const char answer[] = "HTTP/1.1 200 OK\r\n\r\nhalf";
@@ -780,8 +765,7 @@
 }
 END_TEST
 
-/* A late second answer to an earlier request stands where this one's is due,
-   and this one's follows.  */
+/* A late response to an earlier request precedes the expected one.  */
 START_TEST (stray_answer_is_skipped)
 {
   ck_assert_int_eq (
@@ -793,8 +777,7 @@
 }
 END_TEST
 
-/* Bytes after a whole answer belong to nobody: the connection is not used
-   again.  */
+/* A connection with trailing bytes after a response must not be reused.  */
 START_TEST (extra_bytes_end_the_connection)
 {
   static const char answer[]
@@ -818,7 +801,7 @@
 }
 END_TEST
 
-/* Nobody listens: not a byte was sent, so it surely did not run.  */
+/* Nothing was sent, so the request can be retried safely.  */
 START_TEST (refused_connection_is_unsent)
 {
   evconnlistener_free (listener);
@@ -827,8 +810,8 @@
 }
 END_TEST
 
-/* Takes the port of the listener, so that connections to it are neither made
-   nor refused: its queue is full, and nobody takes from it.  */
+/* Replaces the listener by one with a full backlog, so that connects neither
+   succeed nor fail.  */
 static void
 fill_queue (int filler[QUEUE])
 {
@@ -850,9 +833,8 @@
     (void)connect (filler[i], (struct sockaddr *)&where, (socklen_t)size);
 }
 
-/* The host's own link is full: an upstream takes a connection at once, and the
-   word of it waits with all else.  After 0.6 s the host took one upstream
-   after the other for unreachable, and refused its callers.  */
+/* While this host lags behind its network events, the connect timeout must not
+   report reachable upstreams as unreachable.  */
 START_TEST (late_host_waits_for_a_connection)
 {
   int filler[QUEUE];
