--- a/test/test_header.c
+++ b/test/test_header.c
@@ -1,4 +1,4 @@
-/* Which headers are passed on, and which fit.  */
+/* Filtering and size limits of forwarded headers.  */
 #include "suite.h"
 
 #include "frame.h"
@@ -22,8 +22,8 @@
   evhttp_clear_headers (&headers);
 }
 
-/* The hosts' own headers, and a caller's secrets, must reach no upstream; what
-   the caller's connection needs is no business of the next one.  */
+/* Internal headers, credentials and hop-by-hop headers must not reach an
+   upstream.  */
 START_TEST (own_headers_stay)
 {
   static const char *const stay[] = { "authorization",
@@ -41,10 +41,8 @@
 }
 END_TEST
 
-/* An upstream answers with a header of 9,000 bytes.  Passed to a host of
-   another zone it would be over the limit of a frame, which ends the process
-   that packs it: every request there would be cut.  Such an answer is refused
-   instead.  */
+/* Packing a header above the frame limit aborts the process, so oversized
+   headers must be detected before.  */
 START_TEST (oversized_header_does_not_fit)
 {
   char value[MARJORAM_HEADER_VALUE_MAX + 2];
