--- a/test/test_event_stream.c
+++ b/test/test_event_stream.c
@@ -1,4 +1,4 @@
-/* The events of streamed answers.  */
+/* Splitting and resuming of event streams.  */
 #include "suite.h"
 
 #include "event_stream.h"
@@ -50,8 +50,8 @@
 }
 END_TEST
 
-/* An upstream dies in the middle of its second event and another goes on after
-   the first.  The caller must see each event once and no torn one.  */
+/* After a failover in the middle of an event, the caller must see each event
+   exactly once and complete.  */
 START_TEST (another_upstream_goes_on)
 {
   feed ("id: 1\ndata: a\n\nid: 2\nda");
