--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -1,4 +1,4 @@
-/* Packing and unpacking of typed messages, foreign input included.  */
+/* Packing and unpacking of messages, including malformed input.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -60,9 +60,8 @@
 }
 END_TEST
 
-/* A peer sends an array header that promises 2^32-1 elements in five bytes.
-   Taking the promise would end the process for lack of memory; the message
-   has to be refused and the process to live on.  */
+/* An array header that declares 2^32-1 elements must be rejected before memory
+   is allocated for them.  */
 START_TEST (refuses_length_bomb)
 {
   const uint8_t bomb[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
@@ -96,9 +95,8 @@
 }
 END_TEST
 
-/* While a release is rolled out, hosts of two of them are linked: types have
-   the same numbers in both, and what only the earlier one uses is passed
-   over; a frame that can't be read would close the link.  */
+/* Frame types must be stable across releases, and frames of reserved types
+   must unpack: an unreadable frame closes the link.  */
 START_TEST (frames_of_an_earlier_release_are_passed_over)
 {
   struct sample sample = { (char *)"name", 1, true, NULL, { NULL, 0 } };
