--- a/test/test_compress.c
+++ b/test/test_compress.c
@@ -1,4 +1,4 @@
-/* Compression of bulk bytes, with and without a base.  */
+/* Compression with and without a base.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -14,7 +14,8 @@
   LIMIT = 4 * 1024 * 1024
 };
 
-/* A configuration of ROUTES routes, of which CHANGED has another timeout.  */
+/* Creates a configuration with ROUTES routes; route CHANGED has a different
+   timeout.  */
 static marjoram_bytes *
 make_config (int changed)
 {
@@ -72,7 +73,7 @@
 }
 END_TEST
 
-/* Another base than the sender's must never give another configuration.  */
+/* Decompressing with a wrong base must fail, not yield wrong data.  */
 START_TEST (another_base_is_an_error)
 {
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *base
