--- a/src/header_list.c
+++ b/src/header_list.c
@@ -7,16 +7,16 @@
 
 enum
 {
-  FIRST_ROOM = 12
+  INITIAL_CAPACITY = 12
 };
 
 static void
-make_room (struct marjoram_header_list *list)
+ensure_capacity (struct marjoram_header_list *list)
 {
-  if (list->count < list->room)
+  if (list->count < list->capacity)
     return;
-  list->room = list->room ? 2 * list->room : FIRST_ROOM;
-  list->items = realloc (list->items, list->room * sizeof *list->items);
+  list->capacity = list->capacity ? 2 * list->capacity : INITIAL_CAPACITY;
+  list->items = realloc (list->items, list->capacity * sizeof *list->items);
   if (!list->items)
     abort ();
 }
@@ -28,7 +28,7 @@
 {
   struct marjoram_header *header;
 
-  make_room (list);
+  ensure_capacity (list);
   header = &list->items[list->count++];
   header->name = marjoram_strdup (name);
   header->value = marjoram_alloc (size + 1);
@@ -84,9 +84,9 @@
 }
 
 static bool
-has_word (const char *text, const char *word)
+contains_token (const char *text, const char *token)
 {
-  size_t size = strlen (word);
+  size_t size = strlen (token);
 
   while (*text)
     {
@@ -94,7 +94,7 @@
 
       text += strspn (text, " \t,");
       length = strcspn (text, " \t,");
-      if (length == size && strncasecmp (text, word, size) == 0)
+      if (length == size && strncasecmp (text, token, size) == 0)
         return true;
       text += length;
     }
@@ -102,12 +102,12 @@
 }
 
 bool
-marjoram_header_list_has_word (const struct marjoram_header_list *list,
-                               const char *name, const char *word)
+marjoram_header_list_has_token (const struct marjoram_header_list *list,
+                                const char *name, const char *token)
 {
   for (size_t i = 0; i < list->count; i++)
     if (strcasecmp (list->items[i].name, name) == 0
-        && has_word (list->items[i].value, word))
+        && contains_token (list->items[i].value, token))
       return true;
   return false;
 }
@@ -136,20 +136,20 @@
 marjoram_header_list_is_hop (const struct marjoram_header_list *list,
                              const char *name)
 {
-  static const char *const hops[] = { "Connection",
-                                      "Keep-Alive",
-                                      "Proxy-Connection",
-                                      "Transfer-Encoding",
-                                      "Content-Length",
-                                      "TE",
-                                      "Trailer",
-                                      "Upgrade",
-                                      "Expect",
-                                      "Proxy-Authenticate",
-                                      "Proxy-Authorization" };
-
-  for (size_t i = 0; i < sizeof hops / sizeof *hops; i++)
-    if (strcasecmp (name, hops[i]) == 0)
+  static const char *const hop_by_hop[] = { "Connection",
+                                            "Keep-Alive",
+                                            "Proxy-Connection",
+                                            "Transfer-Encoding",
+                                            "Content-Length",
+                                            "TE",
+                                            "Trailer",
+                                            "Upgrade",
+                                            "Expect",
+                                            "Proxy-Authenticate",
+                                            "Proxy-Authorization" };
+
+  for (size_t i = 0; i < sizeof hop_by_hop / sizeof *hop_by_hop; i++)
+    if (strcasecmp (name, hop_by_hop[i]) == 0)
       return true;
-  return marjoram_header_list_has_word (list, "Connection", name);
+  return marjoram_header_list_has_token (list, "Connection", name);
 }
--- a/src/header_list.h
+++ b/src/header_list.h
@@ -10,7 +10,7 @@
 {
   struct marjoram_header *items;
   size_t count;
-  size_t room;
+  size_t capacity;
 };
 
 /* Appends a header.  NAME and VALUE are copied.  */
@@ -28,9 +28,9 @@
                                       const char *name);
 size_t marjoram_header_list_times (const struct marjoram_header_list *list,
                                    const char *name);
-/* Whether a value of NAME contains WORD as a comma-separated token.  */
-bool marjoram_header_list_has_word (const struct marjoram_header_list *list,
-                                    const char *name, const char *word);
+/* Whether a value of NAME contains TOKEN in a comma-separated list.  */
+bool marjoram_header_list_has_token (const struct marjoram_header_list *list,
+                                     const char *name, const char *token);
 /* Frees the items and resets the list to empty.  */
 void marjoram_header_list_clear (struct marjoram_header_list *list);
 /* Moves the items of SOURCE to TARGET, which must be empty.  */
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -18,12 +18,12 @@
   /* Short enough to try another upstream within the latency objective.  */
   CONNECT_TIMEOUT_MS = 600,
   /* Idle timeout for upstreams that send no Keep-Alive timeout.  */
-  UNUSED_DEFAULT_MS = 4000,
+  IDLE_TIMEOUT_DEFAULT_MS = 4000,
   /* Subtracted from the upstream's Keep-Alive timeout, so that a request does
      not cross the upstream's close.  */
-  UNUSED_MARGIN_MS = 400,
+  IDLE_TIMEOUT_MARGIN_MS = 400,
   /* Idle limit for requests that must not be retried.  */
-  CAREFUL_UNUSED_MS = 1000,
+  FRESH_IDLE_MS = 1000,
   SECOND_MS = 1000
 };
 
@@ -36,14 +36,14 @@
   marjoram_http_reader *reader;
   uint64_t attempt;        /* 0 while idle */
   marjoram_bytes *message; /* until connected */
-  int64_t unused_since;
-  int64_t unused_limit;
-  int64_t connect_by; /* 0 once connected */
+  int64_t idle_since;
+  int64_t idle_timeout_ms;
+  int64_t connect_deadline; /* 0 once connected */
   bool head_only;
-  bool skipping; /* current response belongs to another request */
-  bool interim;  /* current response is 1xx */
-  bool complete; /* response has been read completely */
-  bool ends_with_stream;
+  bool skip_response; /* current response belongs to another request */
+  bool interim;       /* current response is 1xx */
+  bool complete;      /* response has been read completely */
+  bool close_delimited;
   bool reusable;
   UT_hash_handle hh; /* by attempt */
 };
@@ -53,7 +53,7 @@
 struct pool
 {
   char *address;
-  struct connection_list unused; /* most recently used first */
+  struct connection_list idle; /* most recently used first */
   UT_hash_handle hh;
 };
 
@@ -77,7 +77,7 @@
     return pool;
   pool = marjoram_alloc (sizeof *pool);
   pool->address = marjoram_strdup (address);
-  TAILQ_INIT (&pool->unused);
+  TAILQ_INIT (&pool->idle);
   HASH_ADD_KEYPTR (hh, client->pools, pool->address, strlen (pool->address),
                    pool);
   return pool;
@@ -89,7 +89,7 @@
   if (connection->attempt)
     HASH_DELETE (hh, connection->client->busy, connection);
   else
-    TAILQ_REMOVE (&connection->pool->unused, connection, link);
+    TAILQ_REMOVE (&connection->pool->idle, connection, link);
   bufferevent_free (connection->bev);
   marjoram_http_reader_destroy (connection->reader);
   marjoram_bytes_release (connection->message);
@@ -97,7 +97,7 @@
 }
 
 static void
-fail (struct connection *connection, enum marjoram_http_end how)
+fail (struct connection *connection, enum marjoram_http_end outcome)
 {
   marjoram_http_client *client = connection->client;
   char *address = marjoram_strdup (connection->pool->address);
@@ -106,23 +106,23 @@
   destroy (connection);
   client->ops->lost (client->context, address);
   if (attempt)
-    client->ops->end (client->context, attempt, how);
+    client->ops->end (client->context, attempt, outcome);
   free (address);
 }
 
 /* ---- Response parsing.  ---- */
 
 static int64_t
-unused_limit (const struct marjoram_header_list *headers)
+idle_timeout_ms (const struct marjoram_header_list *headers)
 {
   const char *text = marjoram_header_list_get (headers, "Keep-Alive");
   const char *timeout = text ? strstr (text, "timeout=") : NULL;
   long seconds;
 
   if (!timeout)
-    return UNUSED_DEFAULT_MS;
+    return IDLE_TIMEOUT_DEFAULT_MS;
   seconds = strtol (timeout + strlen ("timeout="), NULL, 10);
-  return seconds * SECOND_MS - UNUSED_MARGIN_MS;
+  return seconds * SECOND_MS - IDLE_TIMEOUT_MARGIN_MS;
 }
 
 static bool
@@ -136,18 +136,18 @@
       = marjoram_http_reader_headers (connection->reader);
 
   connection->interim = parser->status_code / 100 == 1;
-  connection->skipping = false;
-  connection->ends_with_stream
-      = marjoram_http_reader_ends_with_stream (connection->reader);
+  connection->skip_response = false;
+  connection->close_delimited
+      = marjoram_http_reader_is_close_delimited (connection->reader);
   if (connection->interim)
     return true;
   if (!connection->attempt)
     return false;
   connection->reusable
-      = http_should_keep_alive (parser) && !connection->ends_with_stream;
-  connection->unused_limit = unused_limit (headers);
+      = http_should_keep_alive (parser) && !connection->close_delimited;
+  connection->idle_timeout_ms = idle_timeout_ms (headers);
   *skip_body = connection->head_only;
-  connection->skipping = !client->ops->head (
+  connection->skip_response = !client->ops->head (
       client->context, connection->attempt, (int)parser->status_code, headers);
   return true;
 }
@@ -160,7 +160,7 @@
 
   if (!connection->attempt)
     return false;
-  if (!connection->skipping && !connection->interim)
+  if (!connection->skip_response && !connection->interim)
     client->ops->data (client->context, connection->attempt, data, size);
   /* The callback may have cancelled this attempt.  */
   return connection->attempt != 0;
@@ -173,8 +173,8 @@
 
   if (!connection->attempt)
     return false;
-  if (connection->interim || connection->skipping)
-    return !connection->ends_with_stream;
+  if (connection->interim || connection->skip_response)
+    return !connection->close_delimited;
   connection->complete = true;
   return false;
 }
@@ -198,7 +198,7 @@
    upstream that the event loop has not processed yet; a request sent on such a
    connection could not be retried safely.  */
 static bool
-is_quiet (const struct connection *connection)
+is_socket_idle (const struct connection *connection)
 {
   char byte;
 
@@ -217,9 +217,9 @@
   HASH_DELETE (hh, client->busy, connection);
   connection->attempt = 0;
   connection->complete = false;
-  connection->unused_since = marjoram_clock_now (client->clock);
-  TAILQ_INSERT_HEAD (&connection->pool->unused, connection, link);
-  if (!connection->reusable || connection->unused_limit <= 0
+  connection->idle_since = marjoram_clock_now (client->clock);
+  TAILQ_INSERT_HEAD (&connection->pool->idle, connection, link);
+  if (!connection->reusable || connection->idle_timeout_ms <= 0
       || !is_clean (connection))
     destroy (connection);
   client->ops->end (client->context, attempt, MARJORAM_HTTP_COMPLETE);
@@ -229,20 +229,20 @@
 on_read (struct bufferevent *bev, void *context)
 {
   struct connection *connection = context;
-  enum marjoram_http_fault fault;
+  enum marjoram_http_read_result result;
 
   if (!connection->attempt)
     {
       destroy (connection);
       return;
     }
-  fault = marjoram_http_reader_feed (connection->reader,
-                                     bufferevent_get_input (bev));
+  result = marjoram_http_reader_feed (connection->reader,
+                                      bufferevent_get_input (bev));
   if (connection->complete)
     finish (connection);
   else if (!connection->attempt)
     destroy (connection);
-  else if (fault != MARJORAM_HTTP_FINE)
+  else if (result != MARJORAM_HTTP_READ_OK)
     fail (connection, MARJORAM_HTTP_BROKEN);
 }
 
@@ -251,8 +251,8 @@
 {
   marjoram_http_client *client = connection->client;
 
-  connection->connect_by = 0;
-  marjoram_socket_tune (bufferevent_getfd (connection->bev));
+  connection->connect_deadline = 0;
+  marjoram_socket_set_options (bufferevent_getfd (connection->bev));
   bufferevent_write (connection->bev,
                      marjoram_bytes_data (connection->message),
                      marjoram_bytes_size (connection->message));
@@ -266,8 +266,8 @@
 static void
 on_closed (struct connection *connection)
 {
-  if (connection->attempt && connection->ends_with_stream
-      && !connection->skipping && !connection->interim)
+  if (connection->attempt && connection->close_delimited
+      && !connection->skip_response && !connection->interim)
     marjoram_http_reader_finish (connection->reader);
   if (connection->complete)
     {
@@ -288,22 +288,24 @@
   (void)bev;
   if (events & BEV_EVENT_CONNECTED)
     on_connected (connection);
-  else if ((events & BEV_EVENT_EOF) && connection->connect_by == 0)
+  else if ((events & BEV_EVENT_EOF) && connection->connect_deadline == 0)
     on_closed (connection);
   else
-    fail (connection, connection->connect_by != 0 ? MARJORAM_HTTP_UNSENT
-                                                  : MARJORAM_HTTP_BROKEN);
+    fail (connection, connection->connect_deadline != 0
+                          ? MARJORAM_HTTP_UNSENT
+                          : MARJORAM_HTTP_BROKEN);
 }
 
 static void
-begin (struct connection *connection, const struct marjoram_http_send *send)
+start_attempt (struct connection *connection,
+               const struct marjoram_http_send *send)
 {
   connection->attempt = send->attempt;
   connection->head_only = send->head_only;
   connection->complete = false;
-  connection->skipping = false;
+  connection->skip_response = false;
   connection->interim = false;
-  connection->ends_with_stream = false;
+  connection->close_delimited = false;
   HASH_ADD (hh, connection->client->busy, attempt, sizeof connection->attempt,
             connection);
 }
@@ -331,18 +333,18 @@
                   const struct marjoram_http_send *send)
 {
   struct connection *connection = connection_create (client, pool);
-  struct sockaddr_storage where;
-  int size = sizeof where;
+  struct sockaddr_storage addr;
+  int size = sizeof addr;
 
   connection->message = marjoram_bytes_retain (send->message);
-  connection->connect_by
+  connection->connect_deadline
       = marjoram_clock_now (client->clock) + CONNECT_TIMEOUT_MS;
-  begin (connection, send);
-  if (evutil_parse_sockaddr_port (pool->address, (struct sockaddr *)&where,
+  start_attempt (connection, send);
+  if (evutil_parse_sockaddr_port (pool->address, (struct sockaddr *)&addr,
                                   &size)
           != 0
-      || bufferevent_socket_connect (connection->bev,
-                                     (struct sockaddr *)&where, size)
+      || bufferevent_socket_connect (connection->bev, (struct sockaddr *)&addr,
+                                     size)
              != 0)
     bufferevent_trigger_event (connection->bev, BEV_EVENT_ERROR,
                                BEV_TRIG_DEFER_CALLBACKS);
@@ -351,11 +353,11 @@
 static bool
 is_fresh (const struct connection *connection, int64_t now, bool careful)
 {
-  int64_t limit = connection->unused_limit;
+  int64_t limit = connection->idle_timeout_ms;
 
-  if (careful && limit > CAREFUL_UNUSED_MS)
-    limit = CAREFUL_UNUSED_MS;
-  return now - connection->unused_since < limit;
+  if (careful && limit > FRESH_IDLE_MS)
+    limit = FRESH_IDLE_MS;
+  return now - connection->idle_since < limit;
 }
 
 void
@@ -363,17 +365,17 @@
                            const struct marjoram_http_send *send)
 {
   struct pool *pool = find_pool (client, send->address);
-  struct connection *connection = TAILQ_FIRST (&pool->unused);
+  struct connection *connection = TAILQ_FIRST (&pool->idle);
   int64_t now = marjoram_clock_now (client->clock);
 
   if (!connection || !is_fresh (connection, now, send->careful)
-      || !is_clean (connection) || !is_quiet (connection))
+      || !is_clean (connection) || !is_socket_idle (connection))
     {
       connect_and_send (client, pool, send);
       return;
     }
-  TAILQ_REMOVE (&pool->unused, connection, link);
-  begin (connection, send);
+  TAILQ_REMOVE (&pool->idle, connection, link);
+  start_attempt (connection, send);
   bufferevent_write (connection->bev, marjoram_bytes_data (send->message),
                      marjoram_bytes_size (send->message));
 }
@@ -391,32 +393,33 @@
   HASH_DELETE (hh, client->busy, connection);
   connection->attempt = 0;
   connection->complete = false;
-  connection->connect_by = 0;
-  connection->unused_since = 0;
-  connection->unused_limit = 0;
-  TAILQ_INSERT_TAIL (&connection->pool->unused, connection, link);
+  connection->connect_deadline = 0;
+  connection->idle_since = 0;
+  connection->idle_timeout_ms = 0;
+  TAILQ_INSERT_TAIL (&connection->pool->idle, connection, link);
   bufferevent_trigger_event (connection->bev, BEV_EVENT_EOF,
                              BEV_TRIG_DEFER_CALLBACKS);
 }
 
 void
-marjoram_http_client_forget (marjoram_http_client *client, const char *address)
+marjoram_http_client_close_idle (marjoram_http_client *client,
+                                 const char *address)
 {
   struct pool *pool;
   struct connection *connection;
 
   HASH_FIND_STR (client->pools, address, pool);
-  while (pool && (connection = TAILQ_FIRST (&pool->unused)))
+  while (pool && (connection = TAILQ_FIRST (&pool->idle)))
     destroy (connection);
 }
 
 static void
-close_unused (struct pool *pool, int64_t now)
+close_expired (struct pool *pool, int64_t now)
 {
   struct connection *connection;
   struct connection *next;
 
-  for (connection = TAILQ_FIRST (&pool->unused); connection; connection = next)
+  for (connection = TAILQ_FIRST (&pool->idle); connection; connection = next)
     {
       next = TAILQ_NEXT (connection, link);
       if (!is_fresh (connection, now, false))
@@ -424,18 +427,19 @@
     }
 }
 
-/* HEARD_UNTIL is the time up to which network events have been processed.
+/* PROCESSED_UNTIL is the time up to which network events have been processed.
    When this host lags, a completed connect may not have been seen yet, and
    must not count as a timeout.  */
 static void
-give_up_connecting (marjoram_http_client *client, int64_t heard_until)
+time_out_connects (marjoram_http_client *client, int64_t processed_until)
 {
   struct connection *connection;
   struct connection *next;
 
   HASH_ITER (hh, client->busy, connection, next)
   {
-    if (connection->connect_by != 0 && heard_until >= connection->connect_by)
+    if (connection->connect_deadline != 0
+        && processed_until >= connection->connect_deadline)
       bufferevent_trigger_event (connection->bev, BEV_EVENT_TIMEOUT,
                                  BEV_TRIG_DEFER_CALLBACKS);
   }
@@ -448,8 +452,8 @@
   struct pool *pool;
   struct pool *next;
 
-  give_up_connecting (client, now - lag_ms);
-  HASH_ITER (hh, client->pools, pool, next) { close_unused (pool, now); }
+  time_out_connects (client, now - lag_ms);
+  HASH_ITER (hh, client->pools, pool, next) { close_expired (pool, now); }
 }
 
 marjoram_http_client *
@@ -483,7 +487,7 @@
   }
   HASH_ITER (hh, client->pools, pool, next_pool)
   {
-    while ((connection = TAILQ_FIRST (&pool->unused)))
+    while ((connection = TAILQ_FIRST (&pool->idle)))
       /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
       destroy (connection);
     /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -39,7 +39,8 @@
                 struct marjoram_header_list *headers);
   void (*data) (void *context, uint64_t attempt, const char *data,
                 size_t size);
-  void (*end) (void *context, uint64_t attempt, enum marjoram_http_end how);
+  void (*end) (void *context, uint64_t attempt,
+               enum marjoram_http_end outcome);
   /* Called when a connection to ADDRESS is refused, reset or closed
      unexpectedly.  The upstream may have restarted.  */
   void (*lost) (void *context, const char *address);
@@ -57,8 +58,8 @@
 void marjoram_http_client_cancel (marjoram_http_client *client,
                                   uint64_t attempt);
 /* Closes the idle connections to ADDRESS.  */
-void marjoram_http_client_forget (marjoram_http_client *client,
-                                  const char *address);
+void marjoram_http_client_close_idle (marjoram_http_client *client,
+                                      const char *address);
 /* Closes expired idle connections and times out pending connects.  Has to be
    called at least every 250 ms.  LAG_MS is the delay with which this host
    processes its own network events (own_lag.h).  */
--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  FIRST_TEXT_ROOM = 64,
+  INITIAL_TEXT_CAPACITY = 64,
   DEFAULT_HEAD_LIMIT = 64 * 1024 /* bytes */
 };
 
@@ -14,7 +14,7 @@
 {
   char *data; /* NUL-terminated if not null */
   size_t size;
-  size_t room;
+  size_t capacity;
 };
 
 struct marjoram_http_reader
@@ -29,16 +29,16 @@
   struct marjoram_header_list headers;
   size_t head_size;
   size_t head_limit;
-  enum marjoram_http_fault fault;
+  enum marjoram_http_read_result result;
 };
 
 static void
-text_add (struct text *text, const char *data, size_t size)
+text_append (struct text *text, const char *data, size_t size)
 {
-  if (text->size + size + 1 > text->room)
+  if (text->size + size + 1 > text->capacity)
     {
-      text->room = 2 * (text->size + size) + FIRST_TEXT_ROOM;
-      text->data = realloc (text->data, text->room);
+      text->capacity = 2 * (text->size + size) + INITIAL_TEXT_CAPACITY;
+      text->data = realloc (text->data, text->capacity);
       if (!text->data)
         abort ();
     }
@@ -48,7 +48,7 @@
 }
 
 static void
-text_reset (struct text *text)
+text_clear (struct text *text)
 {
   text->size = 0;
   if (text->data)
@@ -62,14 +62,14 @@
 }
 
 static int
-stop (marjoram_http_reader *reader, enum marjoram_http_fault fault)
+stop (marjoram_http_reader *reader, enum marjoram_http_read_result result)
 {
-  reader->fault = fault;
+  reader->result = result;
   return 1;
 }
 
 static int
-count_head (marjoram_http_reader *reader, size_t size)
+add_head_size (marjoram_http_reader *reader, size_t size)
 {
   reader->head_size += size;
   if (reader->head_size > reader->head_limit)
@@ -82,9 +82,9 @@
 {
   marjoram_http_reader *reader = reader_of (parser);
 
-  text_reset (&reader->target);
-  text_reset (&reader->name);
-  text_reset (&reader->value);
+  text_clear (&reader->target);
+  text_clear (&reader->name);
+  text_clear (&reader->value);
   reader->in_value = false;
   reader->head_size = 0;
   marjoram_header_list_clear (&reader->headers);
@@ -96,14 +96,14 @@
 {
   marjoram_http_reader *reader = reader_of (parser);
 
-  text_add (&reader->target, data, size);
-  return count_head (reader, size);
+  text_append (&reader->target, data, size);
+  return add_head_size (reader, size);
 }
 
 /* Stores the header that was just parsed.  Rejects values with an embedded
    NUL, which the parser accepts but which would truncate the C string.  */
 static int
-keep_header (marjoram_http_reader *reader)
+finish_header (marjoram_http_reader *reader)
 {
   if (!reader->in_value)
     return 0;
@@ -114,8 +114,8 @@
   marjoram_header_list_add_size (&reader->headers, reader->name.data,
                                  reader->value.data ? reader->value.data : "",
                                  reader->value.size);
-  text_reset (&reader->name);
-  text_reset (&reader->value);
+  text_clear (&reader->name);
+  text_clear (&reader->value);
   return 0;
 }
 
@@ -124,10 +124,10 @@
 {
   marjoram_http_reader *reader = reader_of (parser);
 
-  if (keep_header (reader) != 0)
+  if (finish_header (reader) != 0)
     return 1;
-  text_add (&reader->name, data, size);
-  return count_head (reader, size);
+  text_append (&reader->name, data, size);
+  return add_head_size (reader, size);
 }
 
 static int
@@ -136,9 +136,9 @@
   marjoram_http_reader *reader = reader_of (parser);
 
   reader->in_value = true;
-  text_add (&reader->value, data, size);
+  text_append (&reader->value, data, size);
   /* Includes ": " and CRLF.  */
-  return count_head (reader, size + 4);
+  return add_head_size (reader, size + 4);
 }
 
 static int
@@ -147,7 +147,7 @@
   marjoram_http_reader *reader = reader_of (parser);
   bool skip_body = false;
 
-  if (keep_header (reader) != 0)
+  if (finish_header (reader) != 0)
     return -1;
   if (!reader->ops->head (reader->context, &skip_body))
     {
@@ -220,8 +220,8 @@
   reader->head_limit = limit;
 }
 
-static enum marjoram_http_fault
-outcome (marjoram_http_reader *reader)
+static enum marjoram_http_read_result
+read_result (marjoram_http_reader *reader)
 {
   enum http_errno error = HTTP_PARSER_ERRNO (&reader->parser);
 
@@ -230,13 +230,13 @@
       http_parser_pause (&reader->parser, 0);
       return MARJORAM_HTTP_STOPPED;
     }
-  if (reader->fault != MARJORAM_HTTP_FINE)
-    return reader->fault;
-  return error == HPE_OK && !reader->parser.upgrade ? MARJORAM_HTTP_FINE
+  if (reader->result != MARJORAM_HTTP_READ_OK)
+    return reader->result;
+  return error == HPE_OK && !reader->parser.upgrade ? MARJORAM_HTTP_READ_OK
                                                     : MARJORAM_HTTP_MALFORMED;
 }
 
-enum marjoram_http_fault
+enum marjoram_http_read_result
 marjoram_http_reader_feed (marjoram_http_reader *reader,
                            struct evbuffer *input)
 {
@@ -245,20 +245,20 @@
   size_t used;
 
   if (size == 0)
-    return MARJORAM_HTTP_FINE;
+    return MARJORAM_HTTP_READ_OK;
   data = (const char *)evbuffer_pullup (input, -1);
-  reader->fault = MARJORAM_HTTP_FINE;
+  reader->result = MARJORAM_HTTP_READ_OK;
   used = http_parser_execute (&reader->parser, &settings, data, size);
   evbuffer_drain (input, used);
-  return outcome (reader);
+  return read_result (reader);
 }
 
-enum marjoram_http_fault
+enum marjoram_http_read_result
 marjoram_http_reader_finish (marjoram_http_reader *reader)
 {
-  reader->fault = MARJORAM_HTTP_FINE;
+  reader->result = MARJORAM_HTTP_READ_OK;
   http_parser_execute (&reader->parser, &settings, NULL, 0);
-  return outcome (reader);
+  return read_result (reader);
 }
 
 const struct http_parser *
@@ -280,7 +280,7 @@
 }
 
 bool
-marjoram_http_reader_ends_with_stream (const marjoram_http_reader *reader)
+marjoram_http_reader_is_close_delimited (const marjoram_http_reader *reader)
 {
   const http_parser *parser = &reader->parser;
   unsigned int status = parser->status_code;
--- a/src/http_reader.h
+++ b/src/http_reader.h
@@ -10,9 +10,9 @@
 
 typedef struct marjoram_http_reader marjoram_http_reader;
 
-enum marjoram_http_fault
+enum marjoram_http_read_result
 {
-  MARJORAM_HTTP_FINE,
+  MARJORAM_HTTP_READ_OK,
   MARJORAM_HTTP_MALFORMED,
   MARJORAM_HTTP_HEAD_TOO_LARGE,
   MARJORAM_HTTP_STOPPED /* a callback returned false */
@@ -38,11 +38,11 @@
                                      size_t limit);
 /* Parses and drains INPUT until it is empty, an error occurs or a callback
    returns false.  Parsing resumes with the next call.  */
-enum marjoram_http_fault
+enum marjoram_http_read_result
 marjoram_http_reader_feed (marjoram_http_reader *reader,
                            struct evbuffer *input);
 /* Signals end of stream, which completes a message without a length.  */
-enum marjoram_http_fault
+enum marjoram_http_read_result
 marjoram_http_reader_finish (marjoram_http_reader *reader);
 
 /* These refer to the message whose header section was read last.  */
@@ -53,6 +53,6 @@
 marjoram_http_reader_headers (marjoram_http_reader *reader);
 /* Whether the body is delimited by the end of the connection.  */
 bool
-marjoram_http_reader_ends_with_stream (const marjoram_http_reader *reader);
+marjoram_http_reader_is_close_delimited (const marjoram_http_reader *reader);
 
 #endif
--- a/src/http_server.c
+++ b/src/http_server.c
@@ -18,17 +18,17 @@
 {
   BACKLOG = 1024, /* connections; SYN retries after an overflow take seconds */
   /* Input buffer limit for pipelined requests, in bytes.  */
-  READ_AHEAD = 64 * 1024,
+  INPUT_BUFFER_MAX = 64 * 1024,
   /* Output buffer limit for slow callers, in bytes.  */
-  OUTPUT_MAX = 16 * 1024 * 1024,
+  OUTPUT_BUFFER_MAX = 16 * 1024 * 1024,
   /* Time between shutdown and close.  Closing with unread input resets the
      connection and may discard the response.  */
   LINGER_MS = 1000,
   /* Write timeout without progress on the last response.  */
-  STALLED_MS = 5000,
+  WRITE_STALL_TIMEOUT_MS = 5000,
   /* Delay before idle connections are closed, for requests in flight from
      another region.  */
-  GRACE_MS = 200,
+  IDLE_CLOSE_GRACE_MS = 200,
   DEFAULT_HEAD_BYTES = 16 * 1024,
   DEFAULT_BODY_BYTES = 4 * 1024 * 1024,
   DEFAULT_HEAD_TIMEOUT_MS = 3000,
@@ -51,17 +51,17 @@
   struct bufferevent *bev;
   marjoram_http_reader *reader;
   enum state state;
-  int64_t since; /* start of STATE; CLOSING: time of last write */
-  size_t unsent; /* CLOSING: size of the output buffer */
+  int64_t state_since; /* start of STATE; CLOSING: time of last write */
+  size_t unsent;       /* CLOSING: size of the output buffer */
   struct evbuffer *body;
-  struct marjoram_http_request *whole; /* read, not yet dispatched */
-  int reject;                          /* status; 0 if none */
-  const char *reject_why;
+  struct marjoram_http_request *parsed; /* read, not yet dispatched */
+  int reject;                           /* status; 0 if none */
+  const char *reject_reason;
   uint64_t call; /* 0 unless busy */
   bool keep_alive;
   bool chunked_allowed;
   bool head_only;
-  bool answer_chunked;
+  bool chunked_response;
   bool feeding;
   UT_hash_handle hh;
 };
@@ -99,11 +99,11 @@
 set_state (struct connection *connection, enum state state)
 {
   connection->state = state;
-  connection->since = marjoram_clock_now (connection->server->clock);
+  connection->state_since = marjoram_clock_now (connection->server->clock);
 }
 
 static void
-forget_call (struct connection *connection)
+unregister_call (struct connection *connection)
 {
   if (!connection->call)
     return;
@@ -117,12 +117,12 @@
   marjoram_http_server *server = connection->server;
   uint64_t call = connection->call;
 
-  forget_call (connection);
+  unregister_call (connection);
   TAILQ_REMOVE (&server->connections, connection, link);
   server->connection_count--;
   bufferevent_free (connection->bev);
   marjoram_http_reader_destroy (connection->reader);
-  marjoram_http_request_destroy (connection->whole);
+  marjoram_http_request_destroy (connection->parsed);
   evbuffer_free (connection->body);
   free (connection);
   if (call)
@@ -132,7 +132,7 @@
 /* Whether there is unprocessed input, in the buffer or in the socket.  Closing
    such a connection would drop a request without a response.  */
 static bool
-has_bytes (const struct connection *connection)
+has_pending_input (const struct connection *connection)
 {
   struct evbuffer *input = bufferevent_get_input (connection->bev);
   char byte;
@@ -146,17 +146,17 @@
 /* ---- Request parsing.  ---- */
 
 static bool
-reject (struct connection *connection, int status, const char *why)
+reject (struct connection *connection, int status, const char *reason)
 {
   connection->reject = status;
-  connection->reject_why = why;
+  connection->reject_reason = reason;
   return false;
 }
 
 /* Rejects duplicate or conflicting Content-Length and Transfer-Encoding, which
    would allow request smuggling (RFC 9112, 6.3).  */
 static bool
-framing_is_plain (const struct marjoram_header_list *headers)
+is_framing_unambiguous (const struct marjoram_header_list *headers)
 {
   size_t lengths = marjoram_header_list_times (headers, "Content-Length");
   size_t codings = marjoram_header_list_times (headers, "Transfer-Encoding");
@@ -179,7 +179,7 @@
   (void)skip_body;
   if (parser->upgrade || parser->method == HTTP_CONNECT)
     return reject (connection, 400, "upgrade");
-  if (!framing_is_plain (headers))
+  if (!is_framing_unambiguous (headers))
     return reject (connection, 400, "framing");
   if (parser->http_major != 1
       || marjoram_header_list_times (headers, "Host") != 1)
@@ -187,7 +187,7 @@
   if (parser->content_length != UINT64_MAX
       && parser->content_length > connection->server->limits.body_bytes)
     return reject (connection, 413, "body-size");
-  if (marjoram_header_list_has_word (headers, "Expect", "100-continue"))
+  if (marjoram_header_list_has_token (headers, "Expect", "100-continue"))
     evbuffer_add_printf (bufferevent_get_output (connection->bev),
                          "HTTP/1.1 100 Continue\r\n\r\n");
   return true;
@@ -239,7 +239,7 @@
   connection->keep_alive = http_should_keep_alive (parser);
   connection->chunked_allowed = parser->http_minor >= 1;
   connection->head_only = parser->method == HTTP_HEAD;
-  connection->whole = request;
+  connection->parsed = request;
   return false;
 }
 
@@ -249,7 +249,7 @@
 /* ---- Response writing.  ---- */
 
 static struct connection *
-find (marjoram_http_server *server, uint64_t call)
+find_call (marjoram_http_server *server, uint64_t call)
 {
   struct connection *connection;
 
@@ -284,7 +284,7 @@
   else if (connection->chunked_allowed)
     {
       evbuffer_add_printf (output, "Transfer-Encoding: chunked\r\n");
-      connection->answer_chunked = true;
+      connection->chunked_response = true;
     }
   else
     connection->keep_alive = false;
@@ -294,11 +294,12 @@
    still processed while draining, but only until the listener is closed, so
    that a caller can't delay the shutdown indefinitely.  */
 static bool
-is_last_answer (const struct connection *connection)
+is_last_response (const struct connection *connection)
 {
   const marjoram_http_server *server = connection->server;
 
-  return server->draining && (!server->listener || !has_bytes (connection));
+  return server->draining
+         && (!server->listener || !has_pending_input (connection));
 }
 
 void
@@ -307,19 +308,19 @@
                            const struct marjoram_header_list *headers,
                            int64_t length)
 {
-  struct connection *connection = find (server, call);
+  struct connection *connection = find_call (server, call);
   struct evbuffer *output;
 
   if (!connection)
     return;
   output = bufferevent_get_output (connection->bev);
-  connection->answer_chunked = false;
+  connection->chunked_response = false;
   evbuffer_add_printf (output, "HTTP/1.1 %d %s\r\n", status,
                        status_text (status));
   for (size_t i = 0; i < headers->count; i++)
     evbuffer_add_printf (output, "%s: %s\r\n", headers->items[i].name,
                          headers->items[i].value);
-  if (is_last_answer (connection))
+  if (is_last_response (connection))
     connection->keep_alive = false;
   write_framing (connection, output, status, length);
   if (!connection->keep_alive)
@@ -331,18 +332,18 @@
 marjoram_http_server_data (marjoram_http_server *server, uint64_t call,
                            const void *data, size_t size)
 {
-  struct connection *connection = find (server, call);
+  struct connection *connection = find_call (server, call);
   struct evbuffer *output;
 
   if (!connection || size == 0 || connection->head_only)
     return;
   output = bufferevent_get_output (connection->bev);
-  if (connection->answer_chunked)
+  if (connection->chunked_response)
     evbuffer_add_printf (output, "%zx\r\n", size);
   evbuffer_add (output, data, size);
-  if (connection->answer_chunked)
+  if (connection->chunked_response)
     evbuffer_add (output, "\r\n", 2);
-  if (evbuffer_get_length (output) > OUTPUT_MAX)
+  if (evbuffer_get_length (output) > OUTPUT_BUFFER_MAX)
     bufferevent_trigger_event (connection->bev, BEV_EVENT_ERROR,
                                BEV_TRIG_DEFER_CALLBACKS);
 }
@@ -375,13 +376,13 @@
 void
 marjoram_http_server_end (marjoram_http_server *server, uint64_t call)
 {
-  struct connection *connection = find (server, call);
+  struct connection *connection = find_call (server, call);
 
   if (!connection)
     return;
-  if (connection->answer_chunked)
+  if (connection->chunked_response)
     evbuffer_add (bufferevent_get_output (connection->bev), "0\r\n\r\n", 5);
-  forget_call (connection);
+  unregister_call (connection);
   if (connection->keep_alive)
     next_request (connection);
   else
@@ -391,11 +392,11 @@
 void
 marjoram_http_server_cut (marjoram_http_server *server, uint64_t call)
 {
-  struct connection *connection = find (server, call);
+  struct connection *connection = find_call (server, call);
 
   if (!connection)
     return;
-  forget_call (connection);
+  unregister_call (connection);
   /* Buffered output is still written; the missing end marks the response as
      truncated.  */
   close_when_written (connection);
@@ -414,17 +415,17 @@
                        "Connection: close\r\n\r\n",
                        connection->reject, status_text (connection->reject));
   server->ops->rejected (server->context, connection->reject,
-                         connection->reject_why);
+                         connection->reject_reason);
   close_when_written (connection);
 }
 
 static void
-hand_out (struct connection *connection)
+dispatch_request (struct connection *connection)
 {
   marjoram_http_server *server = connection->server;
-  struct marjoram_http_request *request = connection->whole;
+  struct marjoram_http_request *request = connection->parsed;
 
-  connection->whole = NULL;
+  connection->parsed = NULL;
   connection->call = ++server->next_call;
   HASH_ADD (hh, server->busy, call, sizeof connection->call, connection);
   set_state (connection, STATE_BUSY);
@@ -432,16 +433,16 @@
 }
 
 static int
-rejection_status (enum marjoram_http_fault fault)
+rejection_status (enum marjoram_http_read_result result)
 {
-  return fault == MARJORAM_HTTP_HEAD_TOO_LARGE ? 431 : 400;
+  return result == MARJORAM_HTTP_HEAD_TOO_LARGE ? 431 : 400;
 }
 
 static void
 process (struct connection *connection)
 {
   struct evbuffer *input = bufferevent_get_input (connection->bev);
-  enum marjoram_http_fault fault;
+  enum marjoram_http_read_result result;
 
   if (connection->state == STATE_LINGER || connection->state == STATE_CLOSING)
     {
@@ -452,14 +453,14 @@
     return;
   if (connection->state == STATE_IDLE)
     set_state (connection, STATE_READING);
-  fault = marjoram_http_reader_feed (connection->reader, input);
-  if (connection->whole)
-    hand_out (connection);
+  result = marjoram_http_reader_feed (connection->reader, input);
+  if (connection->parsed)
+    dispatch_request (connection);
   else if (connection->reject != 0)
     write_rejection (connection);
-  else if (fault != MARJORAM_HTTP_FINE)
+  else if (result != MARJORAM_HTTP_READ_OK)
     {
-      reject (connection, rejection_status (fault), "malformed");
+      reject (connection, rejection_status (result), "malformed");
       write_rejection (connection);
     }
 }
@@ -494,7 +495,7 @@
 {
   struct connection *connection = marjoram_alloc (sizeof *connection);
 
-  marjoram_socket_tune (fd);
+  marjoram_socket_set_options (fd);
   connection->server = server;
   connection->body = evbuffer_new ();
   connection->reader
@@ -505,7 +506,7 @@
       = bufferevent_socket_new (server->base, fd, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb (connection->bev, on_read, on_written, on_event,
                      connection);
-  bufferevent_setwatermark (connection->bev, EV_READ, 0, READ_AHEAD);
+  bufferevent_setwatermark (connection->bev, EV_READ, 0, INPUT_BUFFER_MAX);
   bufferevent_enable (connection->bev, EV_READ | EV_WRITE);
   set_state (connection, STATE_IDLE);
   TAILQ_INSERT_TAIL (&server->connections, connection, link);
@@ -559,7 +560,7 @@
   while ((connection = TAILQ_FIRST (&server->connections)))
     {
       /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-*) */
-      forget_call (connection);
+      unregister_call (connection);
       destroy (connection);
     }
   if (server->listener)
@@ -593,7 +594,7 @@
 
 /* Accepts all pending connections.  Returns whether none is left.  */
 static bool
-accept_waiting (marjoram_http_server *server)
+accept_pending (marjoram_http_server *server)
 {
   int listener = evconnlistener_get_fd (server->listener);
   int fd;
@@ -614,60 +615,61 @@
 static void
 close_listener (marjoram_http_server *server)
 {
-  if (!accept_waiting (server))
+  if (!accept_pending (server))
     return;
   evconnlistener_free (server->listener);
   server->listener = NULL;
 }
 
 static bool
-is_idle_too_long (const struct connection *connection, int64_t now)
+is_idle_expired (const struct connection *connection, int64_t now)
 {
   const marjoram_http_server *server = connection->server;
-  int64_t since = connection->since;
+  int64_t state_since = connection->state_since;
 
-  if (now - since > server->limits.idle_timeout_ms)
+  if (now - state_since > server->limits.idle_timeout_ms)
     return true;
-  if (since < server->closing_since)
-    since = server->closing_since;
-  return server->closing && now - since >= GRACE_MS;
+  if (state_since < server->closing_since)
+    state_since = server->closing_since;
+  return server->closing && now - state_since >= IDLE_CLOSE_GRACE_MS;
 }
 
 /* Whether a closing connection has timed out.  While the last response is
    written, each progress restarts the timer, so that it is not truncated for
    callers on slow links.  */
 static bool
-is_over (struct connection *connection, int64_t now)
+has_close_timed_out (struct connection *connection, int64_t now)
 {
   size_t unsent
       = evbuffer_get_length (bufferevent_get_output (connection->bev));
-  int64_t limit = connection->state == STATE_LINGER ? LINGER_MS : STALLED_MS;
+  int64_t limit
+      = connection->state == STATE_LINGER ? LINGER_MS : WRITE_STALL_TIMEOUT_MS;
 
   if (connection->state == STATE_CLOSING && unsent != connection->unsent)
     {
       connection->unsent = unsent;
-      connection->since = now;
+      connection->state_since = now;
     }
-  return now - connection->since > limit;
+  return now - connection->state_since > limit;
 }
 
 static void
-check_time (struct connection *connection, int64_t now)
+check_timeouts (struct connection *connection, int64_t now)
 {
   const struct marjoram_http_limits *limits = &connection->server->limits;
-  int64_t age = now - connection->since;
+  int64_t age = now - connection->state_since;
 
   if (connection->state == STATE_READING && age > limits->head_timeout_ms)
     {
       reject (connection, 408, "slow-sender");
       write_rejection (connection);
     }
-  else if (connection->state == STATE_IDLE
-           && is_idle_too_long (connection, now) && !has_bytes (connection))
+  else if (connection->state == STATE_IDLE && is_idle_expired (connection, now)
+           && !has_pending_input (connection))
     close_when_written (connection);
   else if ((connection->state == STATE_LINGER
             || connection->state == STATE_CLOSING)
-           && is_over (connection, now))
+           && has_close_timed_out (connection, now))
     destroy (connection);
 }
 
@@ -682,10 +684,10 @@
        connection = next)
     {
       next = TAILQ_NEXT (connection, link);
-      check_time (connection, now);
+      check_timeouts (connection, now);
     }
   if (server->closing && server->listener
-      && now - server->closing_since >= GRACE_MS)
+      && now - server->closing_since >= IDLE_CLOSE_GRACE_MS)
     close_listener (server);
 }
 
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -40,7 +40,7 @@
   /* The caller disconnected; CALL is no longer valid.  */
   void (*gone) (void *context, uint64_t call);
   /* A request was rejected while it was read.  */
-  void (*rejected) (void *context, int status, const char *why);
+  void (*rejected) (void *context, int status, const char *reason);
 };
 
 /* Listens on ADDRESS.  Returns null with ERR set on failure.  */
--- a/src/socket_option.c
+++ b/src/socket_option.c
@@ -10,28 +10,28 @@
 enum
 {
   /* TCP_USER_TIMEOUT.  Allows for several retransmissions between regions.  */
-  UNACKNOWLEDGED_MS = 3000,
+  USER_TIMEOUT_MS = 3000,
   /* TCP keepalive: idle time, interval and count of the probes.  */
-  PROBE_AFTER_S = 2,
-  PROBE_EVERY_S = 1,
-  PROBES = 3
+  KEEPALIVE_IDLE_S = 2,
+  KEEPALIVE_INTERVAL_S = 1,
+  KEEPALIVE_PROBES = 3
 };
 
 void
-marjoram_socket_tune (evutil_socket_t fd)
+marjoram_socket_set_options (evutil_socket_t fd)
 {
   int on = 1;
-  int unacknowledged = UNACKNOWLEDGED_MS;
-  int after = PROBE_AFTER_S;
-  int every = PROBE_EVERY_S;
-  int probes = PROBES;
+  int user_timeout = USER_TIMEOUT_MS;
+  int idle = KEEPALIVE_IDLE_S;
+  int interval = KEEPALIVE_INTERVAL_S;
+  int probes = KEEPALIVE_PROBES;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged,
-              sizeof unacknowledged);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &after, sizeof after);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof every);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout,
+              sizeof user_timeout);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof interval);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
@@ -40,16 +40,16 @@
                         int backlog, evconnlistener_cb on_accept,
                         void *context, struct marjoram_error *err)
 {
-  struct sockaddr_storage where;
-  int size = sizeof where;
+  struct sockaddr_storage addr;
+  int size = sizeof addr;
   struct evconnlistener *listener = NULL;
 
-  if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&where, &size)
+  if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&addr, &size)
       == 0)
     listener = evconnlistener_new_bind (
         base, on_accept, context,
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-        backlog, (struct sockaddr *)&where, size);
+        backlog, (struct sockaddr *)&addr, size);
   if (!listener)
     marjoram_error_set (
         err, MARJORAM_ERROR_IO,
--- a/src/socket_option.h
+++ b/src/socket_option.h
@@ -8,7 +8,7 @@
 
 /* Disables Nagle's algorithm, and sets keepalive and user timeouts so that an
    unreachable peer is detected within a few seconds.  */
-void marjoram_socket_tune (evutil_socket_t fd);
+void marjoram_socket_set_options (evutil_socket_t fd);
 
 /* Listens on ADDRESS (IP:port).  Returns null with ERR set on failure.  */
 struct evconnlistener *
