--- a/src/frame.h
+++ b/src/frame.h
@@ -25,8 +25,8 @@
   MARJORAM_FRAME_OFFERS,
   /* Used by earlier releases; ignored on receipt.  Type numbers must not be
      reused.  */
-  MARJORAM_FRAME_RESERVED_ASK,
-  MARJORAM_FRAME_RESERVED_GIVE,
+  MARJORAM_FRAME_RESERVED_16,
+  MARJORAM_FRAME_RESERVED_17,
   MARJORAM_FRAME_APPLY,
   MARJORAM_FRAME_APPLIED,
   MARJORAM_FRAME_RENEWALS,
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -20,16 +20,16 @@
 struct sample
 {
   char *name;
-  int64_t change;
-  bool good;
+  int64_t delta;
+  bool valid;
   marjoram_bytes *body;
   struct marjoram_array items;
 };
 
 static const struct marjoram_field sample_fields[] = {
   { MARJORAM_WIRE_STRING (struct sample, name, 8) },
-  { MARJORAM_WIRE_INT (struct sample, change) },
-  { MARJORAM_WIRE_BOOL (struct sample, good) },
+  { MARJORAM_WIRE_INT (struct sample, delta) },
+  { MARJORAM_WIRE_BOOL (struct sample, valid) },
   { MARJORAM_WIRE_BYTES (struct sample, body, 16) },
   { MARJORAM_WIRE_ARRAY (struct sample, items, 2, &item_layout) },
 };
@@ -43,18 +43,18 @@
     (char *)"name", -5, true, marjoram_bytes_create ("a\0b", 3), { items, 2 }
   };
   marjoram_bytes *packed = marjoram_wire_pack (&sample_layout, &sample);
-  struct sample *read
+  struct sample *unpacked
       = marjoram_wire_unpack (&sample_layout, marjoram_bytes_data (packed),
                               marjoram_bytes_size (packed), NULL);
 
-  ck_assert_ptr_nonnull (read);
-  ck_assert_str_eq (read->name, "name");
-  ck_assert_int_eq (read->change, -5);
-  ck_assert (read->good);
-  ck_assert_uint_eq (marjoram_bytes_size (read->body), 3);
-  ck_assert_uint_eq (read->items.count, 2);
-  ck_assert (((struct item *)read->items.items)[1].number == UINT64_MAX);
-  marjoram_wire_destroy (&sample_layout, read);
+  ck_assert_ptr_nonnull (unpacked);
+  ck_assert_str_eq (unpacked->name, "name");
+  ck_assert_int_eq (unpacked->delta, -5);
+  ck_assert (unpacked->valid);
+  ck_assert_uint_eq (marjoram_bytes_size (unpacked->body), 3);
+  ck_assert_uint_eq (unpacked->items.count, 2);
+  ck_assert (((struct item *)unpacked->items.items)[1].number == UINT64_MAX);
+  marjoram_wire_destroy (&sample_layout, unpacked);
   marjoram_bytes_release (packed);
   marjoram_bytes_release (sample.body);
 }
@@ -106,15 +106,16 @@
   ck_assert_int_eq (MARJORAM_FRAME_APPLY, 18);
   ck_assert_int_eq (MARJORAM_FRAME_HOST_BEAT, 21);
   ck_assert_int_eq (MARJORAM_FRAME_STATE_PIECE, 29);
-  for (enum marjoram_frame_type type = MARJORAM_FRAME_RESERVED_ASK;
-       type <= MARJORAM_FRAME_RESERVED_GIVE; type++)
+  for (enum marjoram_frame_type type = MARJORAM_FRAME_RESERVED_16;
+       type <= MARJORAM_FRAME_RESERVED_17; type++)
     {
       const struct marjoram_layout *layout = marjoram_frame_layout (type);
-      void *read = marjoram_wire_unpack (layout, marjoram_bytes_data (packed),
-                                         marjoram_bytes_size (packed), NULL);
+      void *unpacked
+          = marjoram_wire_unpack (layout, marjoram_bytes_data (packed),
+                                  marjoram_bytes_size (packed), NULL);
 
-      ck_assert_ptr_nonnull (read);
-      marjoram_wire_destroy (layout, read);
+      ck_assert_ptr_nonnull (unpacked);
+      marjoram_wire_destroy (layout, unpacked);
     }
   marjoram_bytes_release (packed);
 }
