--- a/src/header.c
+++ b/src/header.c
@@ -10,23 +10,23 @@
 bool
 marjoram_header_is_passed_on (const char *name)
 {
-  static const char *const own[] = { "Connection",
-                                     "Transfer-Encoding",
-                                     "Content-Length",
-                                     "Keep-Alive",
-                                     "Proxy-Connection",
-                                     "Upgrade",
-                                     "Trailer",
-                                     "TE",
-                                     "Date",
-                                     "Server",
-                                     "Host",
-                                     "Expect",
-                                     "Authorization",
-                                     "Idempotency-Key" };
+  static const char *const not_forwarded[] = { "Connection",
+                                               "Transfer-Encoding",
+                                               "Content-Length",
+                                               "Keep-Alive",
+                                               "Proxy-Connection",
+                                               "Upgrade",
+                                               "Trailer",
+                                               "TE",
+                                               "Date",
+                                               "Server",
+                                               "Host",
+                                               "Expect",
+                                               "Authorization",
+                                               "Idempotency-Key" };
 
-  for (size_t i = 0; i < sizeof own / sizeof *own; i++)
-    if (strcasecmp (name, own[i]) == 0)
+  for (size_t i = 0; i < sizeof not_forwarded / sizeof *not_forwarded; i++)
+    if (strcasecmp (name, not_forwarded[i]) == 0)
       return false;
   return strncasecmp (name, "Marjoram-", strlen ("Marjoram-")) != 0;
 }
