--- a/src/event_stream.c
+++ b/src/event_stream.c
@@ -8,8 +8,8 @@
 
 struct marjoram_event_stream
 {
-  struct evbuffer *torn; /* data of the incomplete event */
-  char last[MARJORAM_ID_MAX];
+  struct evbuffer *incomplete; /* data of the incomplete event */
+  char last_id[MARJORAM_ID_MAX];
   bool resumed;
 };
 
@@ -18,7 +18,7 @@
 {
   marjoram_event_stream *stream = marjoram_alloc (sizeof *stream);
 
-  stream->torn = evbuffer_new ();
+  stream->incomplete = evbuffer_new ();
   return stream;
 }
 
@@ -27,7 +27,7 @@
 {
   if (!stream)
     return;
-  evbuffer_free (stream->torn);
+  evbuffer_free (stream->incomplete);
   free (stream);
 }
 
@@ -35,12 +35,12 @@
 static size_t
 event_size (struct evbuffer *buffer)
 {
-  struct evbuffer_ptr lines = evbuffer_search (buffer, "\n\n", 2, NULL);
-  struct evbuffer_ptr both = evbuffer_search (buffer, "\r\n\r\n", 4, NULL);
+  struct evbuffer_ptr lf = evbuffer_search (buffer, "\n\n", 2, NULL);
+  struct evbuffer_ptr crlf = evbuffer_search (buffer, "\r\n\r\n", 4, NULL);
 
-  if (both.pos >= 0 && (lines.pos < 0 || both.pos < lines.pos))
-    return (size_t)both.pos + 4;
-  return lines.pos >= 0 ? (size_t)lines.pos + 2 : 0;
+  if (crlf.pos >= 0 && (lf.pos < 0 || crlf.pos < lf.pos))
+    return (size_t)crlf.pos + 4;
+  return lf.pos >= 0 ? (size_t)lf.pos + 2 : 0;
 }
 
 /* Stores the value of the event's id field in ID, or "" if it has none.  */
@@ -79,8 +79,8 @@
 static bool
 is_repeated (const marjoram_event_stream *stream, const char *id)
 {
-  return stream->resumed && *id && *stream->last
-         && strtoll (id, NULL, 10) <= strtoll (stream->last, NULL, 10);
+  return stream->resumed && *id && *stream->last_id
+         && strtoll (id, NULL, 10) <= strtoll (stream->last_id, NULL, 10);
 }
 
 size_t
@@ -90,22 +90,22 @@
   size_t events = 0;
   size_t length;
 
-  evbuffer_add (stream->torn, data, size);
-  while ((length = event_size (stream->torn)) > 0)
+  evbuffer_add (stream->incomplete, data, size);
+  while ((length = event_size (stream->incomplete)) > 0)
     {
       char id[MARJORAM_ID_MAX];
 
-      read_id (
-          (const char *)evbuffer_pullup (stream->torn, (ev_ssize_t)length),
-          length, id);
+      read_id ((const char *)evbuffer_pullup (stream->incomplete,
+                                              (ev_ssize_t)length),
+               length, id);
       if (is_repeated (stream, id))
         {
-          evbuffer_drain (stream->torn, length);
+          evbuffer_drain (stream->incomplete, length);
           continue;
         }
-      evbuffer_remove_buffer (stream->torn, out, length);
+      evbuffer_remove_buffer (stream->incomplete, out, length);
       if (*id)
-        snprintf (stream->last, sizeof stream->last, "%s", id);
+        snprintf (stream->last_id, sizeof stream->last_id, "%s", id);
       events++;
     }
   return events;
@@ -115,18 +115,19 @@
 marjoram_event_stream_finish (marjoram_event_stream *stream,
                               struct evbuffer *out)
 {
-  evbuffer_add_buffer (out, stream->torn);
+  evbuffer_add_buffer (out, stream->incomplete);
 }
 
 void
 marjoram_event_stream_resume (marjoram_event_stream *stream)
 {
-  evbuffer_drain (stream->torn, evbuffer_get_length (stream->torn));
+  evbuffer_drain (stream->incomplete,
+                  evbuffer_get_length (stream->incomplete));
   stream->resumed = true;
 }
 
 const char *
 marjoram_event_stream_last (const marjoram_event_stream *stream)
 {
-  return *stream->last ? stream->last : NULL;
+  return *stream->last_id ? stream->last_id : NULL;
 }
