--- a/src/outcall.c
+++ b/src/outcall.c
@@ -79,7 +79,7 @@
 
 void
 marjoram_outcalls_destroy (marjoram_outcalls *calls,
-                           void (*forget) (void *context))
+                           void (*release) (void *context))
 {
   struct outcall *call;
 
@@ -88,7 +88,7 @@
   while ((call = TAILQ_FIRST (&calls->all)))
     {
       /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
-      forget (call->context);
+      release (call->context);
       evhttp_connection_free (call->connection);
       outcall_destroy (call);
     }
@@ -151,7 +151,7 @@
       = marjoram_outcall_connect (calls->base, address);
   struct evhttp_request *request;
   struct outcall *call;
-  bool good;
+  bool started;
 
   if (!connection)
     return false;
@@ -168,11 +168,11 @@
                     strlen (body));
     }
   call->starting = true;
-  good = evhttp_make_request (connection, request,
-                              body ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path)
-         == 0;
+  started = evhttp_make_request (connection, request,
+                                 body ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path)
+            == 0;
   call->starting = false;
-  if (good)
+  if (started)
     return true;
   evhttp_connection_free (connection);
   outcall_destroy (call);
--- a/src/outcall.h
+++ b/src/outcall.h
@@ -24,10 +24,10 @@
                                   struct evhttp_connection *connection);
 
 marjoram_outcalls *marjoram_outcalls_create (struct event_base *base);
-/* Aborts pending calls without calling DONE; calls FORGET with their
+/* Aborts pending calls without calling DONE; calls RELEASE with their
    contexts.  */
 void marjoram_outcalls_destroy (marjoram_outcalls *calls,
-                                void (*forget) (void *context));
+                                void (*release) (void *context));
 /* Sends a POST with the JSON text BODY, or a GET if BODY is null.  If this
    returns true, DONE is called once, from the event loop.  */
 bool marjoram_outcall (marjoram_outcalls *calls, const char *address,
