--- a/src/ask_server.c
+++ b/src/ask_server.c
@@ -19,7 +19,7 @@
 
 struct pending
 {
-  uint64_t ask;
+  uint64_t request_id;
   marjoram_ask_server *server;
   struct evhttp_request *req;
   UT_hash_handle hh;
@@ -31,11 +31,11 @@
   const struct marjoram_ask_server_ops *ops;
   void *context;
   struct pending *pending;
-  uint64_t last_ask;
+  uint64_t last_request_id;
 };
 
 static void
-forget (struct pending *pending)
+pending_destroy (struct pending *pending)
 {
   HASH_DELETE (hh, pending->server->pending, pending);
   free (pending);
@@ -45,18 +45,19 @@
 connection_closed (struct evhttp_connection *connection, void *context)
 {
   (void)connection;
-  forget (context);
+  pending_destroy (context);
 }
 
 static struct pending *
-hold (marjoram_ask_server *server, struct evhttp_request *req)
+pending_create (marjoram_ask_server *server, struct evhttp_request *req)
 {
   struct pending *pending = marjoram_alloc (sizeof *pending);
 
-  pending->ask = ++server->last_ask;
+  pending->request_id = ++server->last_request_id;
   pending->server = server;
   pending->req = req;
-  HASH_ADD (hh, server->pending, ask, sizeof pending->ask, pending);
+  HASH_ADD (hh, server->pending, request_id, sizeof pending->request_id,
+            pending);
   evhttp_connection_set_closecb (evhttp_request_get_connection (req),
                                  connection_closed, pending);
   return pending;
@@ -87,11 +88,11 @@
   struct evbuffer *input = evhttp_request_get_input_buffer (req);
   size_t size = evbuffer_get_length (input);
   marjoram_auto_free char *body = marjoram_alloc (size + 1);
-  struct pending *pending = hold (server, req);
+  struct pending *pending = pending_create (server, req);
 
   evbuffer_remove (input, body, size);
   /* The callback may send the response, which frees PENDING.  */
-  server->ops->receive (server->context, pending->ask,
+  server->ops->receive (server->context, pending->request_id,
                         method_name (evhttp_request_get_command (req)),
                         evhttp_request_get_uri (req), body, size);
 }
@@ -145,14 +146,14 @@
 }
 
 void
-marjoram_ask_server_answer (marjoram_ask_server *server, uint64_t ask,
+marjoram_ask_server_answer (marjoram_ask_server *server, uint64_t request_id,
                             int status, const char *type, const char *body,
                             size_t size)
 {
   struct pending *pending;
   struct evbuffer *output;
 
-  HASH_FIND (hh, server->pending, &ask, sizeof ask, pending);
+  HASH_FIND (hh, server->pending, &request_id, sizeof request_id, pending);
   if (!pending)
     return;
   evhttp_connection_set_closecb (evhttp_request_get_connection (pending->req),
@@ -164,5 +165,5 @@
                        "Content-Type", type);
   evhttp_send_reply (pending->req, status, NULL, output);
   evbuffer_free (output);
-  forget (pending);
+  pending_destroy (pending);
 }
--- a/src/ask_server.h
+++ b/src/ask_server.h
@@ -14,7 +14,7 @@
 struct marjoram_ask_server_ops
 {
   /* BODY is NUL-terminated and only valid during the call.  */
-  void (*receive) (void *context, uint64_t ask, const char *method,
+  void (*receive) (void *context, uint64_t request_id, const char *method,
                    const char *target, const char *body, size_t size);
 };
 
@@ -28,10 +28,11 @@
 bool marjoram_ask_server_listen (marjoram_ask_server *server,
                                  const char *address,
                                  struct marjoram_error *err);
-/* Sends the response to ASK.  BODY may be null; TYPE is its media type.  Does
-   nothing if the connection has been closed.  */
-void marjoram_ask_server_answer (marjoram_ask_server *server, uint64_t ask,
-                                 int status, const char *type,
-                                 const char *body, size_t size);
+/* Sends the response to REQUEST_ID.  BODY may be null; TYPE is its media type.
+   Does nothing if the connection has been closed.  */
+void marjoram_ask_server_answer (marjoram_ask_server *server,
+                                 uint64_t request_id, int status,
+                                 const char *type, const char *body,
+                                 size_t size);
 
 #endif
