--- a/src/plain_call.c
+++ b/src/plain_call.c
@@ -17,16 +17,16 @@
 };
 
 static void
-on_answer (struct evhttp_request *answer, void *context)
+on_response (struct evhttp_request *response, void *context)
 {
   struct exchange *exchange = context;
 
-  if (answer && evhttp_request_get_response_code (answer) > 0)
+  if (response && evhttp_request_get_response_code (response) > 0)
     {
-      struct evbuffer *input = evhttp_request_get_input_buffer (answer);
+      struct evbuffer *input = evhttp_request_get_input_buffer (response);
       size_t size = evbuffer_get_length (input);
 
-      exchange->status = evhttp_request_get_response_code (answer);
+      exchange->status = evhttp_request_get_response_code (response);
       exchange->body = marjoram_alloc (size + 1);
       evbuffer_remove (input, exchange->body, size);
     }
@@ -49,7 +49,7 @@
   exchange.base = event_base_new ();
   connection = evhttp_connection_base_new (exchange.base, NULL, ip, port);
   evhttp_connection_set_timeout_tv (connection, &timeout);
-  request = evhttp_request_new (on_answer, &exchange);
+  request = evhttp_request_new (on_response, &exchange);
   evhttp_add_header (evhttp_request_get_output_headers (request), "Host", ip);
   if (call->body)
     evbuffer_add (evhttp_request_get_output_buffer (request), call->body,
