--- a/src/wire.c
+++ b/src/wire.c
@@ -61,30 +61,30 @@
 
 static void
 pack_field (msgpack_packer *packer, const struct marjoram_field *field,
-            const char *place)
+            const char *member)
 {
   switch (field->kind)
     {
     case MARJORAM_FIELD_UINT:
-      msgpack_pack_uint64 (packer, *(const uint64_t *)place);
+      msgpack_pack_uint64 (packer, *(const uint64_t *)member);
       break;
     case MARJORAM_FIELD_INT:
-      msgpack_pack_int64 (packer, *(const int64_t *)place);
+      msgpack_pack_int64 (packer, *(const int64_t *)member);
       break;
     case MARJORAM_FIELD_BOOL:
-      if (*(const bool *)place)
+      if (*(const bool *)member)
         msgpack_pack_true (packer);
       else
         msgpack_pack_false (packer);
       break;
     case MARJORAM_FIELD_STRING:
-      pack_string (packer, *(char *const *)place, field->limit);
+      pack_string (packer, *(char *const *)member, field->limit);
       break;
     case MARJORAM_FIELD_BYTES:
-      pack_bytes (packer, *(marjoram_bytes *const *)place, field->limit);
+      pack_bytes (packer, *(marjoram_bytes *const *)member, field->limit);
       break;
     case MARJORAM_FIELD_ARRAY:
-      pack_array (packer, (const struct marjoram_array *)place, field);
+      pack_array (packer, (const struct marjoram_array *)member, field);
       break;
     }
 }
@@ -118,7 +118,7 @@
                            struct marjoram_error *err);
 
 static bool
-wrong (const char *what, struct marjoram_error *err)
+field_error (const char *what, struct marjoram_error *err)
 {
   return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
                              "message field has the wrong %s; check that all "
@@ -127,7 +127,7 @@
 }
 
 static bool
-unpack_string (const struct marjoram_field *field, char *place,
+unpack_string (const struct marjoram_field *field, char *member,
                const msgpack_object *object, struct marjoram_error *err)
 {
   char *text;
@@ -135,9 +135,9 @@
   if (object->type == MSGPACK_OBJECT_NIL)
     return true;
   if (object->type != MSGPACK_OBJECT_STR)
-    return wrong ("type", err);
+    return field_error ("type", err);
   if (object->via.str.size > field->limit)
-    return wrong ("size", err);
+    return field_error ("size", err);
   text = marjoram_alloc (object->via.str.size + 1);
   /* msgpack-c represents an empty string by a null pointer.  */
   if (object->via.str.size)
@@ -146,38 +146,38 @@
   if (strlen (text) != object->via.str.size)
     {
       free (text);
-      return wrong ("characters", err);
+      return field_error ("characters", err);
     }
-  *(char **)place = text;
+  *(char **)member = text;
   return true;
 }
 
 static bool
-unpack_bytes (const struct marjoram_field *field, char *place,
+unpack_bytes (const struct marjoram_field *field, char *member,
               const msgpack_object *object, struct marjoram_error *err)
 {
   if (object->type == MSGPACK_OBJECT_NIL)
     return true;
   if (object->type != MSGPACK_OBJECT_BIN)
-    return wrong ("type", err);
+    return field_error ("type", err);
   if (object->via.bin.size > field->limit)
-    return wrong ("size", err);
-  *(marjoram_bytes **)place
+    return field_error ("size", err);
+  *(marjoram_bytes **)member
       = marjoram_bytes_create (object->via.bin.ptr, object->via.bin.size);
   return true;
 }
 
 static bool
-unpack_array (const struct marjoram_field *field, char *place,
+unpack_array (const struct marjoram_field *field, char *member,
               const msgpack_object *object, struct marjoram_error *err)
 {
-  struct marjoram_array *array = (struct marjoram_array *)place;
+  struct marjoram_array *array = (struct marjoram_array *)member;
   char *item;
 
   if (object->type != MSGPACK_OBJECT_ARRAY)
-    return wrong ("type", err);
+    return field_error ("type", err);
   if (object->via.array.size > field->limit)
-    return wrong ("size", err);
+    return field_error ("size", err);
   if (object->via.array.size == 0)
     return true;
   array->items = marjoram_alloc (object->via.array.size * field->layout->size);
@@ -190,38 +190,38 @@
 }
 
 static bool
-unpack_field (const struct marjoram_field *field, char *place,
+unpack_field (const struct marjoram_field *field, char *member,
               const msgpack_object *object, struct marjoram_error *err)
 {
   switch (field->kind)
     {
     case MARJORAM_FIELD_UINT:
       if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-        return wrong ("type", err);
-      *(uint64_t *)place = object->via.u64;
+        return field_error ("type", err);
+      *(uint64_t *)member = object->via.u64;
       return true;
     case MARJORAM_FIELD_INT:
       if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER
           && object->type != MSGPACK_OBJECT_NEGATIVE_INTEGER)
-        return wrong ("type", err);
+        return field_error ("type", err);
       if (object->type == MSGPACK_OBJECT_POSITIVE_INTEGER
           && object->via.u64 > INT64_MAX)
-        return wrong ("size", err);
-      *(int64_t *)place = object->via.i64;
+        return field_error ("size", err);
+      *(int64_t *)member = object->via.i64;
       return true;
     case MARJORAM_FIELD_BOOL:
       if (object->type != MSGPACK_OBJECT_BOOLEAN)
-        return wrong ("type", err);
-      *(bool *)place = object->via.boolean;
+        return field_error ("type", err);
+      *(bool *)member = object->via.boolean;
       return true;
     case MARJORAM_FIELD_STRING:
-      return unpack_string (field, place, object, err);
+      return unpack_string (field, member, object, err);
     case MARJORAM_FIELD_BYTES:
-      return unpack_bytes (field, place, object, err);
+      return unpack_bytes (field, member, object, err);
     case MARJORAM_FIELD_ARRAY:
-      return unpack_array (field, place, object, err);
+      return unpack_array (field, member, object, err);
     }
-  return wrong ("kind", err);
+  return field_error ("kind", err);
 }
 
 static bool
@@ -231,7 +231,7 @@
   size_t count;
 
   if (object->type != MSGPACK_OBJECT_ARRAY)
-    return wrong ("type", err);
+    return field_error ("type", err);
   count = object->via.array.size;
   if (count > layout->field_count)
     count = layout->field_count;
@@ -294,7 +294,7 @@
 }
 
 static struct item_extent
-extent (const uint8_t *data, size_t size)
+parse_extent (const uint8_t *data, size_t size)
 {
   size_t width = length_width (data[0]);
   uint64_t length;
@@ -318,13 +318,13 @@
    5-byte message could exhaust memory.  Each item takes at least one byte,
    which bounds the valid counts.  */
 static bool
-promises_hold (const uint8_t *data, size_t size)
+lengths_are_valid (const uint8_t *data, size_t size)
 {
   uint64_t pending = 1;
 
   while (pending > 0 && size > 0)
     {
-      struct item_extent item = extent (data, size);
+      struct item_extent item = parse_extent (data, size);
 
       if (item.size > size)
         return false;
@@ -346,7 +346,7 @@
   void *message = NULL;
 
   msgpack_unpacked_init (&unpacked);
-  if (promises_hold (data, size)
+  if (lengths_are_valid (data, size)
       && msgpack_unpack_next (&unpacked, data, size, &offset)
              == MSGPACK_UNPACK_SUCCESS
       && offset == size)
@@ -368,7 +368,7 @@
 }
 
 static void
-clear_field (const struct marjoram_field *field, char *place)
+clear_field (const struct marjoram_field *field, char *member)
 {
   struct marjoram_array *array;
   char *item;
@@ -376,15 +376,15 @@
   switch (field->kind)
     {
     case MARJORAM_FIELD_STRING:
-      free (*(char **)place);
-      *(char **)place = NULL;
+      free (*(char **)member);
+      *(char **)member = NULL;
       break;
     case MARJORAM_FIELD_BYTES:
-      marjoram_bytes_release (*(marjoram_bytes **)place);
-      *(marjoram_bytes **)place = NULL;
+      marjoram_bytes_release (*(marjoram_bytes **)member);
+      *(marjoram_bytes **)member = NULL;
       break;
     case MARJORAM_FIELD_ARRAY:
-      array = (struct marjoram_array *)place;
+      array = (struct marjoram_array *)member;
       item = array->items;
       for (size_t i = 0; i < array->count; i++, item += field->layout->size)
         marjoram_wire_clear (field->layout, item);
