--- a/src/message.c
+++ b/src/message.c
@@ -6,7 +6,7 @@
 
 struct marjoram_mailbox
 {
-  struct event *wake;
+  struct event *delivery_event;
   struct message_queue queue;
   void *context;
 };
@@ -38,7 +38,7 @@
 
   mailbox->context = context;
   STAILQ_INIT (&mailbox->queue);
-  mailbox->wake = event_new (base, -1, 0, deliver_all, mailbox);
+  mailbox->delivery_event = event_new (base, -1, 0, deliver_all, mailbox);
   return mailbox;
 }
 
@@ -54,7 +54,7 @@
       STAILQ_REMOVE_HEAD (&mailbox->queue, next);
       message->ops->destroy (message);
     }
-  event_free (mailbox->wake);
+  event_free (mailbox->delivery_event);
   free (mailbox);
 }
 
@@ -63,5 +63,5 @@
                        struct marjoram_message *message)
 {
   STAILQ_INSERT_TAIL (&mailbox->queue, message, next);
-  event_active (mailbox->wake, 0, 0);
+  event_active (mailbox->delivery_event, 0, 0);
 }
