--- a/src/compress.c
+++ b/src/compress.c
@@ -14,42 +14,42 @@
 };
 
 static void
-free_writer (ZSTD_CCtx **writer)
+free_cctx (ZSTD_CCtx **cctx)
 {
-  ZSTD_freeCCtx (*writer);
+  ZSTD_freeCCtx (*cctx);
 }
 
 static void
-free_reader (ZSTD_DCtx **reader)
+free_dctx (ZSTD_DCtx **dctx)
 {
-  ZSTD_freeDCtx (*reader);
+  ZSTD_freeDCtx (*dctx);
 }
 
 static void
-set_base (ZSTD_CCtx *writer, const marjoram_bytes *base)
+set_base (ZSTD_CCtx *cctx, const marjoram_bytes *base)
 {
   if (!base)
     return;
-  ZSTD_CCtx_setParameter (writer, ZSTD_c_windowLog, WINDOW_LOG);
-  ZSTD_CCtx_setParameter (writer, ZSTD_c_enableLongDistanceMatching, 1);
-  ZSTD_CCtx_refPrefix (writer, marjoram_bytes_data (base),
+  ZSTD_CCtx_setParameter (cctx, ZSTD_c_windowLog, WINDOW_LOG);
+  ZSTD_CCtx_setParameter (cctx, ZSTD_c_enableLongDistanceMatching, 1);
+  ZSTD_CCtx_refPrefix (cctx, marjoram_bytes_data (base),
                        marjoram_bytes_size (base));
 }
 
 marjoram_bytes *
 marjoram_compress (const marjoram_bytes *data, const marjoram_bytes *base)
 {
-  marjoram_auto (free_writer) ZSTD_CCtx *writer = ZSTD_createCCtx ();
-  size_t room = ZSTD_compressBound (marjoram_bytes_size (data));
-  marjoram_auto_free void *out = marjoram_alloc (room);
+  marjoram_auto (free_cctx) ZSTD_CCtx *cctx = ZSTD_createCCtx ();
+  size_t capacity = ZSTD_compressBound (marjoram_bytes_size (data));
+  marjoram_auto_free void *out = marjoram_alloc (capacity);
   size_t size;
 
-  if (!writer)
+  if (!cctx)
     abort ();
-  ZSTD_CCtx_setParameter (writer, ZSTD_c_compressionLevel, LEVEL);
-  ZSTD_CCtx_setParameter (writer, ZSTD_c_checksumFlag, 1);
-  set_base (writer, base);
-  size = ZSTD_compress2 (writer, out, room, marjoram_bytes_data (data),
+  ZSTD_CCtx_setParameter (cctx, ZSTD_c_compressionLevel, LEVEL);
+  ZSTD_CCtx_setParameter (cctx, ZSTD_c_checksumFlag, 1);
+  set_base (cctx, base);
+  size = ZSTD_compress2 (cctx, out, capacity, marjoram_bytes_data (data),
                          marjoram_bytes_size (data));
   /* OUT has the worst-case size, so this can only be an allocation failure. */
   if (ZSTD_isError (size))
@@ -61,13 +61,13 @@
 marjoram_decompress (const marjoram_bytes *data, const marjoram_bytes *base,
                      size_t limit, struct marjoram_error *err)
 {
-  marjoram_auto (free_reader) ZSTD_DCtx *reader = ZSTD_createDCtx ();
+  marjoram_auto (free_dctx) ZSTD_DCtx *dctx = ZSTD_createDCtx ();
   unsigned long long size = ZSTD_getFrameContentSize (
       marjoram_bytes_data (data), marjoram_bytes_size (data));
   marjoram_auto_free void *out = NULL;
-  size_t got;
+  size_t written;
 
-  if (!reader)
+  if (!dctx)
     abort ();
   if (size > limit) /* unknown sizes and errors are larger than any limit */
     {
@@ -77,16 +77,16 @@
       return NULL;
     }
   out = marjoram_alloc (size + 1);
-  ZSTD_DCtx_setParameter (reader, ZSTD_d_windowLogMax, WINDOW_LOG);
+  ZSTD_DCtx_setParameter (dctx, ZSTD_d_windowLogMax, WINDOW_LOG);
   if (base)
-    ZSTD_DCtx_refPrefix (reader, marjoram_bytes_data (base),
+    ZSTD_DCtx_refPrefix (dctx, marjoram_bytes_data (base),
                          marjoram_bytes_size (base));
-  got = ZSTD_decompressDCtx (reader, out, size, marjoram_bytes_data (data),
-                             marjoram_bytes_size (data));
-  if (!ZSTD_isError (got) && got == size)
+  written = ZSTD_decompressDCtx (dctx, out, size, marjoram_bytes_data (data),
+                                 marjoram_bytes_size (data));
+  if (!ZSTD_isError (written) && written == size)
     return marjoram_bytes_create (out, size);
   marjoram_error_set (err, MARJORAM_ERROR_INVALID,
                       "can't decompress data: %s; request it again",
-                      ZSTD_getErrorName (got));
+                      ZSTD_getErrorName (written));
   return NULL;
 }
