--- a/src/digest.h
+++ b/src/digest.h
@@ -10,9 +10,9 @@
   MARJORAM_DIGEST_TEXT = 2 * MARJORAM_DIGEST_BYTES /* hex digits */
 };
 
-/* Hashes COUNT strings, in order, and BODY, which may be null.  DIGEST
+/* Hashes COUNT STRINGS, in order, and BODY, which may be null.  DIGEST
    receives MARJORAM_DIGEST_TEXT hex digits and a NUL.  */
-void marjoram_digest_request (const char *const *texts, size_t count,
+void marjoram_digest_request (const char *const *strings, size_t count,
                               const marjoram_bytes *body, char *digest);
 
 #endif
