--- a/src/secret.c
+++ b/src/secret.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 static bool
-rights_fit (const char *path, struct marjoram_error *err)
+check_permissions (const char *path, struct marjoram_error *err)
 {
   struct stat st;
 
@@ -40,7 +40,7 @@
   size_t size;
   char *text;
 
-  if (!rights_fit (path, err))
+  if (!check_permissions (path, err))
     return NULL;
   text = marjoram_file_read (path, MARJORAM_SECRET_MAX, &size, err);
   if (!text)
@@ -62,7 +62,7 @@
 {
   uint8_t key[MARJORAM_SECRET_MIN];
   char text[2 * MARJORAM_SECRET_MIN + 1];
-  bool done;
+  bool written;
   int fd = open (path, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
 
   if (fd < 0)
@@ -73,11 +73,11 @@
   randombytes_buf (key, sizeof key);
   sodium_bin2hex (text, sizeof text, key, sizeof key);
   text[sizeof text - 1] = '\n';
-  done = write (fd, text, sizeof text) == (ssize_t)sizeof text
-         && fsync (fd) == 0;
+  written = write (fd, text, sizeof text) == (ssize_t)sizeof text
+            && fsync (fd) == 0;
   sodium_memzero (text, sizeof text);
   sodium_memzero (key, sizeof key);
-  if (close (fd) == 0 && done)
+  if (close (fd) == 0 && written)
     return true;
   unlink (path);
   return marjoram_error_set (err, MARJORAM_ERROR_IO,
@@ -87,7 +87,7 @@
 
 void
 marjoram_secret_prove (const char *secret, const void *data, size_t size,
-                       uint8_t code[MARJORAM_PROOF_SIZE])
+                       uint8_t mac[MARJORAM_PROOF_SIZE])
 {
   uint8_t key[crypto_auth_KEYBYTES];
 
@@ -95,16 +95,16 @@
     abort ();
   crypto_generichash (key, sizeof key, (const uint8_t *)secret,
                       strlen (secret), NULL, 0);
-  crypto_auth_hmacsha512256 (code, data, size, key);
+  crypto_auth_hmacsha512256 (mac, data, size, key);
   sodium_memzero (key, sizeof key);
 }
 
 bool
 marjoram_secret_verify (const char *secret, const void *data, size_t size,
-                        const uint8_t code[MARJORAM_PROOF_SIZE])
+                        const uint8_t mac[MARJORAM_PROOF_SIZE])
 {
   uint8_t expected[MARJORAM_PROOF_SIZE];
 
   marjoram_secret_prove (secret, data, size, expected);
-  return sodium_memcmp (expected, code, sizeof expected) == 0;
+  return sodium_memcmp (expected, mac, sizeof expected) == 0;
 }
--- a/src/secret.h
+++ b/src/secret.h
@@ -24,9 +24,9 @@
 /* Computes a keyed hash of DATA.  Different uses of the secret must use
    distinct DATA, so that a hash can't be replayed for another use.  */
 void marjoram_secret_prove (const char *secret, const void *data, size_t size,
-                            uint8_t code[MARJORAM_PROOF_SIZE]);
+                            uint8_t mac[MARJORAM_PROOF_SIZE]);
 /* Compares in constant time.  */
 bool marjoram_secret_verify (const char *secret, const void *data, size_t size,
-                             const uint8_t code[MARJORAM_PROOF_SIZE]);
+                             const uint8_t mac[MARJORAM_PROOF_SIZE]);
 
 #endif
