--- a/src/keepalive.c
+++ b/src/keepalive.c
@@ -27,7 +27,7 @@
 struct marjoram_keepalive
 {
   struct event_base *base;
-  TAILQ_HEAD (, idle) idles;
+  TAILQ_HEAD (, idle) idle_connections;
   size_t count;
 };
 
@@ -37,14 +37,14 @@
   marjoram_keepalive *keepalive = marjoram_alloc (sizeof *keepalive);
 
   keepalive->base = base;
-  TAILQ_INIT (&keepalive->idles);
+  TAILQ_INIT (&keepalive->idle_connections);
   return keepalive;
 }
 
 static void
 idle_destroy (struct idle *idle)
 {
-  TAILQ_REMOVE (&idle->keepalive->idles, idle, next);
+  TAILQ_REMOVE (&idle->keepalive->idle_connections, idle, next);
   idle->keepalive->count--;
   evhttp_connection_set_closecb (idle->connection, NULL, NULL);
   event_free (idle->timer);
@@ -58,7 +58,7 @@
 
   if (!keepalive)
     return;
-  while ((idle = TAILQ_FIRST (&keepalive->idles)))
+  while ((idle = TAILQ_FIRST (&keepalive->idle_connections)))
     {
       /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
       struct evhttp_connection *connection = idle->connection;
@@ -112,7 +112,7 @@
   idle->timer = evtimer_new (keepalive->base, on_timeout, idle);
   evtimer_add (idle->timer, &limit);
   evhttp_connection_set_closecb (connection, on_closed, idle);
-  TAILQ_INSERT_HEAD (&keepalive->idles, idle, next);
+  TAILQ_INSERT_HEAD (&keepalive->idle_connections, idle, next);
   keepalive->count++;
 }
 
@@ -121,7 +121,7 @@
 {
   struct idle *idle;
 
-  TAILQ_FOREACH (idle, &keepalive->idles, next)
+  TAILQ_FOREACH (idle, &keepalive->idle_connections, next)
   {
     struct evhttp_connection *connection = idle->connection;
 
