--- a/test/test_http.c
+++ b/test/test_http.c
@@ -20,11 +20,11 @@
 {
   LIMIT_MS = 5000,
   TEXT_MAX = 4096,
-  QUEUE = 4,             /* a listener, and connections to fill its backlog */
-  CONNECT_LATE_MS = 700, /* above the connect timeout */
-  GRACE_MS = 200,        /* of a server that closes idle connections */
-  SOON_MS = 600,         /* grace period, tick and close by the caller */
-  LATE_MS = 400,         /* well after the grace period */
+  BACKLOG_SOCKETS = 4,  /* a listener, and connections to fill its backlog */
+  CONNECT_LAG_MS = 700, /* above the connect timeout */
+  GRACE_MS = 200,       /* of a server that closes idle connections */
+  CLOSE_MAX_MS = 600,   /* grace period, tick and close by the caller */
+  AFTER_GRACE_MS = 400, /* well after the grace period */
   LARGE_BYTES = 9 * 1024 * 1024 /* exceeds the socket buffers */
 };
 
@@ -32,7 +32,7 @@
 static marjoram_http_server *server;
 static char server_address[64];
 static struct bufferevent *raw; /* connection to the server */
-static char got[TEXT_MAX];      /* data received on RAW */
+static char received[TEXT_MAX]; /* data received on RAW */
 static bool raw_closed;
 static int requests;
 static int gone;
@@ -88,10 +88,13 @@
 static void
 on_raw_read (struct bufferevent *bev, void *context)
 {
-  size_t used = strlen (got);
+  size_t used = strlen (received);
 
   (void)context;
-  got[used + bufferevent_read (bev, got + used, sizeof got - used - 1)] = 0;
+  received[used
+           + bufferevent_read (bev, received + used,
+                               sizeof received - used - 1)]
+      = 0;
 }
 
 static void
@@ -106,16 +109,15 @@
 static void
 connect_raw (void)
 {
-  struct sockaddr_storage where;
-  int size = sizeof where;
+  struct sockaddr_storage addr;
+  int size = sizeof addr;
 
-  evutil_parse_sockaddr_port (server_address, (struct sockaddr *)&where,
-                              &size);
+  evutil_parse_sockaddr_port (server_address, (struct sockaddr *)&addr, &size);
   raw = bufferevent_socket_new (base, -1, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb (raw, on_raw_read, NULL, on_raw_event, NULL);
   bufferevent_enable (raw, EV_READ | EV_WRITE);
-  bufferevent_socket_connect (raw, (struct sockaddr *)&where, size);
-  got[0] = 0;
+  bufferevent_socket_connect (raw, (struct sockaddr *)&addr, size);
+  received[0] = 0;
   raw_closed = false;
 }
 
@@ -129,7 +131,7 @@
   while (!done ())
     {
       ck_assert_msg (marjoram_clock_now (clock) < end,
-                     "timed out; received: %s", got);
+                     "timed out; received: %s", received);
       event_base_loop (base, EVLOOP_NONBLOCK);
       if (server)
         marjoram_http_server_tick (server);
@@ -137,12 +139,13 @@
 }
 
 static bool
-two_answers (void)
+has_two_responses (void)
 {
-  const char *first = strstr (got, "HTTP/1.1 200");
+  const char *first = strstr (received, "HTTP/1.1 200");
 
-  return first && strstr (first + 1, "HTTP/1.1 200") && strstr (got, "okHTTP")
-         && strlen (got) > 4 && strcmp (got + strlen (got) - 2, "ok") == 0;
+  return first && strstr (first + 1, "HTTP/1.1 200")
+         && strstr (received, "okHTTP") && strlen (received) > 4
+         && strcmp (received + strlen (received) - 2, "ok") == 0;
 }
 
 static bool
@@ -158,7 +161,7 @@
 }
 
 static bool
-is_held (void)
+is_request_pending (void)
 {
   return requests > 0;
 }
@@ -203,17 +206,18 @@
 }
 
 static void
-say (const char *text)
+send_text (const char *text)
 {
   bufferevent_write (raw, text, strlen (text));
 }
 
 START_TEST (kept_connection_serves_in_order)
 {
-  say ("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
-       "POST /b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-       "2\r\nde\r\n1\r\nf\r\n0\r\n\r\n");
-  run_until (two_answers);
+  send_text (
+      "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+      "POST /b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+      "2\r\nde\r\n1\r\nf\r\n0\r\n\r\n");
+  run_until (has_two_responses);
   ck_assert_int_eq (requests, 2);
   ck_assert_str_eq (last_target, "/b");
   ck_assert_str_eq (last_body, "def");
@@ -240,10 +244,10 @@
     {
       bufferevent_free (raw);
       connect_raw ();
-      say (texts[i]);
+      send_text (texts[i]);
       run_until (is_closed);
-      ck_assert_msg (strstr (got, "HTTP/1.1 400") == got, "case %zu: %s", i,
-                     got);
+      ck_assert_msg (strstr (received, "HTTP/1.1 400") == received,
+                     "case %zu: %s", i, received);
     }
   ck_assert_int_eq (requests, 0);
 }
@@ -255,21 +259,21 @@
   char long_head[400];
 
   marjoram_http_server_set_limits (server, &limits);
-  say ("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n");
+  send_text ("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\n");
   run_until (is_closed);
-  ck_assert (strstr (got, "HTTP/1.1 413") == got);
+  ck_assert (strstr (received, "HTTP/1.1 413") == received);
   bufferevent_free (raw);
   connect_raw ();
   snprintf (long_head, sizeof long_head,
             "GET / HTTP/1.1\r\nHost: x\r\nLong: %0300d\r\n\r\n", 7);
-  say (long_head);
+  send_text (long_head);
   run_until (is_closed);
-  ck_assert (strstr (got, "HTTP/1.1 431") == got);
+  ck_assert (strstr (received, "HTTP/1.1 431") == received);
   bufferevent_free (raw);
   connect_raw ();
-  say ("GET / HTTP/1.1\r\nHo");
+  send_text ("GET / HTTP/1.1\r\nHo");
   run_until (is_closed);
-  ck_assert (strstr (got, "HTTP/1.1 408") == got);
+  ck_assert (strstr (received, "HTTP/1.1 408") == received);
   ck_assert_int_eq (rejected, 408);
 }
 END_TEST
@@ -278,8 +282,8 @@
    upstream request can be cancelled.  */
 START_TEST (caller_that_leaves_is_noticed)
 {
-  say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-  run_until (is_held);
+  send_text ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
+  run_until (is_request_pending);
   bufferevent_free (raw);
   run_until (is_gone);
   connect_raw ();
@@ -290,10 +294,10 @@
 START_TEST (draining_closes_after_the_answer)
 {
   marjoram_http_server_drain (server);
-  say ("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  send_text ("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   run_until (is_closed);
-  ck_assert (strstr (got, "Connection: close"));
-  ck_assert (strstr (got, "\r\n\r\nok"));
+  ck_assert (strstr (received, "Connection: close"));
+  ck_assert (strstr (received, "\r\n\r\nok"));
 }
 END_TEST
 
@@ -337,11 +341,12 @@
 }
 
 static void
-assert_last_answer (void)
+assert_last_response (void)
 {
   run_until (is_closed);
-  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no response: %s", got);
-  ck_assert_msg (strstr (got, "Connection: close"), "not closed: %s", got);
+  ck_assert_msg (strstr (received, "\r\n\r\nok"), "no response: %s", received);
+  ck_assert_msg (strstr (received, "Connection: close"), "not closed: %s",
+                 received);
 }
 
 /* A request that is still unread in the socket when idle connections are
@@ -352,7 +357,7 @@
   marjoram_http_server_drain (server);
   send_now (PLAIN);
   marjoram_http_server_close_idle (server);
-  assert_last_answer ();
+  assert_last_response ();
 }
 END_TEST
 
@@ -363,7 +368,7 @@
   marjoram_http_server_drain (server);
   send_now (PLAIN);
   marjoram_http_server_close_idle (server);
-  assert_last_answer ();
+  assert_last_response ();
 }
 END_TEST
 
@@ -379,7 +384,7 @@
   usleep (GRACE_MS * 1000);
   send_now (PLAIN);
   marjoram_http_server_tick (server);
-  assert_last_answer ();
+  assert_last_response ();
 }
 END_TEST
 
@@ -389,13 +394,13 @@
 {
   struct marjoram_header_list headers = { 0 };
 
-  say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n" PLAIN);
-  run_until (is_held);
+  send_text ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n" PLAIN);
+  run_until (is_request_pending);
   marjoram_http_server_head (server, last_call, 200, &headers, 0);
   marjoram_http_server_end (server, last_call);
   marjoram_http_server_drain (server);
   marjoram_http_server_close_idle (server);
-  assert_last_answer ();
+  assert_last_response ();
   ck_assert_int_eq (requests, 2);
 }
 END_TEST
@@ -405,8 +410,8 @@
 START_TEST (draining_answers_what_came_together)
 {
   marjoram_http_server_drain (server);
-  say (PLAIN PLAIN);
-  assert_last_answer ();
+  send_text (PLAIN PLAIN);
+  assert_last_response ();
   ck_assert_int_eq (requests, 2);
 }
 END_TEST
@@ -420,7 +425,7 @@
   run_for (GRACE_MS / 4);
   ck_assert (!raw_closed);
   send_now (PLAIN);
-  assert_last_answer ();
+  assert_last_response ();
 }
 END_TEST
 
@@ -434,7 +439,7 @@
   marjoram_http_server_drain (server);
   marjoram_http_server_close_idle (server);
   run_until (is_closed);
-  ck_assert_int_lt (marjoram_clock_now (clock) - start, SOON_MS);
+  ck_assert_int_lt (marjoram_clock_now (clock) - start, CLOSE_MAX_MS);
   bufferevent_free (raw);
   run_until (is_empty);
   connect_raw ();
@@ -447,20 +452,20 @@
 {
   struct marjoram_header_list headers = { 0 };
 
-  say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-  run_until (is_held);
+  send_text ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
+  run_until (is_request_pending);
   marjoram_http_server_head (server, last_call, 200, &headers, 2);
   marjoram_http_server_drain (server);
   marjoram_http_server_close_idle (server);
-  run_for (LATE_MS);
+  run_for (AFTER_GRACE_MS);
   marjoram_http_server_data (server, last_call, "ok", 2);
   marjoram_http_server_end (server, last_call);
   run_until (is_closed);
-  ck_assert (strstr (got, "\r\n\r\nok"));
+  ck_assert (strstr (received, "\r\n\r\nok"));
 }
 END_TEST
 
-static size_t large_got;
+static size_t large_received;
 
 static void
 on_large_read (struct bufferevent *bev, void *context)
@@ -468,7 +473,7 @@
   struct evbuffer *input = bufferevent_get_input (bev);
 
   (void)context;
-  large_got += evbuffer_get_length (input);
+  large_received += evbuffer_get_length (input);
   evbuffer_drain (input, evbuffer_get_length (input));
 }
 
@@ -483,17 +488,17 @@
       = ev_token_bucket_cfg_new (LARGE_BYTES / 3, LARGE_BYTES / 3,
                                  LARGE_BYTES / 3, LARGE_BYTES / 3, &second);
 
-  say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-  run_until (is_held);
+  send_text ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
+  run_until (is_request_pending);
   marjoram_http_server_drain (server);
   bufferevent_setcb (raw, on_large_read, NULL, on_raw_event, NULL);
   bufferevent_set_rate_limit (raw, slow);
-  large_got = 0;
+  large_received = 0;
   marjoram_http_server_head (server, last_call, 200, &headers, LARGE_BYTES);
   marjoram_http_server_data (server, last_call, body, LARGE_BYTES);
   marjoram_http_server_end (server, last_call);
   run_until (is_closed);
-  ck_assert_uint_gt (large_got, LARGE_BYTES);
+  ck_assert_uint_gt (large_received, LARGE_BYTES);
   bufferevent_set_rate_limit (raw, NULL);
   ev_token_bucket_cfg_free (slow);
   free (body);
@@ -512,7 +517,7 @@
   send_now (PLAIN);
   marjoram_http_server_tick (server);
   run_until (is_closed);
-  ck_assert_msg (strstr (got, "\r\n\r\nok"), "no response: %s", got);
+  ck_assert_msg (strstr (received, "\r\n\r\nok"), "no response: %s", received);
 }
 END_TEST
 
@@ -520,14 +525,14 @@
 {
   struct marjoram_header_list headers = { 0 };
 
-  say ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-  run_until (is_held);
+  send_text ("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
+  run_until (is_request_pending);
   marjoram_http_server_head (server, last_call, 200, &headers, -1);
   marjoram_http_server_data (server, last_call, "part", 4);
   marjoram_http_server_cut (server, last_call);
   run_until (is_closed);
-  ck_assert (strstr (got, "4\r\npart\r\n"));
-  ck_assert (!strstr (got, "0\r\n\r\n"));
+  ck_assert (strstr (received, "4\r\npart\r\n"));
+  ck_assert (!strstr (received, "0\r\n\r\n"));
 }
 END_TEST
 
@@ -535,12 +540,12 @@
 
 static struct evconnlistener *listener;
 static char upstream_address[64];
-static const char *script; /* response to each request */
-static bool reset_after;   /* reset the connection after the response */
-static bool close_after;
+static const char *script;        /* response to each request */
+static bool reset_after_response; /* reset the connection after the response */
+static bool close_after_response;
 static int connections;
 static int ends;
-static enum marjoram_http_end last_end;
+static enum marjoram_http_end last_outcome;
 static int heads;
 static char data[TEXT_MAX];
 
@@ -566,10 +571,10 @@
     return;
   evbuffer_drain (input, evbuffer_get_length (input));
   send (bufferevent_getfd (bev), script, strlen (script), 0);
-  if (reset_after)
+  if (reset_after_response)
     setsockopt (bufferevent_getfd (bev), SOL_SOCKET, SO_LINGER, &hard,
                 sizeof hard);
-  if (reset_after || close_after)
+  if (reset_after_response || close_after_response)
     close_accepted ();
 }
 
@@ -599,8 +604,8 @@
 }
 
 static bool
-op_head (void *context, uint64_t attempt, int status,
-         struct marjoram_header_list *headers)
+on_client_head (void *context, uint64_t attempt, int status,
+                struct marjoram_header_list *headers)
 {
   const char *id = marjoram_header_list_get (headers, "Id");
 
@@ -614,7 +619,8 @@
 }
 
 static void
-op_data (void *context, uint64_t attempt, const char *bytes, size_t size)
+on_client_data (void *context, uint64_t attempt, const char *bytes,
+                size_t size)
 {
   (void)context;
   (void)attempt;
@@ -622,30 +628,30 @@
 }
 
 static void
-op_end (void *context, uint64_t attempt, enum marjoram_http_end how)
+on_client_end (void *context, uint64_t attempt, enum marjoram_http_end outcome)
 {
   (void)context;
   (void)attempt;
   ends++;
-  last_end = how;
+  last_outcome = outcome;
 }
 
 static void
-op_address (void *context, const char *address)
+on_client_address (void *context, const char *address)
 {
   (void)context;
   (void)address;
 }
 
 static const struct marjoram_http_client_ops client_ops
-    = { .head = op_head,
-        .data = op_data,
-        .end = op_end,
-        .lost = op_address,
-        .connected = op_address };
+    = { .head = on_client_head,
+        .data = on_client_data,
+        .end = on_client_end,
+        .lost = on_client_address,
+        .connected = on_client_address };
 
 static bool
-has_ended (void)
+is_attempt_ended (void)
 {
   return ends > 0;
 }
@@ -655,22 +661,22 @@
 static void
 client_setup (void)
 {
-  struct sockaddr_in where = { .sin_family = AF_INET };
-  socklen_t size = sizeof where;
+  struct sockaddr_in addr = { .sin_family = AF_INET };
+  socklen_t size = sizeof addr;
 
   signal (SIGPIPE, SIG_IGN);
   base = event_base_new ();
-  where.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
+  addr.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   listener
       = evconnlistener_new_bind (base, on_accept, NULL, LEV_OPT_CLOSE_ON_FREE,
-                                 -1, (struct sockaddr *)&where, sizeof where);
-  getsockname (evconnlistener_get_fd (listener), (struct sockaddr *)&where,
+                                 -1, (struct sockaddr *)&addr, sizeof addr);
+  getsockname (evconnlistener_get_fd (listener), (struct sockaddr *)&addr,
                &size);
   snprintf (upstream_address, sizeof upstream_address, "127.0.0.1:%d",
-            ntohs (where.sin_port));
+            ntohs (addr.sin_port));
   client = marjoram_http_client_create (base, marjoram_clock_system (),
                                         &client_ops, NULL);
-  reset_after = close_after = false;
+  reset_after_response = close_after_response = false;
   connections = 0;
 }
 
@@ -686,7 +692,7 @@
 }
 
 static void
-start_exchange (const char *answer)
+start_exchange (const char *response)
 {
   static uint64_t attempts;
   static const char text[] = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -694,7 +700,7 @@
   const struct marjoram_http_send out
       = { ++attempts, upstream_address, message, false, false };
 
-  script = answer;
+  script = response;
   ends = heads = 0;
   data[0] = 0;
   marjoram_http_client_send (client, &out);
@@ -702,20 +708,20 @@
 }
 
 static enum marjoram_http_end
-exchange (const char *answer)
+exchange (const char *response)
 {
-  start_exchange (answer);
-  run_until (has_ended);
-  return last_end;
+  start_exchange (response);
+  run_until (is_attempt_ended);
+  return last_outcome;
 }
 
 START_TEST (connection_is_kept)
 {
-  static const char answer[]
+  static const char response[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
   ck_assert_str_eq (data, "hi");
   ck_assert_int_eq (connections, 1);
 }
@@ -725,14 +731,14 @@
    the event loop has not processed the close yet.  */
 START_TEST (closed_connection_is_not_used)
 {
-  static const char answer[]
+  static const char response[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
   /* bufferevent_free closes the socket later, so shut it down now.  */
   shutdown (bufferevent_getfd (accepted), SHUT_RDWR);
   close_accepted ();
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
   ck_assert_int_eq (connections, 2);
 }
 END_TEST
@@ -741,19 +747,19 @@
    after a reset.  */
 START_TEST (answer_without_length)
 {
-  static const char answer[] = "HTTP/1.1 200 OK\r\n\r\nhalf";
+  static const char response[] = "HTTP/1.1 200 OK\r\n\r\nhalf";
 
-  close_after = true;
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
+  close_after_response = true;
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
   ck_assert_str_eq (data, "half");
-  reset_after = true;
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_BROKEN);
+  reset_after_response = true;
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_BROKEN);
 }
 END_TEST
 
 START_TEST (cut_answers_are_broken)
 {
-  close_after = true;
+  close_after_response = true;
   ck_assert_int_eq (
       exchange ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
       MARJORAM_HTTP_BROKEN);
@@ -780,12 +786,12 @@
 /* A connection with trailing bytes after a response must not be reused.  */
 START_TEST (extra_bytes_end_the_connection)
 {
-  static const char answer[]
+  static const char response[]
       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiextra";
 
-  ck_assert_int_eq (exchange (answer), MARJORAM_HTTP_COMPLETE);
+  ck_assert_int_eq (exchange (response), MARJORAM_HTTP_COMPLETE);
   ck_assert_str_eq (data, "hi");
-  exchange (answer);
+  exchange (response);
   ck_assert_int_eq (connections, 2);
 }
 END_TEST
@@ -813,43 +819,43 @@
 /* Replaces the listener by one with a full backlog, so that connects neither
    succeed nor fail.  */
 static void
-fill_queue (int filler[QUEUE])
+fill_backlog (int sockets[BACKLOG_SOCKETS])
 {
-  struct sockaddr_storage where;
-  int size = sizeof where;
+  struct sockaddr_storage addr;
+  int size = sizeof addr;
   const int one = 1;
 
-  evutil_parse_sockaddr_port (upstream_address, (struct sockaddr *)&where,
+  evutil_parse_sockaddr_port (upstream_address, (struct sockaddr *)&addr,
                               &size);
   evconnlistener_free (listener);
   listener = NULL;
-  for (int i = 0; i < QUEUE; i++)
-    filler[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-  setsockopt (filler[0], SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  for (int i = 0; i < BACKLOG_SOCKETS; i++)
+    sockets[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+  setsockopt (sockets[0], SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   ck_assert_int_eq (
-      bind (filler[0], (struct sockaddr *)&where, (socklen_t)size), 0);
-  ck_assert_int_eq (listen (filler[0], 0), 0);
-  for (int i = 1; i < QUEUE; i++)
-    (void)connect (filler[i], (struct sockaddr *)&where, (socklen_t)size);
+      bind (sockets[0], (struct sockaddr *)&addr, (socklen_t)size), 0);
+  ck_assert_int_eq (listen (sockets[0], 0), 0);
+  for (int i = 1; i < BACKLOG_SOCKETS; i++)
+    (void)connect (sockets[i], (struct sockaddr *)&addr, (socklen_t)size);
 }
 
 /* While this host lags behind its network events, the connect timeout must not
    report reachable upstreams as unreachable.  */
 START_TEST (late_host_waits_for_a_connection)
 {
-  int filler[QUEUE];
+  int sockets[BACKLOG_SOCKETS];
 
-  fill_queue (filler);
+  fill_backlog (sockets);
   start_exchange ("");
-  usleep (CONNECT_LATE_MS * 1000);
-  marjoram_http_client_tick (client, CONNECT_LATE_MS);
+  usleep (CONNECT_LAG_MS * 1000);
+  marjoram_http_client_tick (client, CONNECT_LAG_MS);
   event_base_loop (base, EVLOOP_NONBLOCK);
   ck_assert_int_eq (ends, 0);
   marjoram_http_client_tick (client, 0);
-  run_until (has_ended);
-  ck_assert_int_eq (last_end, MARJORAM_HTTP_UNSENT);
-  for (int i = 0; i < QUEUE; i++)
-    close (filler[i]);
+  run_until (is_attempt_ended);
+  ck_assert_int_eq (last_outcome, MARJORAM_HTTP_UNSENT);
+  for (int i = 0; i < BACKLOG_SOCKETS; i++)
+    close (sockets[i]);
 }
 END_TEST
 
