--- a/test/test_compress.c
+++ b/test/test_compress.c
@@ -19,13 +19,13 @@
 static marjoram_bytes *
 make_config (int changed)
 {
-  size_t room = (size_t)ROUTES * ROUTE_MAX;
-  marjoram_auto_free char *text = marjoram_alloc (room);
+  size_t capacity = (size_t)ROUTES * ROUTE_MAX;
+  marjoram_auto_free char *text = marjoram_alloc (capacity);
   size_t size = 0;
 
   for (int i = 0; i < ROUTES; i++)
     size += (size_t)snprintf (
-        text + size, room - size,
+        text + size, capacity - size,
         "{\"name\":\"r-%x\",\"path\":\"/%x/\",\"timeout\":%d}",
         (unsigned)i * 2654435761U, (unsigned)i * 40503U,
         i == changed ? 500 : 4000);
@@ -48,10 +48,10 @@
       = make_config (-1);
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *packed
       = marjoram_compress (data, NULL);
-  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *again
+  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *unpacked
       = marjoram_decompress (packed, NULL, LIMIT, NULL);
 
-  expect_same (data, again);
+  expect_same (data, unpacked);
   ck_assert_uint_lt (marjoram_bytes_size (packed),
                      marjoram_bytes_size (data) / 3);
 }
@@ -65,10 +65,10 @@
       = make_config (4711);
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *packed
       = marjoram_compress (data, base);
-  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *again
+  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *unpacked
       = marjoram_decompress (packed, base, LIMIT, NULL);
 
-  expect_same (data, again);
+  expect_same (data, unpacked);
   ck_assert_uint_lt (marjoram_bytes_size (packed), 1000);
 }
 END_TEST
