--- a/src/outcall.c
+++ b/src/outcall.c
@@ -14,7 +14,7 @@
   MSEC_PER_SEC = 1000
 };
 
-struct outcall
+struct upstream_call
 {
   marjoram_outcalls *calls;
   struct evhttp_connection *connection;
@@ -22,13 +22,13 @@
   void *context;
   bool timed_out;
   bool starting; /* evhttp may call on_done from evhttp_make_request */
-  TAILQ_ENTRY (outcall) next;
+  TAILQ_ENTRY (upstream_call) next;
 };
 
 struct marjoram_outcalls
 {
   struct event_base *base;
-  TAILQ_HEAD (, outcall) all;
+  TAILQ_HEAD (, upstream_call) all;
 };
 
 struct evhttp_connection *
@@ -71,7 +71,7 @@
 }
 
 static void
-outcall_destroy (struct outcall *call)
+upstream_call_destroy (struct upstream_call *call)
 {
   TAILQ_REMOVE (&call->calls->all, call, next);
   free (call);
@@ -81,7 +81,7 @@
 marjoram_outcalls_destroy (marjoram_outcalls *calls,
                            void (*release) (void *context))
 {
-  struct outcall *call;
+  struct upstream_call *call;
 
   if (!calls)
     return;
@@ -90,7 +90,7 @@
       /* False positive on TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
       release (call->context);
       evhttp_connection_free (call->connection);
-      outcall_destroy (call);
+      upstream_call_destroy (call);
     }
   free (calls);
 }
@@ -98,7 +98,7 @@
 static void
 on_error (enum evhttp_request_error error, void *context)
 {
-  struct outcall *call = context;
+  struct upstream_call *call = context;
 
   call->timed_out = error == EVREQ_HTTP_TIMEOUT;
 }
@@ -115,7 +115,7 @@
 static void
 on_done (struct evhttp_request *request, void *context)
 {
-  struct outcall *call = context;
+  struct upstream_call *call = context;
   int status = request ? evhttp_request_get_response_code (request) : 0;
 
   if (call->starting)
@@ -123,14 +123,15 @@
   call->done (call->context, status, call->timed_out,
               status ? retry_after (request) : 0);
   marjoram_outcall_free_later (call->calls->base, call->connection);
-  outcall_destroy (call);
+  upstream_call_destroy (call);
 }
 
-static struct outcall *
-outcall_create (marjoram_outcalls *calls, struct evhttp_connection *connection,
-                int64_t timeout_ms, marjoram_outcall_done *done, void *context)
+static struct upstream_call *
+upstream_call_create (marjoram_outcalls *calls,
+                      struct evhttp_connection *connection, int64_t timeout_ms,
+                      marjoram_outcall_done *done, void *context)
 {
-  struct outcall *call = marjoram_alloc (sizeof *call);
+  struct upstream_call *call = marjoram_alloc (sizeof *call);
   struct timeval limit = marjoram_clock_timeval (timeout_ms);
 
   call->calls = calls;
@@ -150,12 +151,12 @@
   struct evhttp_connection *connection
       = marjoram_outcall_connect (calls->base, address);
   struct evhttp_request *request;
-  struct outcall *call;
+  struct upstream_call *call;
   bool started;
 
   if (!connection)
     return false;
-  call = outcall_create (calls, connection, timeout_ms, done, context);
+  call = upstream_call_create (calls, connection, timeout_ms, done, context);
   request = evhttp_request_new (on_done, call);
   evhttp_request_set_error_cb (request, on_error);
   evhttp_add_header (evhttp_request_get_output_headers (request), "Host",
@@ -175,6 +176,6 @@
   if (started)
     return true;
   evhttp_connection_free (connection);
-  outcall_destroy (call);
+  upstream_call_destroy (call);
   return false;
 }
