--- a/src/header.h
+++ b/src/header.h
@@ -6,8 +6,8 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Whether header NAME is forwarded.  False for hop-by-hop headers, credentials
-   and headers that the hosts set or read themselves.  */
+/* Whether header NAME is forwarded.  False for headers of the connection,
+   Authorization, and headers that the hosts set or read themselves.  */
 bool marjoram_header_is_passed_on (const char *name);
 /* Counts the headers called NAME.  VALUE, unless null, receives the value of
    the last one, if any.  */
--- a/test/test_header.c
+++ b/test/test_header.c
@@ -22,8 +22,8 @@
   evhttp_clear_headers (&headers);
 }
 
-/* Internal headers, credentials and hop-by-hop headers must not reach an
-   upstream.  */
+/* Internal headers, Authorization and headers of the connection must not reach
+   an upstream.  */
 START_TEST (own_headers_stay)
 {
   static const char *const not_forwarded[] = { "authorization",
