--- a/src/secret.c
+++ b/src/secret.c
@@ -11,26 +11,26 @@
 #include <unistd.h>
 
 static bool
-rights_fit (const char *path, struct marjoram_error *err)
+check_permissions (const char *path, struct marjoram_error *err)
 {
   struct stat st;
 
   if (stat (path, &st) != 0)
     return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                               "can't find %s: %s; make it with "
+                               "can't find %s: %s; create it with "
                                "\"marjoramctl new-secret %s\" or copy it from "
                                "another host",
                                path, strerror (errno), path);
   if (!S_ISREG (st.st_mode))
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "%s is not a plain file; name the file that "
-                               "holds the secret",
+                               "%s is not a regular file; specify the file "
+                               "that contains the secret",
                                path);
   if (st.st_mode & (S_IRWXG | S_IRWXO))
-    return marjoram_error_set (
-        err, MARJORAM_ERROR_REFUSED,
-        "%s may be used by others (mode %03o); run \"chmod 600 %s\"", path,
-        (unsigned)st.st_mode & 0777, path);
+    return marjoram_error_set (err, MARJORAM_ERROR_REFUSED,
+                               "%s is accessible by group or others (mode "
+                               "%03o); run \"chmod 600 %s\"",
+                               path, (unsigned)st.st_mode & 0777, path);
   return true;
 }
 
@@ -40,7 +40,7 @@
   size_t size;
   char *text;
 
-  if (!rights_fit (path, err))
+  if (!check_permissions (path, err))
     return NULL;
   text = marjoram_file_read (path, MARJORAM_SECRET_MAX, &size, err);
   if (!text)
@@ -50,7 +50,7 @@
   if (size >= MARJORAM_SECRET_MIN && strlen (text) == size)
     return text;
   marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                      "%s holds no secret of at least %d bytes of text; make "
+                      "%s has no secret of at least %d bytes of text; create "
                       "one with \"marjoramctl new-secret FILE\"",
                       path, MARJORAM_SECRET_MIN);
   free (text);
@@ -62,32 +62,32 @@
 {
   uint8_t key[MARJORAM_SECRET_MIN];
   char text[2 * MARJORAM_SECRET_MIN + 1];
-  bool done;
+  bool written;
   int fd = open (path, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
 
   if (fd < 0)
     return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                               "can't make %s: %s; name a new file in a "
-                               "folder that you may write to",
+                               "can't create %s: %s; name a new file in a "
+                               "writable directory",
                                path, strerror (errno));
   randombytes_buf (key, sizeof key);
   sodium_bin2hex (text, sizeof text, key, sizeof key);
   text[sizeof text - 1] = '\n';
-  done = write (fd, text, sizeof text) == (ssize_t)sizeof text
-         && fsync (fd) == 0;
+  written = write (fd, text, sizeof text) == (ssize_t)sizeof text
+            && fsync (fd) == 0;
   sodium_memzero (text, sizeof text);
   sodium_memzero (key, sizeof key);
-  if (close (fd) == 0 && done)
+  if (close (fd) == 0 && written)
     return true;
   unlink (path);
   return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                             "can't write %s: %s; check the disk's room", path,
+                             "can't write %s: %s; check free disk space", path,
                              strerror (errno));
 }
 
 void
 marjoram_secret_prove (const char *secret, const void *data, size_t size,
-                       uint8_t code[MARJORAM_PROOF_SIZE])
+                       uint8_t mac[MARJORAM_PROOF_SIZE])
 {
   uint8_t key[crypto_auth_KEYBYTES];
 
@@ -95,16 +95,16 @@
     abort ();
   crypto_generichash (key, sizeof key, (const uint8_t *)secret,
                       strlen (secret), NULL, 0);
-  crypto_auth_hmacsha512256 (code, data, size, key);
+  crypto_auth_hmacsha512256 (mac, data, size, key);
   sodium_memzero (key, sizeof key);
 }
 
 bool
 marjoram_secret_verify (const char *secret, const void *data, size_t size,
-                        const uint8_t code[MARJORAM_PROOF_SIZE])
+                        const uint8_t mac[MARJORAM_PROOF_SIZE])
 {
   uint8_t expected[MARJORAM_PROOF_SIZE];
 
   marjoram_secret_prove (secret, data, size, expected);
-  return sodium_memcmp (expected, code, sizeof expected) == 0;
+  return sodium_memcmp (expected, mac, sizeof expected) == 0;
 }
--- a/test/test_compress.c
+++ b/test/test_compress.c
@@ -1,4 +1,4 @@
-/* Compression of bulk bytes, with and without a base.  */
+/* Compression with and without a base.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -14,17 +14,18 @@
   LIMIT = 4 * 1024 * 1024
 };
 
-/* A configuration of ROUTES routes, of which CHANGED has another timeout.  */
+/* Creates a configuration with ROUTES routes; route CHANGED has a different
+   timeout.  */
 static marjoram_bytes *
 make_config (int changed)
 {
-  size_t room = (size_t)ROUTES * ROUTE_MAX;
-  marjoram_auto_free char *text = marjoram_alloc (room);
+  size_t capacity = (size_t)ROUTES * ROUTE_MAX;
+  marjoram_auto_free char *text = marjoram_alloc (capacity);
   size_t size = 0;
 
   for (int i = 0; i < ROUTES; i++)
     size += (size_t)snprintf (
-        text + size, room - size,
+        text + size, capacity - size,
         "{\"name\":\"r-%x\",\"path\":\"/%x/\",\"timeout\":%d}",
         (unsigned)i * 2654435761U, (unsigned)i * 40503U,
         i == changed ? 500 : 4000);
@@ -47,10 +48,10 @@
       = make_config (-1);
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *packed
       = marjoram_compress (data, NULL);
-  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *again
+  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *unpacked
       = marjoram_decompress (packed, NULL, LIMIT, NULL);
 
-  expect_same (data, again);
+  expect_same (data, unpacked);
   ck_assert_uint_lt (marjoram_bytes_size (packed),
                      marjoram_bytes_size (data) / 3);
 }
@@ -64,15 +65,15 @@
       = make_config (4711);
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *packed
       = marjoram_compress (data, base);
-  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *again
+  marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *unpacked
       = marjoram_decompress (packed, base, LIMIT, NULL);
 
-  expect_same (data, again);
+  expect_same (data, unpacked);
   ck_assert_uint_lt (marjoram_bytes_size (packed), 1000);
 }
 END_TEST
 
-/* Another base than the sender's must never give another configuration.  */
+/* Decompressing with a wrong base must fail, not yield wrong data.  */
 START_TEST (another_base_is_an_error)
 {
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *base
