--- a/src/host.c
+++ b/src/host.c
@@ -8,11 +8,11 @@
 
 enum
 {
-  SUSPECT_KEEP_MS = 3600000,
-  OFFERS_MS = 1000
+  SUSPECT_RETENTION_MS = 3600000,
+  OFFER_INTERVAL_MS = 1000
 };
 
-/* ---- Life.  ---- */
+/* ---- Creation.  ---- */
 
 marjoram_host *
 marjoram_host_create (const struct marjoram_host_options *options,
@@ -35,7 +35,7 @@
   STAILQ_INIT (&host->claim_results);
   host->requests = marjoram_requests_create ();
   host->members = marjoram_members_create (settings->zone, -1);
-  host->suspects = marjoram_suspects_create (SUSPECT_KEEP_MS);
+  host->suspects = marjoram_suspects_create (SUSPECT_RETENTION_MS);
   marjoram_suspects_set_report (host->suspects, marjoram_host_report_suspect,
                                 host);
   host->router = marjoram_router_create (settings->zone, host->members,
@@ -79,7 +79,7 @@
   free (host);
 }
 
-/* ---- Time.  ---- */
+/* ---- Timers.  ---- */
 
 static void
 upstream_expired (void *context, const char *name)
@@ -91,9 +91,8 @@
   marjoram_log (MARJORAM_LOG_NOTICE, "upstream %s: lease expired", name);
 }
 
-/* What this zone lends to the zone of SLOT, and how much each caller uses
-   here. Over this host's own session, or back over the one that SLOT opened.
- */
+/* Sends SLOT the capacity that this zone offers to its zone and the usage of
+   each caller here, over a session in either direction.  */
 static void
 send_offer (marjoram_host *host, int64_t now, const char *slot)
 {
@@ -109,9 +108,9 @@
   marjoram_wire_clear (&marjoram_offers_layout, &offers);
 }
 
-/* To each host that this one dials, and to those that dial it: a host whose
-   partner here has died dials another, and hears from no one else of this
-   zone.  */
+/* Sends offers both to hosts that this one connects to and to hosts that only
+   connect to it: beyond the full mesh, a host in another zone may have no
+   other link to this zone.  */
 static void
 send_offers (marjoram_host *host, int64_t now)
 {
@@ -121,7 +120,7 @@
   struct marjoram_sender *next_sender;
 
   if (!host->config || host->zone < 0 || host->draining
-      || now - host->offered < OFFERS_MS)
+      || now - host->offered < OFFER_INTERVAL_MS)
     return;
   host->offered = now;
   HASH_ITER (hh, host->links, link, next)
@@ -149,7 +148,7 @@
   host->drained = true;
   if (late)
     marjoram_log (MARJORAM_LOG_WARNING,
-                  "drain limit passed, %zu requests are cut",
+                  "drain limit passed; aborting %zu requests",
                   marjoram_host_request_count (host));
   host->ops->drained (host->context);
 }
@@ -232,7 +231,6 @@
   return host->members;
 }
 
-/* Requests that still need an answer, or whose answer is still to be kept.  */
 size_t
 marjoram_host_request_count (const marjoram_host *host)
 {
