--- a/src/host_caller.c
+++ b/src/host_caller.c
@@ -14,7 +14,7 @@
 
   info.id = request->id;
   info.upstream = head->upstream;
-  /* By name: a newer configuration may have no zone of that index.  */
+  /* By name, as a newer configuration may not have a zone with that index.  */
   info.zone = request->state == MARJORAM_REQUEST_REMOTE ? request->remote_name
                                                         : host->settings->zone;
   info.replayed
@@ -43,8 +43,8 @@
   struct marjoram_refusal refusal
       = { request->id, request->outcome, request->reason, retry_ms };
 
-  /* Once bytes were passed on, the only honest end is to cut the answer
-     short: it must not look whole.  */
+  /* Once the head has been sent, the response can only be truncated, so that
+     the caller can detect that it is incomplete.  */
   if (request->head_passed)
     host->ops->reply_abort (host->context, request->call->number);
   else
@@ -54,7 +54,8 @@
 static const struct marjoram_origin_ops caller_origin
     = { caller_head, caller_data, caller_end, caller_fail };
 
-/* Checks that need no other host.  Sets the caller's name.  */
+/* Performs the checks that need no other host.  Sets the request's caller and
+   deadline.  */
 static enum marjoram_reason
 check_call (marjoram_host *host, int64_t now, struct marjoram_request *request,
             int64_t *retry_ms)
