--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -5,9 +5,8 @@
 
 #include <string.h>
 
-/* Where a suspect runs is of use in its zone only.  That it is one, or is
-   convicted, has to be known in all zones: its caller may send it there
-   next.  */
+/* Only the suspect's own zone needs to know where it runs.  Its status is sent
+   to all zones, as its caller may retry there.  */
 void
 marjoram_host_report_suspect (void *context,
                               const struct marjoram_suspect_message *message)
@@ -20,8 +19,8 @@
     marjoram_links_send (host, MARJORAM_FRAME_SUSPECT, message);
 }
 
-/* News from another zone came to this host only, if hosts link to one host of
-   each other zone; it is passed on in this zone, once.  */
+/* Without a full mesh, a message from another zone reaches only this host; it
+   is forwarded within this zone if it changed the suspect's status.  */
 void
 marjoram_host_learn_suspect (marjoram_host *host, int64_t now,
                              const char *slot,
@@ -66,7 +65,7 @@
 marjoram_host_announce (marjoram_host *host, int64_t now,
                         const struct marjoram_announcement *announcement)
 {
-  bool whole = marjoram_renewals_too_little (host, now, announcement);
+  bool send_full = marjoram_renewals_too_little (host, now, announcement);
   enum marjoram_announce_result result;
 
   host->now = now;
@@ -74,7 +73,7 @@
   marjoram_host_check_restarted (host, now, announcement);
   result = marjoram_members_announce (host->members, now, announcement, false);
   if (result == MARJORAM_ANNOUNCE_NEW
-      || (result == MARJORAM_ANNOUNCE_RENEWED && whole))
+      || (result == MARJORAM_ANNOUNCE_RENEWED && send_full))
     marjoram_host_send_zone (host, MARJORAM_FRAME_UPSTREAM, announcement);
   else if (result == MARJORAM_ANNOUNCE_RENEWED)
     marjoram_renewals_add (host, announcement->name);
@@ -83,7 +82,7 @@
 }
 
 static struct marjoram_request *
-local_attempt (marjoram_host *host, int64_t now, uint64_t attempt)
+find_local_request (marjoram_host *host, int64_t now, uint64_t attempt)
 {
   struct marjoram_request *request
       = marjoram_request_by_attempt (host, attempt);
@@ -96,7 +95,7 @@
 marjoram_host_run_head (marjoram_host *host, int64_t now, uint64_t attempt,
                         const struct marjoram_head *head)
 {
-  struct marjoram_request *request = local_attempt (host, now, attempt);
+  struct marjoram_request *request = find_local_request (host, now, attempt);
 
   if (request)
     marjoram_request_head (host, now, request, head);
@@ -106,7 +105,7 @@
 marjoram_host_run_data (marjoram_host *host, int64_t now, uint64_t attempt,
                         marjoram_bytes *bytes)
 {
-  struct marjoram_request *request = local_attempt (host, now, attempt);
+  struct marjoram_request *request = find_local_request (host, now, attempt);
 
   if (request)
     marjoram_request_data (host, now, request, bytes);
@@ -115,17 +114,18 @@
 void
 marjoram_host_run_end (marjoram_host *host, int64_t now, uint64_t attempt)
 {
-  struct marjoram_request *request = local_attempt (host, now, attempt);
+  struct marjoram_request *request = find_local_request (host, now, attempt);
 
   if (request)
     marjoram_request_done (host, now, request);
   marjoram_host_settle (host, now);
 }
 
-/* The connection broke after the request was sent.  Whether the upstream died
-   decides if the request is suspect, so that is asked before any retry.  */
+/* The connection broke after the request was sent.  The upstream is probed
+   before any retry, as the request is suspect if the upstream died.  */
 static void
-run_broken (marjoram_host *host, int64_t now, struct marjoram_request *request)
+probe_upstream (marjoram_host *host, int64_t now,
+                struct marjoram_request *request)
 {
   request->state = MARJORAM_REQUEST_PROBING;
   request->progress = now;
@@ -136,7 +136,7 @@
 marjoram_host_run_failed (marjoram_host *host, int64_t now, uint64_t attempt,
                           enum marjoram_run_failure failure)
 {
-  struct marjoram_request *request = local_attempt (host, now, attempt);
+  struct marjoram_request *request = find_local_request (host, now, attempt);
 
   if (!request)
     return;
@@ -148,7 +148,7 @@
                                MARJORAM_REASON_UPSTREAM_FAILED, 0, false);
       break;
     case MARJORAM_RUN_BROKEN:
-      run_broken (host, now, request);
+      probe_upstream (host, now, request);
       break;
     case MARJORAM_RUN_UNAVAILABLE:
       marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
@@ -165,8 +165,8 @@
                                MARJORAM_RETRY_AFTER_MS, false);
       break;
     case MARJORAM_RUN_NO_RESUME:
-      /* It answered on a new connection, so it is alive; the deadline
-         bounds the wait for the first one.  */
+      /* The upstream answered on a new connection, so it is alive.  Waiting
+         for data on the original connection is bounded by the deadline.  */
       request->resuming = false;
       request->progress = now;
       break;
