--- a/src/host_consensus.c
+++ b/src/host_consensus.c
@@ -137,8 +137,7 @@
   marjoram_apply_answered (context, request, answer);
 }
 
-/* Rejects states that exceed one frame: the keepers could choose them, but no
-   host could receive them.  */
+/* Rejects states too large for one frame, which no host could receive.  */
 static bool
 fits_frame (const struct marjoram_state *state, struct marjoram_error *err)
 {
