--- a/src/host_beats.c
+++ b/src/host_beats.c
@@ -8,17 +8,18 @@
 
 enum
 {
-  BEAT_MS = 300,     /* host_list.c counts on it */
-  BEAT_FAR_MS = 600, /* to entry hosts of other regions */
-  /* Most hosts of a region that beat to each other every BEAT_MS; more of them
-     do so less often, so that what a host sends does not grow.  */
-  NEAR_HOSTS = 32,
-  /* How often a keeper tells other keepers of all hosts, and how often hosts:
-     the latter takes bytes by the square of their number, and they hear of
-     what changes at once.  host_list.c and gateway_daemon.c count on
-     them.  */
-  LIST_MS = 5000,
-  LIST_HOSTS_MS = 20000
+  /* Heartbeat interval.  host_list.c depends on it.  */
+  HEARTBEAT_MS = 300,
+  /* The same to entry hosts of other regions.  */
+  REMOTE_HEARTBEAT_MS = 600,
+  /* Regions with more hosts use a proportionally longer interval, which bounds
+     the heartbeats that a host sends per second.  */
+  FULL_RATE_HOSTS = 32,
+  /* How often a keeper sends its list of hosts to keepers and to all hosts.
+     The latter traffic grows with the square of the number of hosts; changes
+     are sent at once.  host_list.c and gateway_daemon.c depend on these.  */
+  LIST_INTERVAL_MS = 5000,
+  LIST_BROADCAST_INTERVAL_MS = 20000
 };
 
 static void
@@ -39,13 +40,12 @@
   links->ops->fill_beat (links->context, beat);
 }
 
-/* Who hears a beat: entry hosts of other regions choose by the offers where to
-   forward, keepers sum up what was repeated, and hosts of the own region need
-   neither.  */
+/* Recipients of a heartbeat.  Only entry hosts of other regions need offers,
+   by which they choose where to forward; only keepers need the uses.  */
 enum audience
 {
-  AUDIENCE_NEAR,
-  AUDIENCE_FAR,
+  AUDIENCE_LOCAL,
+  AUDIENCE_REMOTE,
   AUDIENCE_KEEPER,
   AUDIENCE_COUNT
 };
@@ -57,18 +57,18 @@
       = marjoram_host_list_find (links->hosts, name);
 
   if (!host)
-    return AUDIENCE_NEAR;
+    return AUDIENCE_LOCAL;
   if (host->beat.keeper)
     return AUDIENCE_KEEPER;
   return strcmp (host->beat.region, links->settings->region) == 0
-             ? AUDIENCE_NEAR
-             : AUDIENCE_FAR;
+             ? AUDIENCE_LOCAL
+             : AUDIENCE_REMOTE;
 }
 
-/* This host's beat as packed for each audience, as far as one is needed.  */
+/* This host's heartbeat, packed on demand for each audience.  */
 struct packed_beats
 {
-  struct marjoram_host_beat beat; /* without a name until it is made */
+  struct marjoram_host_beat beat; /* name is NULL until it is built */
   marjoram_bytes *frames[AUDIENCE_COUNT];
 };
 
@@ -83,7 +83,7 @@
   if (!packed->beat.name)
     make_beat (links, &packed->beat);
   beat = packed->beat;
-  if (audience != AUDIENCE_FAR)
+  if (audience != AUDIENCE_REMOTE)
     beat.offers = (struct marjoram_array){ NULL, 0 };
   if (audience != AUDIENCE_KEEPER)
     beat.uses = (struct marjoram_array){ NULL, 0 };
@@ -93,41 +93,41 @@
 }
 
 void
-marjoram_host_links_pace (marjoram_host_links *links, int64_t now)
+marjoram_host_links_update_interval (marjoram_host_links *links, int64_t now)
 {
   const char *region = links->settings->region;
   int64_t hosts;
 
-  links->near_ms = BEAT_MS;
+  links->local_interval_ms = HEARTBEAT_MS;
   if (links->settings->role != MARJORAM_ROLE_ENTRY)
     return;
   hosts
       = (int64_t)marjoram_host_list_serving_count (links->hosts, now, region);
-  if (hosts > NEAR_HOSTS)
-    links->near_ms = BEAT_MS * hosts / NEAR_HOSTS;
+  if (hosts > FULL_RATE_HOSTS)
+    links->local_interval_ms = HEARTBEAT_MS * hosts / FULL_RATE_HOSTS;
   marjoram_host_list_set_heartbeat_interval (links->hosts, region,
-                                             links->near_ms);
+                                             links->local_interval_ms);
 }
 
 static int64_t
-pause_of (const marjoram_host_links *links, enum audience audience)
+interval_for (const marjoram_host_links *links, enum audience audience)
 {
   switch (audience)
     {
-    case AUDIENCE_NEAR:
-      return links->near_ms;
-    case AUDIENCE_FAR:
-      return BEAT_FAR_MS;
+    case AUDIENCE_LOCAL:
+      return links->local_interval_ms;
+    case AUDIENCE_REMOTE:
+      return REMOTE_HEARTBEAT_MS;
     default:
-      return BEAT_MS;
+      return HEARTBEAT_MS;
     }
 }
 
 int64_t
-marjoram_host_links_beat_ms (const marjoram_host_links *links,
-                             const char *host)
+marjoram_host_links_heartbeat_interval (const marjoram_host_links *links,
+                                        const char *host)
 {
-  return pause_of (links, audience_of (links, host));
+  return interval_for (links, audience_of (links, host));
 }
 
 static void
@@ -140,8 +140,8 @@
 }
 
 void
-marjoram_host_links_send_beats (marjoram_host_links *links, int64_t now,
-                                bool all)
+marjoram_host_links_send_heartbeats (marjoram_host_links *links, int64_t now,
+                                     bool all)
 {
   struct packed_beats packed = { 0 };
   struct marjoram_host_link *link;
@@ -150,10 +150,10 @@
   {
     enum audience audience;
 
-    if (!link->up || (!all && now < link->sent_at + BEAT_MS))
+    if (!link->up || (!all && now < link->sent_at + HEARTBEAT_MS))
       continue;
     audience = audience_of (links, link->host);
-    if (all || now >= link->sent_at + pause_of (links, audience))
+    if (all || now >= link->sent_at + interval_for (links, audience))
       send_beat (links, link, now, pack_beat (links, &packed, audience));
   }
   for (int i = 0; i < AUDIENCE_COUNT; i++)
@@ -163,7 +163,7 @@
 void
 marjoram_host_links_beat (marjoram_host_links *links, int64_t now)
 {
-  marjoram_host_links_send_beats (links, now, true);
+  marjoram_host_links_send_heartbeats (links, now, true);
 }
 
 static void
@@ -177,12 +177,12 @@
                   beat->age_ms);
 }
 
-/* An entry host of another region needs this one's offers to choose where to
-   forward; it may be one that this host does not dial itself.  All others need
-   only a sign of life.  */
+/* Replies with a full heartbeat to entry hosts of other regions: they need
+   this host's offers, and this host may have no link to them.  Others get a
+   short acknowledgement.  */
 static void
-answer_beat (marjoram_host_links *links, const struct marjoram_host_beat *beat,
-             uint64_t session)
+reply_to_beat (marjoram_host_links *links,
+               const struct marjoram_host_beat *beat, uint64_t session)
 {
   const struct marjoram_heartbeat echo = { .sequence = beat->sequence };
   struct marjoram_host_beat own;
@@ -202,20 +202,21 @@
 }
 
 static void
-tell_changed (marjoram_host_links *links, struct marjoram_host_beat *beat)
+broadcast_change (marjoram_host_links *links, struct marjoram_host_beat *beat)
 {
-  struct marjoram_host_beat told = *beat;
-  const struct marjoram_host_beats list = { { &told, 1 } };
+  struct marjoram_host_beat copy = *beat;
+  const struct marjoram_host_beats list = { { &copy, 1 } };
 
-  told.offers = (struct marjoram_array){ NULL, 0 };
-  told.uses = (struct marjoram_array){ NULL, 0 };
+  copy.offers = (struct marjoram_array){ NULL, 0 };
+  copy.uses = (struct marjoram_array){ NULL, 0 };
   if (links->settings->role == MARJORAM_ROLE_KEEPER)
     marjoram_host_links_tell (links, MARJORAM_FRAME_HOST_LIST, &list);
 }
 
 void
-marjoram_host_links_hear_answer (marjoram_host_links *links, const char *host,
-                                 struct marjoram_host_beat *beat)
+marjoram_host_links_process_reply (marjoram_host_links *links,
+                                   const char *host,
+                                   struct marjoram_host_beat *beat)
 {
   if (!beat->name || strcmp (beat->name, host) != 0)
     return;
@@ -225,7 +226,8 @@
     log_host (beat);
 }
 
-/* The hosts that this one hears itself; ITEMS are to be freed.  */
+/* Lists the hosts whose heartbeats this host receives directly.  The caller
+   frees ITEMS.  */
 static struct marjoram_host_beats
 make_list (marjoram_host_links *links, int64_t now)
 {
@@ -243,16 +245,16 @@
       && list.items.count < MARJORAM_HOST_BEATS_MAX)
     {
       items[list.items.count] = host->beat;
-      /* Offers are told by their host itself.  */
+      /* Offers are sent only by their own host.  */
       items[list.items.count].offers = (struct marjoram_array){ NULL, 0 };
       items[list.items.count++].age_ms = (uint64_t)(now - host->heard_at);
     }
   return list;
 }
 
-/* To a host that has just come and may know nobody.  */
+/* Sends the list of hosts to one that has just connected.  */
 static void
-give_list (marjoram_host_links *links, const char *host, uint64_t session)
+send_list (marjoram_host_links *links, const char *host, uint64_t session)
 {
   struct marjoram_host_beats list
       = make_list (links, marjoram_host_links_now (links));
@@ -263,17 +265,17 @@
 }
 
 void
-marjoram_host_links_tell_list (marjoram_host_links *links, int64_t now)
+marjoram_host_links_publish_list (marjoram_host_links *links, int64_t now)
 {
   struct marjoram_host_beats list;
 
-  if (now < links->listed_at + LIST_MS)
+  if (now < links->list_sent_at + LIST_INTERVAL_MS)
     return;
   list = make_list (links, now);
-  links->listed_at = now;
-  if (now >= links->listed_hosts_at + LIST_HOSTS_MS)
+  links->list_sent_at = now;
+  if (now >= links->list_broadcast_at + LIST_BROADCAST_INTERVAL_MS)
     {
-      links->listed_hosts_at = now;
+      links->list_broadcast_at = now;
       marjoram_host_links_tell (links, MARJORAM_FRAME_HOST_LIST, &list);
     }
   else
@@ -282,30 +284,31 @@
   free (list.items.items);
 }
 
-/* A host whose clock was set back starts with a lower incarnation than its
-   former life had, and would be taken for that life's late word: it is told of
-   the one that is known, and takes a higher one.  */
+/* A host that restarts after its clock was set back has a lower incarnation
+   than before, and its heartbeats would be rejected as stale.  Sends it the
+   known incarnation, so that it adopts a higher one.  */
 static void
-answer_older (marjoram_host_links *links, const char *host, uint64_t number,
-              const struct marjoram_host_beat *beat)
+report_higher_incarnation (marjoram_host_links *links, const char *host,
+                           uint64_t number,
+                           const struct marjoram_host_beat *beat)
 {
   const struct marjoram_listed_host *known
       = marjoram_host_list_find (links->hosts, host);
-  struct marjoram_host_beat told;
-  const struct marjoram_host_beats list = { { &told, 1 } };
+  struct marjoram_host_beat copy;
+  const struct marjoram_host_beats list = { { &copy, 1 } };
 
   if (!known || known->beat.incarnation <= beat->incarnation)
     return;
-  told = known->beat;
-  told.offers = (struct marjoram_array){ NULL, 0 };
+  copy = known->beat;
+  copy.offers = (struct marjoram_array){ NULL, 0 };
   marjoram_peer_reply (links->peer, host, number, MARJORAM_FRAME_HOST_LIST,
                        &list);
 }
 
 void
-marjoram_host_links_hear_beat (marjoram_host_links *links, const char *host,
-                               uint64_t number,
-                               struct marjoram_host_beat *beat)
+marjoram_host_links_process_heartbeat (marjoram_host_links *links,
+                                       const char *host, uint64_t number,
+                                       struct marjoram_host_beat *beat)
 {
   struct marjoram_host_session *session
       = marjoram_host_links_session (links, host);
@@ -318,23 +321,24 @@
     session = marjoram_host_links_add_session (links, host);
   session->number = number;
   beat->age_ms = 0;
-  answer_older (links, host, number, beat);
+  report_higher_incarnation (links, host, number, beat);
   if (marjoram_host_list_update (links->hosts, marjoram_host_links_now (links),
                                  beat, true))
     {
       log_host (beat);
-      tell_changed (links, beat);
+      broadcast_change (links, beat);
     }
   if (first && links->settings->role == MARJORAM_ROLE_KEEPER)
-    give_list (links, host, number);
-  answer_beat (links, beat, number);
+    send_list (links, host, number);
+  reply_to_beat (links, beat, number);
   links->ops->beat (links->context, host, number, first, beat);
 }
 
-/* The next beat, not one at once: two hosts with one IP number by mistake
-   would else outbid each other without a pause.  */
+/* Adopts an incarnation above that of a previous run of this host.  It takes
+   effect with the next regular heartbeat: two hosts with the same IP address
+   by mistake would otherwise outbid each other in a tight loop.  */
 static void
-outlive (marjoram_host_links *links, const struct marjoram_host_beat *former)
+supersede (marjoram_host_links *links, const struct marjoram_host_beat *former)
 {
   if (former->incarnation <= links->incarnation)
     return;
@@ -346,14 +350,14 @@
 }
 
 void
-marjoram_host_links_hear_list (marjoram_host_links *links,
-                               const struct marjoram_host_beats *list)
+marjoram_host_links_process_list (marjoram_host_links *links,
+                                  const struct marjoram_host_beats *list)
 {
   const struct marjoram_host_beat *items = list->items.items;
 
   for (size_t i = 0; i < list->items.count; i++)
     if (items[i].name && strcmp (items[i].name, links->settings->ip) == 0)
-      outlive (links, &items[i]);
+      supersede (links, &items[i]);
     else if (marjoram_host_list_update (links->hosts,
                                         marjoram_host_links_now (links),
                                         &items[i], false))
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -11,23 +11,25 @@
 
 enum
 {
-  /* Five beats and a round trip between regions without a sign.  */
-  SILENT_MS = 1500,
-  /* The same where beats are rare: a lost packet is sent again meanwhile.  */
-  SILENT_BEATS_PERCENT = 250,
-  PLAN_MS = 500,
+  /* Covers five heartbeats and a round trip between regions.  */
+  SILENCE_TIMEOUT_MS = 1500,
+  /* The timeout in percent of the heartbeat interval, used if it is longer
+     than SILENCE_TIMEOUT_MS: leaves time to retransmit a lost packet.  */
+  SILENT_INTERVALS_PERCENT = 250,
+  PLAN_INTERVAL_MS = 500,
   /* Links of one host to entry hosts of each other region.  */
-  FAR_LINKS = 4,
-  REGIONS_MAX = 64 /* to which a host links */
+  LINKS_PER_REGION = 4,
+  REGIONS_MAX = 64 /* other regions to which a host links */
 };
 
-/* Of two sessions of one host the later one holds.  Incarnations are times of
-   day, and a host whose clock was set back between two starts would be turned
-   away while the connection of its former life is open.  */
+/* Disables the incarnation check of the peer module, so that a newer session
+   always replaces an older one.  Incarnations are wall-clock times: a host
+   that restarts after its clock was set back would otherwise be rejected while
+   its previous connection is still open.  */
 #define ANY_INCARNATION 0
 
-/* Links between hosts of one owner on a closed network are not authenticated:
-   the settings hold no secret.  */
+/* Links run on a closed network and are not authenticated: the settings hold
+   no secret, and the peer module requires one.  */
 static const char no_secret[] = "links-are-not-authenticated-here";
 
 struct marjoram_host_link *
@@ -61,10 +63,10 @@
 }
 
 static void
-forget_session (marjoram_host_links *links,
-                struct marjoram_host_session *session)
+session_destroy (marjoram_host_links *links,
+                 struct marjoram_host_session *session)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, links->sessions_by_host, session);
   TAILQ_REMOVE (&links->sessions, session, next);
   free (session->host);
@@ -72,9 +74,9 @@
 }
 
 static void
-forget_link (marjoram_host_links *links, struct marjoram_host_link *link)
+link_destroy (marjoram_host_links *links, struct marjoram_host_link *link)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, links->by_host, link);
   TAILQ_REMOVE (&links->links, link, next);
   free (link->host);
@@ -87,7 +89,7 @@
   return marjoram_clock_now (links->clock);
 }
 
-/* ---- What the peer task tells.  ---- */
+/* ---- Peer callbacks.  ---- */
 
 static void
 on_link_up (void *context, const char *host, uint64_t incarnation)
@@ -104,7 +106,7 @@
   link->sent_at = 0;
   marjoram_link_lag_start (&link->lag);
   marjoram_event (MARJORAM_EVENT_LINK, "host=%s state=up", host);
-  marjoram_host_links_send_beats (links, now, false);
+  marjoram_host_links_send_heartbeats (links, now, false);
 }
 
 static void
@@ -125,11 +127,11 @@
   links->ops->link_lost (links->context, host);
 }
 
-/* A large frame on a slow path comes in parts for longer than a link may be
-   silent.  Hung up meanwhile, the link would take the requests that were
-   forwarded over it along, and the frame would come again from its start.  */
+/* Counts partial frames as activity: on a slow path a large frame may take
+   longer than the silence timeout.  Closing the link would abort the requests
+   that were forwarded over it and restart the transfer.  */
 static void
-on_heard (void *context, const char *host)
+on_partial_frame (void *context, const char *host)
 {
   marjoram_host_links *links = context;
   struct marjoram_host_link *link = marjoram_host_links_find (links, host);
@@ -147,13 +149,13 @@
 
   links->ops->session_closed (links->context, host, number);
   if (session && session->number == number)
-    forget_session (links, session);
+    session_destroy (links, session);
 }
 
-/* Beats are answered in their order.  */
+/* Heartbeats are acknowledged in order.  */
 static void
-note_answer (marjoram_host_links *links, struct marjoram_host_link *link,
-             enum marjoram_frame_type type)
+record_activity (marjoram_host_links *links, struct marjoram_host_link *link,
+                 enum marjoram_frame_type type)
 {
   const int64_t now = marjoram_host_links_now (links);
 
@@ -172,13 +174,13 @@
 
   (void)incarnation;
   if (link)
-    note_answer (links, link, type);
+    record_activity (links, link, type);
   if (type == MARJORAM_FRAME_HOST_BEAT && session != 0)
-    marjoram_host_links_hear_beat (links, host, session, message);
+    marjoram_host_links_process_heartbeat (links, host, session, message);
   else if (type == MARJORAM_FRAME_HOST_BEAT)
-    marjoram_host_links_hear_answer (links, host, message);
+    marjoram_host_links_process_reply (links, host, message);
   else if (type == MARJORAM_FRAME_HOST_LIST)
-    marjoram_host_links_hear_list (links, message);
+    marjoram_host_links_process_list (links, message);
   else if (type != MARJORAM_FRAME_HEARTBEAT)
     {
       links->ops->frame (links->context, host, session, type, message);
@@ -189,14 +191,14 @@
 
 static const struct marjoram_peer_ops peer_ops = { .link_up = on_link_up,
                                                    .link_down = on_link_down,
-                                                   .heard = on_heard,
+                                                   .heard = on_partial_frame,
                                                    .closed = on_closed,
                                                    .frame = on_frame };
 
-/* ---- Which links.  ---- */
+/* ---- Link selection.  ---- */
 
 static void
-want (marjoram_host_links *links, const char *host, bool seed)
+require_link (marjoram_host_links *links, const char *host, bool seed)
 {
   struct marjoram_host_link *link = marjoram_host_links_find (links, host);
   char address[MARJORAM_IP_MAX + 8];
@@ -218,48 +220,49 @@
 }
 
 static void
-drop (marjoram_host_links *links, struct marjoram_host_link *link)
+drop_link (marjoram_host_links *links, struct marjoram_host_link *link)
 {
   marjoram_peer_connect (links->peer, link->host, NULL, false);
-  forget_link (links, link);
+  link_destroy (links, link);
 }
 
-/* Of the entry hosts of another region this one links to a few, other hosts to
-   others: those with the highest claims by rendezvous hashing.  */
+/* Links to LINKS_PER_REGION entry hosts of another region, chosen by
+   rendezvous hashing to spread the links of different hosts.  */
 static void
-want_among (marjoram_host_links *links, const struct marjoram_host_view *far)
+require_links_in_region (marjoram_host_links *links,
+                         const struct marjoram_host_view *remote)
 {
-  const struct marjoram_listed_host *best[FAR_LINKS];
-  uint64_t claims[FAR_LINKS];
+  const struct marjoram_listed_host *best[LINKS_PER_REGION];
+  uint64_t weights[LINKS_PER_REGION];
   int count = 0;
 
-  for (size_t i = 0; i < far->count; i++)
+  for (size_t i = 0; i < remote->count; i++)
     {
-      uint64_t claim
-          = marjoram_listed_host_weight (far->hosts[i], links->settings->ip);
-      int place = count;
+      uint64_t weight = marjoram_listed_host_weight (remote->hosts[i],
+                                                     links->settings->ip);
+      int rank = count;
 
-      while (place > 0 && claims[place - 1] < claim)
-        place--;
-      if (place == FAR_LINKS)
+      while (rank > 0 && weights[rank - 1] < weight)
+        rank--;
+      if (rank == LINKS_PER_REGION)
         continue;
-      if (count < FAR_LINKS)
+      if (count < LINKS_PER_REGION)
         count++;
-      for (int k = count - 1; k > place; k--)
+      for (int k = count - 1; k > rank; k--)
         {
           best[k] = best[k - 1];
-          claims[k] = claims[k - 1];
+          weights[k] = weights[k - 1];
         }
-      best[place] = far->hosts[i];
-      claims[place] = claim;
+      best[rank] = remote->hosts[i];
+      weights[rank] = weight;
     }
   for (int i = 0; i < count; i++)
-    want (links, best[i]->beat.name, false);
+    require_link (links, best[i]->beat.name, false);
 }
 
-/* Each other region once, that of the first of its hosts in the list.  */
+/* Links to some entry hosts of each other region.  */
 static void
-want_far (marjoram_host_links *links, int64_t now)
+require_remote_links (marjoram_host_links *links, int64_t now)
 {
   const char *regions[REGIONS_MAX];
   size_t count = 0;
@@ -277,14 +280,14 @@
     if (i < count || count == REGIONS_MAX)
       continue;
     regions[count++] = region;
-    want_among (links,
-                marjoram_host_list_of_region (links->hosts, now, region));
+    require_links_in_region (
+        links, marjoram_host_list_of_region (links->hosts, now, region));
   }
 }
 
 static bool
-is_needed (const marjoram_host_links *links,
-           const struct marjoram_listed_host *host)
+is_required (const marjoram_host_links *links,
+             const struct marjoram_listed_host *host)
 {
   return host->beat.keeper
          || (links->settings->role == MARJORAM_ROLE_ENTRY
@@ -292,7 +295,7 @@
 }
 
 static void
-plan (marjoram_host_links *links, int64_t now)
+plan_links (marjoram_host_links *links, int64_t now)
 {
   const struct marjoram_listed_host *host;
   struct marjoram_host_link *link;
@@ -302,21 +305,21 @@
   TAILQ_FOREACH (link, &links->links, next)
   link->wanted = link->seed;
   TAILQ_FOREACH (host, marjoram_host_list_all (links->hosts), link)
-  if (is_needed (links, host))
-    want (links, host->beat.name, false);
+  if (is_required (links, host))
+    require_link (links, host->beat.name, false);
   if (links->settings->role == MARJORAM_ROLE_ENTRY)
-    want_far (links, now);
+    require_remote_links (links, now);
   for (link = TAILQ_FIRST (&links->links); link; link = next)
     {
       next = TAILQ_NEXT (link, next);
-      /* One that works stays: requests may be under way there.  */
+      /* Links that are up are kept, as requests may be in progress.  */
       if (!link->wanted && !link->up)
-        drop (links, link);
+        drop_link (links, link);
     }
 }
 
 static void
-look_at_lag (marjoram_host_links *links, int64_t now)
+measure_lag (marjoram_host_links *links, int64_t now)
 {
   const struct marjoram_host_link *link;
 
@@ -329,41 +332,43 @@
 }
 
 static int64_t
-silent_ms (const marjoram_host_links *links,
-           const struct marjoram_host_link *link)
+silence_timeout (const marjoram_host_links *links,
+                 const struct marjoram_host_link *link)
 {
-  const int64_t beats_ms = marjoram_host_links_beat_ms (links, link->host)
-                           * SILENT_BEATS_PERCENT / 100;
+  const int64_t interval_based_ms
+      = marjoram_host_links_heartbeat_interval (links, link->host)
+        * SILENT_INTERVALS_PERCENT / 100;
 
-  return beats_ms > SILENT_MS ? beats_ms : SILENT_MS;
+  return interval_based_ms > SILENCE_TIMEOUT_MS ? interval_based_ms
+                                                : SILENCE_TIMEOUT_MS;
 }
 
-/* Something between two hosts may lose track of an open connection while new
-   ones work: only silence shows it.  Where this host itself hears late, all
-   links look silent; hung up, they would take the requests that were forwarded
-   over them along, and come up no sooner than what is under way on them.  */
+/* Reconnects silent links: a middlebox may have dropped the state of an
+   established connection while new ones work.  The receive lag of this host is
+   subtracted, as it makes all links look silent; reconnecting would then abort
+   forwarded requests without restoring the links any sooner.  */
 static void
-hang_up_silent (marjoram_host_links *links, int64_t now)
+reconnect_silent (marjoram_host_links *links, int64_t now)
 {
   const int64_t lag = marjoram_host_links_lag (links);
   struct marjoram_host_link *link;
 
   TAILQ_FOREACH (link, &links->links, next)
-  if (link->up && now - link->heard_at - lag > silent_ms (links, link))
+  if (link->up && now - link->heard_at - lag > silence_timeout (links, link))
     marjoram_peer_hang_up (links->peer, link->host);
 }
 
 void
 marjoram_host_links_tick (marjoram_host_links *links, int64_t now)
 {
-  marjoram_host_links_pace (links, now);
-  look_at_lag (links, now);
-  hang_up_silent (links, now);
-  marjoram_host_links_send_beats (links, now, false);
-  if (now >= links->planned_at + PLAN_MS)
-    plan (links, now);
+  marjoram_host_links_update_interval (links, now);
+  measure_lag (links, now);
+  reconnect_silent (links, now);
+  marjoram_host_links_send_heartbeats (links, now, false);
+  if (now >= links->planned_at + PLAN_INTERVAL_MS)
+    plan_links (links, now);
   if (links->settings->role == MARJORAM_ROLE_KEEPER)
-    marjoram_host_links_tell_list (links, now);
+    marjoram_host_links_publish_list (links, now);
   marjoram_host_list_tick (links->hosts, now);
 }
 
@@ -442,10 +447,10 @@
   return count;
 }
 
-/* Entry hosts of this region, or keepers.  */
+/* Sends to the keepers, or to the entry hosts of this region.  */
 static void
-tell_linked (marjoram_host_links *links, bool keepers,
-             enum marjoram_frame_type type, const void *message)
+send_to_linked (marjoram_host_links *links, bool keepers,
+                enum marjoram_frame_type type, const void *message)
 {
   marjoram_auto (marjoram_bytes_cleanup) marjoram_bytes *frame
       = marjoram_frame_pack (type, message);
@@ -469,7 +474,7 @@
                                  enum marjoram_frame_type type,
                                  const void *message)
 {
-  tell_linked (links, false, type, message);
+  send_to_linked (links, false, type, message);
 }
 
 void
@@ -477,10 +482,10 @@
                                   enum marjoram_frame_type type,
                                   const void *message)
 {
-  tell_linked (links, true, type, message);
+  send_to_linked (links, true, type, message);
 }
 
-/* ---- The task.  ---- */
+/* ---- Creation.  ---- */
 
 void
 marjoram_host_links_set_seeds (
@@ -493,13 +498,13 @@
   TAILQ_FOREACH (link, &links->links, next)
   link->seed = false;
   for (size_t i = 0; i < settings->seed_count; i++)
-    want (links, settings->seeds[i], true);
+    require_link (links, settings->seeds[i], true);
 }
 
-/* The peer task keeps these for its life, while SETTINGS of the links may be
-   replaced by a reload.  */
+/* The peer module uses these throughout its lifetime, whereas links->settings
+   may be replaced by a reload.  */
 static void
-clear_settings (marjoram_host_links *links)
+free_peer_settings (marjoram_host_links *links)
 {
   free (links->peer_settings.slot);
   free (links->peer_settings.zone);
@@ -539,7 +544,7 @@
                               links->counters, &peer_ops, links, err);
   if (!links->peer)
     {
-      clear_settings (links);
+      free_peer_settings (links);
       marjoram_counters_destroy (links->counters);
       free (links);
       return NULL;
@@ -555,12 +560,12 @@
     return;
   marjoram_peer_destroy (links->peer);
   while (!TAILQ_EMPTY (&links->links))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget_link (links, TAILQ_FIRST (&links->links));
+    /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
+    link_destroy (links, TAILQ_FIRST (&links->links));
   while (!TAILQ_EMPTY (&links->sessions))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
-    forget_session (links, TAILQ_FIRST (&links->sessions));
-  clear_settings (links);
+    /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
+    session_destroy (links, TAILQ_FIRST (&links->sessions));
+  free_peer_settings (links);
   marjoram_counters_destroy (links->counters);
   free (links);
 }
--- a/src/host_links.h
+++ b/src/host_links.h
@@ -1,6 +1,6 @@
-/* The task of the links of a host in the role entry or keeper: finds the other
-   hosts from the seeds on, keeps links to those that it needs, sends its own
-   beat and gives up links that have fallen silent.  */
+/* Links between entry hosts and keepers: discovers hosts starting from the
+   seeds, keeps links to those that this host needs, exchanges heartbeats and
+   reconnects links that have gone silent.  */
 #ifndef MARJORAM_HOST_LINKS_H
 #define MARJORAM_HOST_LINKS_H
 
@@ -13,16 +13,18 @@
 
 struct marjoram_host_links_ops
 {
-  /* A message other than a beat; SESSION is 0 on this host's own link.  Takes
-     MESSAGE.  */
+  /* Receives a message other than a heartbeat or host list; SESSION is 0 on
+     this host's own link.  Takes ownership of MESSAGE.  */
   void (*frame) (void *context, const char *host, uint64_t session,
                  enum marjoram_frame_type type, void *message);
-  /* HOST has opened a session and sent its first beat, or a later one.  */
+  /* Receives a heartbeat on a session that HOST opened; FIRST if it is the
+     first on this session.  */
   void (*beat) (void *context, const char *host, uint64_t session, bool first,
                 const struct marjoram_host_beat *beat);
   void (*session_closed) (void *context, const char *host, uint64_t session);
   void (*link_lost) (void *context, const char *host);
-  /* Fills the parts of this host's beat that change; offers are borrowed.  */
+  /* Fills in the variable parts of this host's heartbeat; offers remain owned
+     by the callee.  */
   void (*fill_beat) (void *context, struct marjoram_host_beat *beat);
 };
 
@@ -32,7 +34,7 @@
     marjoram_host_list *hosts, const struct marjoram_host_links_ops *ops,
     void *context, struct marjoram_error *err);
 void marjoram_host_links_destroy (marjoram_host_links *links);
-/* After a change of the settings.  */
+/* Replaces the settings, after a reload.  */
 void marjoram_host_links_set_seeds (
     marjoram_host_links *links,
     const struct marjoram_gateway_settings *settings);
@@ -40,39 +42,40 @@
 /* Whether this host's own link to HOST is up.  */
 bool marjoram_host_links_reaches (marjoram_host_links *links,
                                   const char *host);
-/* How far behind this host's own hearing was at the last tick, in ms
-   (own_lag.h): whoever judges silence takes it off.  */
+/* This host's receive lag at the last tick, in ms; see own_lag.h.  Subtract it
+   from the age of received data before comparing with a timeout.  */
 int64_t marjoram_host_links_lag (const marjoram_host_links *links);
-/* False if it is not.  */
+/* Sends over this host's own link to HOST; returns false if it is not up.  */
 bool marjoram_host_links_send (marjoram_host_links *links, const char *host,
                                enum marjoram_frame_type type,
                                const void *message);
-/* On the session on which HOST is heard; SESSION 0: on our own link.  */
+/* Sends over SESSION, which HOST opened, or over this host's own link if
+   SESSION is 0.  */
 void marjoram_host_links_reply (marjoram_host_links *links, const char *host,
                                 uint64_t session,
                                 enum marjoram_frame_type type,
                                 const void *message);
-/* To all hosts that have a session with this one.  */
+/* Sends to all hosts that have opened a session to this one.  */
 void marjoram_host_links_tell (marjoram_host_links *links,
                                enum marjoram_frame_type type,
                                const void *message);
-/* The same, to the keepers, or to the entry hosts, of REGION, or of all
-   regions if it is null; returns how many.  */
+/* Sends to those of them that are keepers (KEEPERS) or entry hosts, in REGION
+   or, if it is NULL, in all regions.  Returns the number of recipients.  */
 size_t marjoram_host_links_tell_in (marjoram_host_links *links, bool keepers,
                                     const char *region,
                                     enum marjoram_frame_type type,
                                     const void *message);
-/* To the entry hosts of this host's region, over its own links.  */
+/* Sends to the entry hosts of this host's region over its own links.  */
 void marjoram_host_links_tell_region (marjoram_host_links *links,
                                       enum marjoram_frame_type type,
                                       const void *message);
-/* To the keepers, over its own links.  */
+/* Sends to the keepers over this host's own links.  */
 void marjoram_host_links_tell_keepers (marjoram_host_links *links,
                                        enum marjoram_frame_type type,
                                        const void *message);
-/* Sends beats now, as what they tell has changed.  */
+/* Sends heartbeats at once, after their contents have changed.  */
 void marjoram_host_links_beat (marjoram_host_links *links, int64_t now);
-/* At least every 50 ms.  */
+/* Must be called at least every 50 ms.  */
 void marjoram_host_links_tick (marjoram_host_links *links, int64_t now);
 
 #endif
--- a/src/host_links_private.h
+++ b/src/host_links_private.h
@@ -1,5 +1,5 @@
-/* The parts of the links between hosts: host_links.c (which links, sending,
-   the task) and host_beats.c (beats and lists of hosts).  */
+/* Internal interface between host_links.c (link selection and sending) and
+   host_beats.c (heartbeats and host lists).  */
 #ifndef MARJORAM_HOST_LINKS_PRIVATE_H
 #define MARJORAM_HOST_LINKS_PRIVATE_H
 
@@ -9,7 +9,7 @@
 #include <sys/queue.h>
 #include <uthash.h>
 
-/* A host that this one dials.  */
+/* A host that this one connects to.  */
 struct marjoram_host_link
 {
   TAILQ_ENTRY (marjoram_host_link) next;
@@ -23,7 +23,7 @@
   UT_hash_handle hh;
 };
 
-/* A host that dialled this one.  */
+/* A host that connected to this one.  */
 struct marjoram_host_session
 {
   TAILQ_ENTRY (marjoram_host_session) next;
@@ -50,13 +50,14 @@
   TAILQ_HEAD (, marjoram_host_session) sessions;
   struct marjoram_host_session *sessions_by_host;
   struct marjoram_own_lag own_lag;
-  int64_t near_ms; /* between beats to entry hosts of the own region */
+  int64_t
+      local_interval_ms; /* between beats to entry hosts of the own region */
   int64_t planned_at;
-  int64_t listed_at;
-  int64_t listed_hosts_at;
+  int64_t list_sent_at;
+  int64_t list_broadcast_at;
 };
 
-/* Null if HOST is not dialled, or has not dialled.  */
+/* The link to HOST or the session from it; NULL if there is none.  */
 struct marjoram_host_link *
 marjoram_host_links_find (marjoram_host_links *links, const char *host);
 struct marjoram_host_session *
@@ -66,25 +67,29 @@
 int64_t marjoram_host_links_now (const marjoram_host_links *links);
 
 /* host_beats.c */
-/* Sets how often near hosts hear this one, by how many they are.  */
-void marjoram_host_links_pace (marjoram_host_links *links, int64_t now);
-/* How often HOST hears this one.  */
-int64_t marjoram_host_links_beat_ms (const marjoram_host_links *links,
-                                     const char *host);
-/* This host's own beat, where it is due, or on ALL links.  */
-void marjoram_host_links_send_beats (marjoram_host_links *links, int64_t now,
-                                     bool all);
-/* HOST's own, on its session NUMBER, or as the answer on our link.  */
-void marjoram_host_links_hear_beat (marjoram_host_links *links,
-                                    const char *host, uint64_t number,
-                                    struct marjoram_host_beat *beat);
-void marjoram_host_links_hear_answer (marjoram_host_links *links,
-                                      const char *host,
-                                      struct marjoram_host_beat *beat);
-/* Others' word of hosts.  */
-void marjoram_host_links_hear_list (marjoram_host_links *links,
-                                    const struct marjoram_host_beats *list);
-/* A keeper's word of all hosts, to whom it is due.  */
-void marjoram_host_links_tell_list (marjoram_host_links *links, int64_t now);
+/* Sets the heartbeat interval within the own region by its host count.  */
+void marjoram_host_links_update_interval (marjoram_host_links *links,
+                                          int64_t now);
+/* The interval of heartbeats to HOST.  */
+int64_t
+marjoram_host_links_heartbeat_interval (const marjoram_host_links *links,
+                                        const char *host);
+/* Sends heartbeats on links where they are due, or on ALL links.  */
+void marjoram_host_links_send_heartbeats (marjoram_host_links *links,
+                                          int64_t now, bool all);
+/* Processes a heartbeat received on HOST's session NUMBER, or one received as
+   a reply on this host's own link.  */
+void marjoram_host_links_process_heartbeat (marjoram_host_links *links,
+                                            const char *host, uint64_t number,
+                                            struct marjoram_host_beat *beat);
+void marjoram_host_links_process_reply (marjoram_host_links *links,
+                                        const char *host,
+                                        struct marjoram_host_beat *beat);
+/* Processes a host list received from another host.  */
+void marjoram_host_links_process_list (marjoram_host_links *links,
+                                       const struct marjoram_host_beats *list);
+/* Sends a keeper's host list to the recipients to whom it is due.  */
+void marjoram_host_links_publish_list (marjoram_host_links *links,
+                                       int64_t now);
 
 #endif
