--- a/src/host_consensus.c
+++ b/src/host_consensus.c
@@ -60,7 +60,7 @@
   locate_self (host);
   marjoram_router_configure (host->router, now, config);
   marjoram_links_plan (host);
-  marjoram_links_tell (host, now);
+  marjoram_links_send_heartbeats (host, now);
 }
 
 static void
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -181,7 +181,7 @@
                               const struct marjoram_heartbeat *heartbeat);
 /* Sends a heartbeat over each link at once, so that other hosts learn of a new
    configuration without delay.  */
-void marjoram_links_tell (marjoram_host *host, int64_t now);
+void marjoram_links_send_heartbeats (marjoram_host *host, int64_t now);
 /* Sends MESSAGE over each link that is up.  */
 void marjoram_links_send (marjoram_host *host, enum marjoram_frame_type type,
                           const void *message);
--- a/src/link.c
+++ b/src/link.c
@@ -384,7 +384,7 @@
 }
 
 void
-marjoram_links_tell (marjoram_host *host, int64_t now)
+marjoram_links_send_heartbeats (marjoram_host *host, int64_t now)
 {
   struct marjoram_link *link;
   struct marjoram_link *next;
