--- a/src/peer.c
+++ b/src/peer.c
@@ -18,39 +18,39 @@
 
 enum
 {
-  RELEASE = 1, /* of the frames; hosts of another one are refused */
+  /* Hosts with another version are rejected.  */
+  FRAME_VERSION = 1,
   NONCE_SIZE = 16,
   PROOF_TEXT_MAX = 512,
   HANDSHAKE_SEC = 3,
-  /* A machine that is off answers nothing, and the system asks again only
-     after one and then three seconds, while it may long be back.  Some round
-     trips between regions.  */
-  CONNECT_FIRST_MSEC = 250, /* one round trip and a half; then doubled */
-  CONNECT_MSEC = 500,
-  /* Pause before dialling again, doubled each time.  Hosts that lost power
-     together come back within some hundred ms of each other, and serve nobody
-     until they have reached a keeper: half a second sooner so.  */
-  REDIAL_FIRST_MSEC = 50,
-  REDIAL_MSEC = 400,
-  /* A frame before the proof can't be larger than a hello.  */
+  /* Connect timeout, doubled with each failure.  It covers a round trip
+     between regions but is shorter than the kernel's SYN retransmission
+     timeout, so that a host that comes back is reached sooner.  */
+  CONNECT_TIMEOUT_MIN_MSEC = 250,
+  CONNECT_TIMEOUT_MAX_MSEC = 500,
+  /* Delay before reconnecting, doubled with each failure.  Short, because
+     hosts that restart together can't serve until they reach a keeper.  */
+  RECONNECT_DELAY_MIN_MSEC = 50,
+  RECONNECT_DELAY_MAX_MSEC = 400,
+  /* No frame of the handshake is larger.  */
   HANDSHAKE_FRAME_MAX = 1024,
-  /* What may wait for a reader that takes nothing.  */
+  /* Sessions with more unsent output are closed.  */
   OUTPUT_MAX = 64 * 1024 * 1024
 };
 
 enum session_state
 {
-  SESSION_HELLO, /* waits for the other end's hello */
-  SESSION_PROOF, /* waits for its proof */
+  SESSION_HELLO, /* waiting for the peer's hello */
+  SESSION_PROOF, /* waiting for the peer's proof */
   SESSION_OPEN
 };
 
-struct dial;
+struct connection;
 
 struct session
 {
   marjoram_peer *peer;
-  struct dial *dial; /* null if the other end opened it */
+  struct connection *connection; /* NULL if the peer opened the session */
   struct bufferevent *bev;
   enum session_state state;
   uint64_t number;
@@ -59,17 +59,17 @@
   uint8_t own_nonce[NONCE_SIZE];
   uint8_t nonce[NONCE_SIZE];
   TAILQ_ENTRY (session) next;
-  UT_hash_handle hh; /* of those that other ends opened, by number */
+  UT_hash_handle hh; /* in marjoram_peer.by_number */
 };
 
-/* A slot to which a session is kept open.  */
-struct dial
+/* A slot to which this host keeps a session open.  */
+struct connection
 {
   marjoram_peer *peer;
   char *slot;
   char *address;
   struct session *session;
-  int failures; /* in a row */
+  int failures; /* consecutive */
   struct event *timer;
   UT_hash_handle hh;
 };
@@ -83,30 +83,31 @@
   const struct marjoram_peer_ops *ops;
   void *context;
   struct evconnlistener *listener;
-  struct dial *dials;
+  struct connection *connections;
   TAILQ_HEAD (, session) accepted;
-  struct session *by_number; /* the same */
+  struct session *by_number; /* accepted sessions */
   uint64_t next_session;
 };
 
 static int
-doubled (int first_msec, int most_msec, int times)
+backoff_msec (int min_msec, int max_msec, int times)
 {
-  int msec = first_msec;
+  int msec = min_msec;
 
-  while (times-- > 0 && msec < most_msec)
+  while (times-- > 0 && msec < max_msec)
     msec *= 2;
-  return msec < most_msec ? msec : most_msec;
+  return msec < max_msec ? msec : max_msec;
 }
 
 static void
-redial_later (struct dial *dial)
+schedule_reconnect (struct connection *connection)
 {
   struct timeval delay = marjoram_clock_timeval (
-      doubled (REDIAL_FIRST_MSEC, REDIAL_MSEC, dial->failures));
+      backoff_msec (RECONNECT_DELAY_MIN_MSEC, RECONNECT_DELAY_MAX_MSEC,
+                    connection->failures));
 
-  dial->failures++;
-  evtimer_add (dial->timer, &delay);
+  connection->failures++;
+  evtimer_add (connection->timer, &delay);
 }
 
 static void
@@ -115,12 +116,12 @@
   marjoram_peer *peer = session->peer;
   bool open = session->state == SESSION_OPEN;
 
-  if (session->dial)
+  if (session->connection)
     {
-      session->dial->session = NULL;
-      redial_later (session->dial);
+      session->connection->session = NULL;
+      schedule_reconnect (session->connection);
       if (open)
-        peer->ops->link_down (peer->context, session->dial->slot);
+        peer->ops->link_down (peer->context, session->connection->slot);
     }
   else
     {
@@ -156,8 +157,8 @@
   marjoram_bytes_release (frame);
 }
 
-/* A reader that takes nothing must not fill this host's memory.  Closing is
-   left to the loop, as the caller still holds the session.  */
+/* Closes the session if the peer does not read its output, to bound memory.
+   Closing is deferred to the event loop, as callers still use the session.  */
 static void
 check_output (struct session *session)
 {
@@ -168,17 +169,17 @@
 
 /* ---- Handshake.  ---- */
 
-/* What is proved: both ends' names and fresh numbers, so that a recorded proof
-   is of no use, nor one end's proof to the other.  */
+/* Builds the text that a proof authenticates.  Both nonces prevent replay; the
+   role and the name prevent a proof from being reflected to its sender.  */
 static size_t
-proof_text (const struct session *session, bool of_dialler,
+proof_text (const struct session *session, bool of_initiator,
             uint8_t text[PROOF_TEXT_MAX])
 {
   const struct marjoram_settings *settings = session->peer->settings;
-  bool own = of_dialler == (session->dial != NULL);
+  bool own = of_initiator == (session->connection != NULL);
   const char *slot = own ? settings->slot : session->slot;
   int size = snprintf ((char *)text, PROOF_TEXT_MAX - (size_t)2 * NONCE_SIZE,
-                       "peer %s %s %s %llu ", of_dialler ? "dial" : "accept",
+                       "peer %s %s %s %llu ", of_initiator ? "dial" : "accept",
                        settings->cluster, slot,
                        (unsigned long long)(own ? session->peer->incarnation
                                                 : session->incarnation));
@@ -196,7 +197,7 @@
   struct marjoram_hello hello = { 0 };
 
   randombytes_buf (session->own_nonce, NONCE_SIZE);
-  hello.release = RELEASE;
+  hello.release = FRAME_VERSION;
   hello.cluster = settings->cluster;
   hello.slot = settings->slot;
   hello.zone = settings->zone;
@@ -211,7 +212,7 @@
 {
   uint8_t text[PROOF_TEXT_MAX];
   uint8_t code[MARJORAM_PROOF_SIZE];
-  size_t size = proof_text (session, session->dial != NULL, text);
+  size_t size = proof_text (session, session->connection != NULL, text);
   struct marjoram_proof proof;
 
   marjoram_secret_prove (session->peer->settings->secret, text, size, code);
@@ -221,7 +222,7 @@
 }
 
 static bool
-take_hello (struct session *session, const struct marjoram_hello *hello)
+process_hello (struct session *session, const struct marjoram_hello *hello)
 {
   const struct marjoram_settings *settings = session->peer->settings;
 
@@ -229,7 +230,7 @@
       || marjoram_bytes_size (hello->nonce) != NONCE_SIZE
       || strlen (hello->slot) > MARJORAM_NAME_MAX)
     return false;
-  if (hello->release != RELEASE
+  if (hello->release != FRAME_VERSION
       || strcmp (hello->cluster, settings->cluster) != 0
       || strcmp (hello->slot, settings->slot) == 0)
     {
@@ -240,18 +241,20 @@
                     (unsigned long long)hello->release);
       return false;
     }
-  if (session->dial && strcmp (hello->slot, session->dial->slot) != 0)
+  if (session->connection
+      && strcmp (hello->slot, session->connection->slot) != 0)
     {
       marjoram_log (MARJORAM_LOG_WARNING,
-                    "at %s is host %s, not %s; mend [peers] or the slot's "
-                    "address",
-                    session->dial->address, hello->slot, session->dial->slot);
+                    "host at %s is %s, expected %s; correct [peers] or the "
+                    "slot's address",
+                    session->connection->address, hello->slot,
+                    session->connection->slot);
       return false;
     }
   session->slot = marjoram_strdup (hello->slot);
   session->incarnation = hello->incarnation;
   memcpy (session->nonce, marjoram_bytes_data (hello->nonce), NONCE_SIZE);
-  if (!session->dial)
+  if (!session->connection)
     {
       send_hello (session);
       send_proof (session);
@@ -260,9 +263,9 @@
   return true;
 }
 
-/* One slot has one session here.  A newer one replaces the older, whose frames
-   are read no more: a FORWARD that was on its way over the older one can't
-   start after the newer one has asked about it.  */
+/* Closes older sessions of the same slot, so that a FORWARD in transit on an
+   older one can't start after the newer one has queried it.  Returns false if
+   an open session has a higher incarnation.  */
 static bool
 replace_older (struct session *session)
 {
@@ -291,11 +294,11 @@
 }
 
 static bool
-take_proof (struct session *session, const struct marjoram_proof *proof)
+process_proof (struct session *session, const struct marjoram_proof *proof)
 {
   marjoram_peer *peer = session->peer;
   uint8_t text[PROOF_TEXT_MAX];
-  size_t size = proof_text (session, session->dial == NULL, text);
+  size_t size = proof_text (session, session->connection == NULL, text);
 
   if (marjoram_bytes_size (proof->code) != MARJORAM_PROOF_SIZE
       || !marjoram_secret_verify (peer->settings->secret, text, size,
@@ -308,13 +311,13 @@
                     session->slot);
       return false;
     }
-  if (!session->dial && !replace_older (session))
+  if (!session->connection && !replace_older (session))
     return false;
   session->state = SESSION_OPEN;
   set_handshake_timeout (session->bev, false);
-  if (session->dial)
+  if (session->connection)
     {
-      session->dial->failures = 0;
+      session->connection->failures = 0;
       send_proof (session);
       peer->ops->link_up (peer->context, session->slot, session->incarnation);
     }
@@ -324,8 +327,8 @@
 /* ---- Frames.  ---- */
 
 static bool
-take_frame (struct session *session, enum marjoram_frame_type type,
-            void *message)
+process_frame (struct session *session, enum marjoram_frame_type type,
+               void *message)
 {
   marjoram_peer *peer = session->peer;
   bool ok = false;
@@ -338,20 +341,20 @@
           return false;
         }
       peer->ops->frame (peer->context, session->slot,
-                        session->dial ? 0 : session->number,
+                        session->connection ? 0 : session->number,
                         session->incarnation, type, message);
       return true;
     }
   if (session->state == SESSION_HELLO && type == MARJORAM_FRAME_HELLO)
-    ok = take_hello (session, message);
+    ok = process_hello (session, message);
   else if (session->state == SESSION_PROOF && type == MARJORAM_FRAME_PROOF)
-    ok = take_proof (session, message);
+    ok = process_proof (session, message);
   marjoram_wire_destroy (marjoram_frame_layout (type), message);
   return ok;
 }
 
 static bool
-bad_frame (struct session *session, const char *why)
+reject_frame (struct session *session, const char *why)
 {
   marjoram_counters_add (session->peer->counters, MARJORAM_COUNTER_BAD_FRAMES,
                          1);
@@ -370,7 +373,7 @@
          | (uint32_t)header[2] << 8 | header[3];
 }
 
-/* Takes one frame off INPUT, whose first bytes are all there.  */
+/* Removes one frame from INPUT, which holds all of it, and processes it.  */
 static bool
 read_frame (struct session *session, struct evbuffer *input, uint32_t length)
 {
@@ -380,8 +383,9 @@
   void *message;
 
   if (type >= MARJORAM_FRAME_COUNT)
-    return bad_frame (session, "unknown frame type; check that all hosts run "
-                               "the same release");
+    return reject_frame (session,
+                         "unknown frame type; check that all hosts run "
+                         "the same release");
   message = marjoram_wire_unpack (
       marjoram_frame_layout ((enum marjoram_frame_type)type),
       data + MARJORAM_FRAME_HEADER, length - 1, &err);
@@ -389,11 +393,11 @@
   marjoram_counters_add (session->peer->counters,
                          MARJORAM_COUNTER_PEER_BYTES_IN, (uint64_t)length + 4);
   if (!message)
-    return bad_frame (session, err.message);
-  return take_frame (session, (enum marjoram_frame_type)type, message);
+    return reject_frame (session, err.message);
+  return process_frame (session, (enum marjoram_frame_type)type, message);
 }
 
-/* Takes all whole frames off INPUT; false if one is bad.  */
+/* Processes all complete frames in INPUT; returns false if one is invalid.  */
 static bool
 read_frames (struct session *session, struct evbuffer *input)
 {
@@ -404,7 +408,7 @@
                                                       : HANDSHAKE_FRAME_MAX;
 
       if (length == 0 || length > limit)
-        return bad_frame (session, "frame length over the limit");
+        return reject_frame (session, "frame length over the limit");
       if (evbuffer_get_length (input) < (size_t)length + 4)
         return true;
       if (!read_frame (session, input, length))
@@ -422,7 +426,7 @@
 
   if (!read_frames (session, input))
     session_close (session);
-  else if (session->dial && session->state == SESSION_OPEN
+  else if (session->connection && session->state == SESSION_OPEN
            && evbuffer_get_length (input) > 0)
     peer->ops->heard (peer->context, session->slot);
 }
@@ -449,12 +453,13 @@
 /* ---- Sessions.  ---- */
 
 static struct session *
-session_create (marjoram_peer *peer, struct dial *dial, evutil_socket_t fd)
+session_create (marjoram_peer *peer, struct connection *connection,
+                evutil_socket_t fd)
 {
   struct session *session = marjoram_alloc (sizeof *session);
 
   session->peer = peer;
-  session->dial = dial;
+  session->connection = connection;
   session->number = ++peer->next_session;
   session->bev
       = bufferevent_socket_new (peer->base, fd, BEV_OPT_CLOSE_ON_FREE);
@@ -465,34 +470,35 @@
 }
 
 static void
-dial_now (struct dial *dial)
+connect_now (struct connection *connection)
 {
   struct timeval limit = marjoram_clock_timeval (
-      doubled (CONNECT_FIRST_MSEC, CONNECT_MSEC, dial->failures));
+      backoff_msec (CONNECT_TIMEOUT_MIN_MSEC, CONNECT_TIMEOUT_MAX_MSEC,
+                    connection->failures));
   struct sockaddr_storage address;
   int size = sizeof address;
 
-  if (evutil_parse_sockaddr_port (dial->address, (struct sockaddr *)&address,
-                                  &size)
+  if (evutil_parse_sockaddr_port (connection->address,
+                                  (struct sockaddr *)&address, &size)
       != 0)
     return;
-  dial->session = session_create (dial->peer, dial, -1);
-  bufferevent_set_timeouts (dial->session->bev, NULL, &limit);
-  if (bufferevent_socket_connect (dial->session->bev,
+  connection->session = session_create (connection->peer, connection, -1);
+  bufferevent_set_timeouts (connection->session->bev, NULL, &limit);
+  if (bufferevent_socket_connect (connection->session->bev,
                                   (struct sockaddr *)&address, size)
       != 0)
-    session_close (dial->session);
+    session_close (connection->session);
 }
 
 static void
-on_redial (evutil_socket_t fd, short what, void *context)
+on_reconnect_timer (evutil_socket_t fd, short what, void *context)
 {
-  struct dial *dial = context;
+  struct connection *connection = context;
 
   (void)fd;
   (void)what;
-  if (!dial->session)
-    dial_now (dial);
+  if (!connection->session)
+    connect_now (connection);
 }
 
 static void
@@ -511,7 +517,7 @@
   HASH_ADD (hh, peer->by_number, number, sizeof session->number, session);
 }
 
-/* ---- The task.  ---- */
+/* ---- Creation and sending.  ---- */
 
 marjoram_peer *
 marjoram_peer_create (struct event_base *base,
@@ -550,52 +556,56 @@
 }
 
 static void
-dial_destroy (struct dial *dial)
+connection_destroy (struct connection *connection)
 {
-  HASH_DEL (dial->peer->dials, dial);
-  if (dial->session)
-    session_close (dial->session);
-  event_free (dial->timer);
-  free (dial->slot);
-  free (dial->address);
-  free (dial);
+  HASH_DEL (connection->peer->connections, connection);
+  if (connection->session)
+    session_close (connection->session);
+  event_free (connection->timer);
+  free (connection->slot);
+  free (connection->address);
+  free (connection);
 }
 
 void
 marjoram_peer_destroy (marjoram_peer *peer)
 {
-  struct dial *dial;
-  struct dial *next;
+  struct connection *connection;
+  struct connection *next;
   struct session *session;
 
   if (!peer)
     return;
-  HASH_ITER (hh, peer->dials, dial, next) { dial_destroy (dial); }
+  HASH_ITER (hh, peer->connections, connection, next)
+  {
+    connection_destroy (connection);
+  }
   while ((session = TAILQ_FIRST (&peer->accepted)))
     session_close (session);
   evconnlistener_free (peer->listener);
   free (peer);
 }
 
-static struct dial *
-find_dial (marjoram_peer *peer, const char *slot)
+static struct connection *
+find_connection (marjoram_peer *peer, const char *slot)
 {
-  struct dial *dial;
+  struct connection *connection;
 
-  HASH_FIND_STR (peer->dials, slot, dial);
-  return dial;
+  HASH_FIND_STR (peer->connections, slot, connection);
+  return connection;
 }
 
-static struct dial *
-dial_create (marjoram_peer *peer, const char *slot)
+static struct connection *
+connection_create (marjoram_peer *peer, const char *slot)
 {
-  struct dial *dial = marjoram_alloc (sizeof *dial);
+  struct connection *connection = marjoram_alloc (sizeof *connection);
 
-  dial->peer = peer;
-  dial->slot = marjoram_strdup (slot);
-  dial->timer = evtimer_new (peer->base, on_redial, dial);
-  HASH_ADD_KEYPTR (hh, peer->dials, dial->slot, strlen (dial->slot), dial);
-  return dial;
+  connection->peer = peer;
+  connection->slot = marjoram_strdup (slot);
+  connection->timer = evtimer_new (peer->base, on_reconnect_timer, connection);
+  HASH_ADD_KEYPTR (hh, peer->connections, connection->slot,
+                   strlen (connection->slot), connection);
+  return connection;
 }
 
 void
@@ -603,30 +613,31 @@
                        const char *address, bool wanted)
 {
   struct timeval at_once = { 0, 0 };
-  struct dial *dial = find_dial (peer, slot);
+  struct connection *connection = find_connection (peer, slot);
 
   if (!wanted)
     {
-      if (dial)
-        dial_destroy (dial);
+      if (connection)
+        connection_destroy (connection);
       return;
     }
-  if (!dial)
-    dial = dial_create (peer, slot);
-  free (dial->address);
-  dial->address = marjoram_strdup (address);
-  if (dial->session)
-    session_close (dial->session);
-  evtimer_add (dial->timer, &at_once);
+  if (!connection)
+    connection = connection_create (peer, slot);
+  free (connection->address);
+  connection->address = marjoram_strdup (address);
+  if (connection->session)
+    session_close (connection->session);
+  evtimer_add (connection->timer, &at_once);
 }
 
 static struct session *
-find_dialled (marjoram_peer *peer, const char *slot)
+find_opened (marjoram_peer *peer, const char *slot)
 {
-  struct dial *dial = find_dial (peer, slot);
+  struct connection *connection = find_connection (peer, slot);
 
-  return dial && dial->session && dial->session->state == SESSION_OPEN
-             ? dial->session
+  return connection && connection->session
+                 && connection->session->state == SESSION_OPEN
+             ? connection->session
              : NULL;
 }
 
@@ -646,7 +657,7 @@
 marjoram_peer_send_packed (marjoram_peer *peer, const char *slot,
                            const marjoram_bytes *frame)
 {
-  struct session *session = find_dialled (peer, slot);
+  struct session *session = find_opened (peer, slot);
 
   if (!session)
     return;
@@ -670,7 +681,7 @@
 marjoram_peer_send (marjoram_peer *peer, const char *slot,
                     enum marjoram_frame_type type, const void *message)
 {
-  struct session *session = find_dialled (peer, slot);
+  struct session *session = find_opened (peer, slot);
 
   if (!session)
     return;
@@ -693,8 +704,8 @@
 void
 marjoram_peer_hang_up (marjoram_peer *peer, const char *slot)
 {
-  struct dial *dial = find_dial (peer, slot);
+  struct connection *connection = find_connection (peer, slot);
 
-  if (dial && dial->session)
-    session_close (dial->session);
+  if (connection && connection->session)
+    session_close (connection->session);
 }
