--- a/src/leaving_zones.c
+++ b/src/leaving_zones.c
@@ -5,15 +5,15 @@
 
 enum
 {
-  /* Operators count on an evacuation being in force within five seconds of its
-     acknowledgement, and hosts hear of it within one.  */
-  LEAVING_MS = 2000
+  /* Evacuations must take effect within five seconds of their acknowledgement;
+     hosts learn of them within one.  */
+  LEAVING_PERIOD_MS = 2000
 };
 
 static bool
-is_past (const struct marjoram_leaving_zone *zone, int64_t now)
+has_left (const struct marjoram_leaving_zone *zone, int64_t now)
 {
-  return !zone->name[0] || now >= zone->since + LEAVING_MS;
+  return !zone->name[0] || now >= zone->since + LEAVING_PERIOD_MS;
 }
 
 void
@@ -21,7 +21,7 @@
                             int64_t now, const char *zone)
 {
   for (size_t i = 0; i < MARJORAM_LEAVING_ZONES_MAX; i++)
-    if (is_past (&leaving->zones[i], now))
+    if (has_left (&leaving->zones[i], now))
       {
         leaving->zones[i].since = now;
         snprintf (leaving->zones[i].name, sizeof leaving->zones[i].name, "%s",
@@ -35,7 +35,7 @@
                             int64_t now, const char *zone)
 {
   for (size_t i = 0; i < MARJORAM_LEAVING_ZONES_MAX; i++)
-    if (!is_past (&leaving->zones[i], now)
+    if (!has_left (&leaving->zones[i], now)
         && strcmp (leaving->zones[i].name, zone) == 0)
       return true;
   return false;
--- a/src/leaving_zones.h
+++ b/src/leaving_zones.h
@@ -1,5 +1,5 @@
-/* Zones whose evacuation began just now.  Their upstreams still take, for a
-   short while, what nothing else may run.  Pure decisions.  */
+/* Zones whose evacuation began recently.  For a short time, their upstreams
+   still get requests that no other upstream may run.  Pure decision logic.  */
 #ifndef MARJORAM_LEAVING_ZONES_H
 #define MARJORAM_LEAVING_ZONES_H
 
@@ -7,7 +7,7 @@
 
 enum
 {
-  /* Further zones at once are left without delay.  */
+  /* Further zones at the same time are evacuated without the delay.  */
   MARJORAM_LEAVING_ZONES_MAX = 8
 };
 
@@ -22,7 +22,7 @@
   struct marjoram_leaving_zone zones[MARJORAM_LEAVING_ZONES_MAX];
 };
 
-/* The evacuation of ZONE was heard of at NOW.  */
+/* This host learned at NOW that ZONE is being evacuated.  */
 void marjoram_leaving_zones_add (struct marjoram_leaving_zones *leaving,
                                  int64_t now, const char *zone);
 bool marjoram_leaving_zones_has (const struct marjoram_leaving_zones *leaving,
--- a/test/test_leaving_zones.c
+++ b/test/test_leaving_zones.c
@@ -1,4 +1,4 @@
-/* Zones whose evacuation began just now.  */
+/* Tests of zones whose evacuation began recently.  */
 #include "suite.h"
 
 #include "leaving_zones.h"
@@ -18,7 +18,7 @@
 }
 END_TEST
 
-/* More zones than there is room for: those left over are left at once.  */
+/* Zones beyond the capacity are evacuated without the delay.  */
 START_TEST (too_many_zones_are_left_at_once)
 {
   struct marjoram_leaving_zones leaving = { 0 };
