--- a/src/host_links_private.h
+++ b/src/host_links_private.h
@@ -50,8 +50,7 @@
   TAILQ_HEAD (, marjoram_host_session) sessions;
   struct marjoram_host_session *sessions_by_host;
   struct marjoram_own_lag own_lag;
-  int64_t
-      local_interval_ms; /* between beats to entry hosts of the own region */
+  int64_t local_interval_ms; /* of heartbeats in the own region */
   int64_t planned_at;
   int64_t list_sent_at;
   int64_t list_broadcast_at;
