--- a/test/test_host_links.c
+++ b/test/test_host_links.c
@@ -1,4 +1,5 @@
-/* Links between hosts, over loopback: who becomes known to whom.  */
+/* Links between hosts over loopback: host discovery and link failure
+   detection.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -19,12 +20,11 @@
   IP_MAX = 32,
   TEXT_MAX = 64,
   PORT = 7760,
-  BEHIND_RELAY = 11, /* index of the address of a host behind a relay */
+  BEHIND_RELAY = 11, /* offset of the address index of a host behind a relay */
   LARGE_BYTES = 300000,
   SETTLE_MS = 700
 };
 
-/* One host with its task.  */
 struct host
 {
   struct marjoram_gateway_settings settings;
@@ -33,8 +33,8 @@
   char entry_address[TEXT_MAX];
   marjoram_host_list *hosts;
   marjoram_host_links *links;
-  int frames; /* of other kinds than beats, that came */
-  int lost;   /* links */
+  int frames; /* received, without heartbeats and host lists */
+  int lost;   /* lost links */
 };
 
 static struct event_base *base;
@@ -42,9 +42,9 @@
 static struct host keeper;
 static struct host entry;
 static struct host other;
-static struct relay *relay; /* null unless a test puts one */
+static struct relay *relay; /* NULL unless a test creates one */
 static struct relay *other_relay;
-static struct relay_link *full_path; /* null unless a test makes one */
+static struct relay_link *slow_link; /* NULL unless a test creates one */
 
 static void
 on_frame (void *context, const char *name, uint64_t session,
@@ -59,8 +59,8 @@
 }
 
 static void
-on_beat (void *context, const char *name, uint64_t session, bool first,
-         const struct marjoram_host_beat *beat)
+on_heartbeat (void *context, const char *name, uint64_t session, bool first,
+              const struct marjoram_host_beat *beat)
 {
   (void)context;
   (void)name;
@@ -70,7 +70,7 @@
 }
 
 static void
-on_closed (void *context, const char *name, uint64_t session)
+on_session_closed (void *context, const char *name, uint64_t session)
 {
   (void)context;
   (void)name;
@@ -78,7 +78,7 @@
 }
 
 static void
-on_lost (void *context, const char *name)
+on_link_lost (void *context, const char *name)
 {
   struct host *host = context;
 
@@ -95,14 +95,14 @@
 
 static const struct marjoram_host_links_ops ops
     = { .frame = on_frame,
-        .beat = on_beat,
-        .session_closed = on_closed,
-        .link_lost = on_lost,
+        .beat = on_heartbeat,
+        .session_closed = on_session_closed,
+        .link_lost = on_link_lost,
         .fill_beat = fill_beat };
 
-/* An IP number of this process.  */
+/* A loopback address that is unique to this process.  */
 static void
-name_ip (char ip[IP_MAX], int index)
+format_ip (char ip[IP_MAX], int index)
 {
   int process = getpid ();
 
@@ -116,9 +116,9 @@
   return host->links && host->settings.role == MARJORAM_ROLE_KEEPER;
 }
 
-/* The seeds of an entry host are the keepers that have started.  HOST
-   listens for links at the address of
-   LISTEN_INDEX, its own unless a relay stands there.  */
+/* Starts HOST.  The seeds of an entry host are the running keepers.
+   LISTEN_INDEX selects the address for links; it differs from INDEX only
+   behind a relay.  */
 static void
 start_at (struct host *host, int index, int listen_index,
           enum marjoram_gateway_role role, const char *region,
@@ -129,8 +129,8 @@
   char listen_ip[IP_MAX];
 
   memset (host, 0, sizeof *host);
-  name_ip (host->ip, index);
-  name_ip (listen_ip, listen_index);
+  format_ip (host->ip, index);
+  format_ip (listen_ip, listen_index);
   snprintf (host->link_address, sizeof host->link_address, "%s:%d", listen_ip,
             PORT);
   snprintf (host->entry_address, sizeof host->entry_address, "%s:80",
@@ -188,19 +188,19 @@
   tick (&other);
 }
 
-/* Runs all hosts until IS_SO; fails after LIMIT_MS.  */
+/* Runs all hosts until CONDITION holds; fails after LIMIT_MS.  */
 static void
-wait_until (bool (*is_so) (void), const char *what)
+wait_until (bool (*condition) (void), const char *what)
 {
   int64_t end = marjoram_clock_now (test_clock) + LIMIT_MS;
   struct timeval period = marjoram_clock_timeval (TICK_MS);
   struct event *timer = event_new (base, -1, EV_PERSIST, on_timer, NULL);
 
   event_add (timer, &period);
-  while (!is_so ())
+  while (!condition ())
     {
       ck_assert_msg (marjoram_clock_now (test_clock) < end,
-                     "waited in vain for %s", what);
+                     "timed out waiting for %s", what);
       event_base_loop (base, EVLOOP_ONCE);
     }
   event_free (timer);
@@ -225,8 +225,8 @@
       stop (all[i]);
   relay_destroy (relay);
   relay_destroy (other_relay);
-  relay_link_destroy (full_path);
-  full_path = NULL;
+  relay_link_destroy (slow_link);
+  slow_link = NULL;
   relay = NULL;
   other_relay = NULL;
   event_base_free (base);
@@ -255,23 +255,21 @@
   return !keeper_lists (&entry);
 }
 
-/* An entry host's time of day is set back by some seconds, and it is killed
-   and starts again within that time: by the clock its new life is older than
-   the former one.  Callers were not sent to it for a minute, though it says
-   that it is ready.  */
+/* A host that restarts with a lower incarnation, after its clock was set back,
+   was not listed for a minute.  */
 START_TEST (host_whose_clock_went_back_is_listed)
 {
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 1000000);
-  wait_until (entry_is_listed, "the host's first life");
+  wait_until (entry_is_listed, "the host to be listed");
   stop (&entry);
-  wait_until (entry_is_not_listed, "its end");
+  wait_until (entry_is_not_listed, "the stopped host to be delisted");
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 900000);
-  wait_until (entry_is_listed, "its second life");
+  wait_until (entry_is_listed, "the restarted host to be listed");
 }
 END_TEST
 
 static bool
-other_is_listed_too (void)
+both_are_listed (void)
 {
   return keeper_lists (&entry) && keeper_lists (&other);
 }
@@ -288,24 +286,23 @@
   return entry.frames > 0 && other.frames > 0;
 }
 
-/* Hosts use upstreams of their own region only: what a keeper tells of them
-   goes to that region's hosts and to nobody else.  */
+/* Messages for one region must not be sent to hosts of other regions.  */
 START_TEST (news_of_a_region_stay_there)
 {
   const struct marjoram_news_seen message = { 7 };
 
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 1);
   start (&other, 3, MARJORAM_ROLE_ENTRY, "r2", 1);
-  wait_until (other_is_listed_too, "both hosts");
+  wait_until (both_are_listed, "both hosts");
   ck_assert_uint_eq (marjoram_host_links_tell_in (keeper.links, false, "r1",
                                                   MARJORAM_FRAME_NEWS_SEEN,
                                                   &message),
                      1);
-  wait_until (entry_has_a_frame, "the news");
+  wait_until (entry_has_a_frame, "the message for its region");
   ck_assert_int_eq (other.frames, 0);
-  /* What concerns all comes after it on the same links.  */
+  /* The broadcast arrives after it on the same links.  */
   marjoram_host_links_tell (keeper.links, MARJORAM_FRAME_NEWS_SEEN, &message);
-  wait_until (both_have_a_frame, "news for all");
+  wait_until (both_have_a_frame, "the broadcast");
   ck_assert_int_eq (other.frames, 1);
   ck_assert_uint_eq (marjoram_host_links_tell_in (keeper.links, true, NULL,
                                                   MARJORAM_FRAME_NEWS_SEEN,
@@ -315,7 +312,7 @@
 END_TEST
 
 static bool
-newcomer_is_known (void)
+hosts_list_each_other (void)
 {
   const struct marjoram_listed_host *here
       = marjoram_host_list_find (other.hosts, entry.ip);
@@ -327,9 +324,8 @@
          && marjoram_host_list_serves (there, now);
 }
 
-/* Keepers tell of all hosts only now and then, as that takes bytes by the
-   square of their number.  A host that starts in between, in another region,
-   and those that are there hear of each other all the same at once.  */
+/* A new host and the existing ones must learn of each other at once rather
+   than with the next periodic host list.  */
 START_TEST (newcomer_is_told_of_all)
 {
   int64_t began;
@@ -338,34 +334,34 @@
   wait_until (entry_is_listed, "the first host");
   start (&other, 3, MARJORAM_ROLE_ENTRY, "r2", 1);
   began = marjoram_clock_now (test_clock);
-  wait_until (newcomer_is_known, "both to know of each other");
+  wait_until (hosts_list_each_other, "both hosts to list each other");
   ck_assert_int_lt (marjoram_clock_now (test_clock) - began, 4000);
 }
 END_TEST
 
-/* Starts a keeper whose links go through a relay, at its address.  */
+/* Starts a keeper and a relay that forwards its links.  */
 static struct relay *
 start_behind_relay (struct host *host, int index)
 {
   char address[TEXT_MAX];
-  struct relay *before;
+  struct relay *new_relay;
 
   start_at (host, index, BEHIND_RELAY + index, MARJORAM_ROLE_KEEPER, "r1", 1);
   snprintf (address, sizeof address, "%s:%d", host->ip, PORT);
-  before = relay_create (base, address, host->link_address);
-  ck_assert (before != NULL);
-  return before;
+  new_relay = relay_create (base, address, host->link_address);
+  ck_assert (new_relay != NULL);
+  return new_relay;
 }
 
 static void
-put_relay_before_keeper (void)
+restart_keeper_behind_relay (void)
 {
   stop (&keeper);
   relay = start_behind_relay (&keeper, 1);
 }
 
 static bool
-both_are_reached (void)
+both_links_are_up (void)
 {
   return marjoram_host_links_reaches (entry.links, keeper.ip)
          && marjoram_host_links_reaches (entry.links, other.ip);
@@ -381,28 +377,28 @@
   return marjoram_clock_now (test_clock) > since + SETTLE_MS;
 }
 
-/* An entry host with links to two keepers, each through a relay, some beats
-   after they came up.  */
+/* Starts an entry host with links to two keepers, each through a relay, and
+   waits for some heartbeats.  */
 static void
 start_behind_relays (void)
 {
-  put_relay_before_keeper ();
+  restart_keeper_behind_relay ();
   other_relay = start_behind_relay (&other, 3);
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 1);
-  wait_until (both_are_reached, "links to both keepers");
-  wait_until (has_settled, "some beats");
+  wait_until (both_links_are_up, "links to both keepers");
+  wait_until (has_settled, "some heartbeats");
 }
 
-/* A large frame from the keeper takes three seconds to come.  */
+/* Limits the bandwidth to the keeper: a large frame takes three seconds.  */
 static void
-make_path_full (void)
+limit_bandwidth (void)
 {
-  full_path = relay_link_create (LARGE_BYTES / 3);
-  relay_set_link (relay, full_path, true);
+  slow_link = relay_link_create (LARGE_BYTES / 3);
+  relay_set_link (relay, slow_link, true);
 }
 
 static void
-tell_large_frame (void)
+send_large_frame (void)
 {
   struct marjoram_data message = { 0 };
   uint8_t *bytes = marjoram_alloc (LARGE_BYTES);
@@ -413,33 +409,29 @@
   free (bytes);
 }
 
-/* A host's path is so full that one large frame takes three seconds to come.
-   The host took the link over which it came for silent after half of it, and
-   hung up: the requests that were forwarded over it were cut, and the frame
-   was sent again from its start.  Only whole frames counted as signs.  */
+/* A link must not time out while a large frame is being received: only
+   complete frames used to count as activity.  */
 START_TEST (link_on_which_a_large_frame_comes_is_not_silent)
 {
-  put_relay_before_keeper ();
+  restart_keeper_behind_relay ();
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 1);
   wait_until (entry_is_listed, "the host");
-  make_path_full ();
-  tell_large_frame ();
+  limit_bandwidth ();
+  send_large_frame ();
   wait_until (entry_has_a_frame, "the large frame");
   ck_assert_int_eq (entry.lost, 0);
 }
 END_TEST
 
-/* A host's own path is full for seconds: a large frame comes on one link, and
-   what others answer waits behind it.  The host took all the others for
-   silent after 1.5 s, hung up, and cut what was forwarded over them, while
-   each answered at once.  */
+/* While the host's own network path is saturated, acknowledgements on all
+   links are delayed; healthy links were closed after 1.5 s.  */
 START_TEST (link_is_not_silent_where_the_host_is_late)
 {
   start_behind_relays ();
-  make_path_full ();
-  /* There and back.  */
+  limit_bandwidth ();
+  /* In each direction.  */
   relay_set_delay (other_relay, 1000);
-  tell_large_frame ();
+  send_large_frame ();
   wait_until (entry_has_a_frame, "the large frame");
   ck_assert_int_eq (entry.lost, 0);
 }
@@ -451,8 +443,7 @@
   return entry.lost == 2;
 }
 
-/* A host is cut off from all others: this is not its own lateness, and it
-   notices as soon as ever, to dial anew.  */
+/* A partition is not receive lag: links must time out without delay.  */
 START_TEST (links_of_a_cut_off_host_are_silent)
 {
   int64_t began;
