--- a/test/lib_hosts.c
+++ b/test/lib_hosts.c
@@ -24,7 +24,7 @@
   int from;
   int to;
   uint64_t incarnation;
-  uint64_t session; /* of the sender's, if this is an answer over it */
+  uint64_t session; /* opened by the sender; 0 for a reply */
   enum marjoram_frame_type type;
   marjoram_bytes *packed;
   TAILQ_ENTRY (frame) next;
@@ -40,7 +40,7 @@
   marjoram_random *random;
   uint64_t incarnation;
   bool wanted[HOSTS_MAX];
-  uint64_t session[HOSTS_MAX]; /* own session to each; 0 if down */
+  uint64_t session[HOSTS_MAX]; /* own session to each host; 0 if down */
 };
 
 struct test_hosts
@@ -49,7 +49,7 @@
   int count;
   struct node nodes[HOSTS_MAX];
   bool cut[HOSTS_MAX][HOSTS_MAX];
-  TAILQ_HEAD (, frame) bag;
+  TAILQ_HEAD (, frame) pending_frames;
   uint64_t next_session;
   uint64_t next_call;
   uint64_t sequence;
@@ -70,7 +70,7 @@
 /* ---- Operations.  ---- */
 
 static struct test_reply *
-reply_of (void *context, uint64_t call)
+find_reply (void *context, uint64_t call)
 {
   const struct node *node = context;
 
@@ -81,7 +81,7 @@
 op_head (void *context, uint64_t call, const struct marjoram_head *head,
          const struct marjoram_answer_info *info, int64_t length)
 {
-  struct test_reply *reply = reply_of (context, call);
+  struct test_reply *reply = find_reply (context, call);
 
   (void)length;
   reply->status = (int)head->status;
@@ -92,7 +92,7 @@
 static void
 op_data (void *context, uint64_t call, marjoram_bytes *bytes)
 {
-  struct test_reply *reply = reply_of (context, call);
+  struct test_reply *reply = find_reply (context, call);
 
   strncat (reply->body, (const char *)marjoram_bytes_data (bytes),
            marjoram_bytes_size (bytes));
@@ -101,23 +101,23 @@
 static void
 op_end (void *context, uint64_t call)
 {
-  struct test_reply *reply = reply_of (context, call);
+  struct test_reply *reply = find_reply (context, call);
 
   reply->ended = true;
   reply->outcome = MARJORAM_OUTCOME_DONE;
 }
 
 static void
-op_cut (void *context, uint64_t call)
+op_abort (void *context, uint64_t call)
 {
-  reply_of (context, call)->cut = true;
+  find_reply (context, call)->cut = true;
 }
 
 static void
 op_refusal (void *context, uint64_t call,
             const struct marjoram_refusal *refusal)
 {
-  struct test_reply *reply = reply_of (context, call);
+  struct test_reply *reply = find_reply (context, call);
 
   reply->refused = true;
   reply->outcome = refusal->outcome;
@@ -131,20 +131,20 @@
 {
   const struct node *node = context;
   struct test_hosts *hosts = node->hosts;
-  struct test_run *made = &hosts->runs[hosts->run_count++ % RUNS_MAX];
-
-  memset (made, 0, sizeof *made);
-  made->host = node->index;
-  made->attempt = attempt;
-  made->open = true;
-  snprintf (made->address, sizeof made->address, "%s", run->address);
-  snprintf (made->id, sizeof made->id, "%s", run->id);
+  struct test_run *new_run = &hosts->runs[hosts->run_count++ % RUNS_MAX];
+
+  memset (new_run, 0, sizeof *new_run);
+  new_run->host = node->index;
+  new_run->attempt = attempt;
+  new_run->open = true;
+  snprintf (new_run->address, sizeof new_run->address, "%s", run->address);
+  snprintf (new_run->id, sizeof new_run->id, "%s", run->id);
   marjoram_log (MARJORAM_LOG_DEBUG, "%lld: %s runs %s at %s, body %.*s",
                 (long long)hosts->now, slots[node->index], run->id,
                 run->address, (int)marjoram_bytes_size (run->body),
                 (const char *)marjoram_bytes_data (run->body));
-  snprintf (made->key, sizeof made->key, "%s", run->key ? run->key : "");
-  snprintf (made->body, sizeof made->body, "%.*s",
+  snprintf (new_run->key, sizeof new_run->key, "%s", run->key ? run->key : "");
+  snprintf (new_run->body, sizeof new_run->body, "%.*s",
             (int)marjoram_bytes_size (run->body),
             (const char *)marjoram_bytes_data (run->body));
 }
@@ -213,8 +213,8 @@
 }
 
 static void
-bag_add (struct test_hosts *hosts, int from, int to, uint64_t session,
-         enum marjoram_frame_type type, const void *message)
+enqueue_frame (struct test_hosts *hosts, int from, int to, uint64_t session,
+               enum marjoram_frame_type type, const void *message)
 {
   struct frame *frame = marjoram_alloc (sizeof *frame);
 
@@ -224,7 +224,7 @@
   frame->incarnation = hosts->nodes[from].incarnation;
   frame->type = type;
   frame->packed = marjoram_wire_pack (marjoram_frame_layout (type), message);
-  TAILQ_INSERT_TAIL (&hosts->bag, frame, next);
+  TAILQ_INSERT_TAIL (&hosts->pending_frames, frame, next);
 }
 
 static void
@@ -235,7 +235,8 @@
   int to = slot_index (slot);
 
   if (to >= 0 && to < node->hosts->count && node->session[to])
-    bag_add (node->hosts, node->index, to, node->session[to], type, message);
+    enqueue_frame (node->hosts, node->index, to, node->session[to], type,
+                   message);
 }
 
 static void
@@ -247,7 +248,7 @@
 
   if (to >= 0 && to < node->hosts->count
       && node->hosts->nodes[to].session[node->index] == session)
-    bag_add (node->hosts, node->index, to, 0, type, message);
+    enqueue_frame (node->hosts, node->index, to, 0, type, message);
 }
 
 static void
@@ -264,7 +265,7 @@
                                 session);
 }
 
-/* Frames of a session that is gone are lost with it.  */
+/* Queued frames of the closed session are dropped on delivery.  */
 static void
 op_hang_up (void *context, const char *slot)
 {
@@ -302,7 +303,7 @@
   .reply_head = op_head,
   .reply_data = op_data,
   .reply_end = op_end,
-  .reply_abort = op_cut,
+  .reply_abort = op_abort,
   .reply_refusal = op_refusal,
   .run = op_run,
   .resume = op_resume,
@@ -318,10 +319,10 @@
   .drained = op_drained,
 };
 
-/* ---- Life.  ---- */
+/* ---- Creation.  ---- */
 
 static int64_t
-wall (const struct test_hosts *hosts)
+wall_time (const struct test_hosts *hosts)
 {
   return hosts->now + TEST_WALL_OFFSET;
 }
@@ -337,7 +338,7 @@
   options.counters = node->counters;
   options.random = node->random;
   node->host = marjoram_host_create (&options, &ops, node, node->hosts->now,
-                                     wall (node->hosts), NULL);
+                                     wall_time (node->hosts), NULL);
 }
 
 static void
@@ -366,7 +367,7 @@
 
   hosts->now = START_MS;
   hosts->count = count;
-  TAILQ_INIT (&hosts->bag);
+  TAILQ_INIT (&hosts->pending_frames);
   for (int i = 0; i < count; i++)
     node_create (hosts, i, seed);
   return hosts;
@@ -375,7 +376,7 @@
 static void
 frame_destroy (struct test_hosts *hosts, struct frame *frame)
 {
-  TAILQ_REMOVE (&hosts->bag, frame, next);
+  TAILQ_REMOVE (&hosts->pending_frames, frame, next);
   marjoram_bytes_release (frame->packed);
   free (frame);
 }
@@ -391,8 +392,8 @@
       marjoram_counters_destroy (hosts->nodes[i].counters);
       marjoram_random_destroy (hosts->nodes[i].random);
     }
-  while ((frame = TAILQ_FIRST (&hosts->bag)))
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
+  while ((frame = TAILQ_FIRST (&hosts->pending_frames)))
+    /* False positive in TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
     frame_destroy (hosts, frame);
   free (hosts);
 }
@@ -442,7 +443,7 @@
 }
 
 static bool
-is_carried (const struct test_hosts *hosts, const struct frame *frame)
+is_deliverable (const struct test_hosts *hosts, const struct frame *frame)
 {
   const struct node *sender = &hosts->nodes[frame->from];
 
@@ -459,10 +460,10 @@
   struct frame *frame;
 
   open_sessions (hosts);
-  while ((frame = TAILQ_FIRST (&hosts->bag)))
+  while ((frame = TAILQ_FIRST (&hosts->pending_frames)))
     {
-      /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
-      if (is_carried (hosts, frame))
+      /* False positive in TAILQ.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
+      if (is_deliverable (hosts, frame))
         deliver_one (hosts, frame);
       frame_destroy (hosts, frame);
       open_sessions (hosts);
@@ -476,7 +477,8 @@
     {
       hosts->now += STEP_MS;
       for (int i = 0; i < hosts->count; i++)
-        marjoram_host_tick (hosts->nodes[i].host, hosts->now, wall (hosts));
+        marjoram_host_tick (hosts->nodes[i].host, hosts->now,
+                            wall_time (hosts));
       test_deliver (hosts);
     }
 }
@@ -486,7 +488,7 @@
 {
   marjoram_log (MARJORAM_LOG_DEBUG, "%lld: %s and %s %s",
                 (long long)hosts->now, slots[a], slots[b],
-                cut ? "cut" : "healed");
+                cut ? "disconnected" : "reconnected");
   hosts->cut[a][b] = cut;
   hosts->cut[b][a] = cut;
   if (!cut)
@@ -501,7 +503,7 @@
   struct frame *frame;
   struct frame *next;
 
-  for (frame = TAILQ_FIRST (&hosts->bag); frame; frame = next)
+  for (frame = TAILQ_FIRST (&hosts->pending_frames); frame; frame = next)
     {
       next = TAILQ_NEXT (frame, next);
       if (frame->from == a && frame->to == b)
@@ -522,7 +524,7 @@
         node->session[i] = 0;
         break_session (hosts, i, host);
       }
-  /* Its connections to upstreams end with it.  */
+  /* Its connections to upstreams are closed.  */
   for (int i = 0; i < hosts->run_count && i < RUNS_MAX; i++)
     if (hosts->runs[i].host == host)
       hosts->runs[i].open = false;
--- a/test/lib_hosts.h
+++ b/test/lib_hosts.h
@@ -1,7 +1,7 @@
-/* A few hosts in one process under a clock that the test moves: frames between
-   them wait in a bag until they are delivered, lost or overtaken, and runs at
-   upstreams wait until the test answers them.  Drives the decision layer as
-   the daemon does.  */
+/* Simulates several hosts in one process with a virtual clock.  Frames between
+   hosts are queued until the test delivers or drops them, and runs at
+   upstreams until the test answers them.  Drives marjoram_host as the daemon
+   does.  */
 #ifndef MARJORAM_TEST_LIB_HOSTS_H
 #define MARJORAM_TEST_LIB_HOSTS_H
 
@@ -12,10 +12,9 @@
   HOSTS_MAX = 6,
   RUNS_MAX = 4096,
   REPLIES_MAX = 4096,
-  TEST_WALL_OFFSET = 1700000000 /* wall clock less monotonic clock, in ms */
+  TEST_WALL_OFFSET = 1700000000 /* wall clock minus monotonic clock, in ms */
 };
 
-/* A run at an upstream.  */
 struct test_run
 {
   int host;
@@ -26,21 +25,21 @@
   char body[64];
   bool open; /* not answered, failed or cancelled */
   bool cancelled;
-  bool refused; /* not run, as the test told the host */
+  bool refused; /* the test reported it to the host as not run */
   int resumes;
 };
 
-/* What a caller has got.  */
+/* What a caller has received.  */
 struct test_reply
 {
-  bool ended; /* properly */
-  bool cut;
+  bool ended; /* completely */
+  bool cut;   /* truncated */
   bool refused;
   bool replayed;
   enum marjoram_outcome outcome;
   enum marjoram_reason reason;
   int64_t retry_ms;
-  int runs_before; /* runs of all requests when it was refused */
+  int runs_before; /* total number of runs when it was refused */
   int status;
   char body[256];
   char zone[MARJORAM_NAME_MAX + 1];
@@ -48,33 +47,33 @@
 
 struct test_hosts;
 
-/* COUNT hosts: slots a-1 to a-3 of zone a and b-1 to b-3 of zone b, regions ra
-   and rb, callers "free" (anywhere) and "bound" (ra only), model m, service s.
-   All links are up.  */
+/* Creates the first COUNT hosts of slots a-1 to a-3 in zone a (region ra) and
+   b-1 to b-3 in zone b (region rb).  The configuration has callers "free" (any
+   region) and "bound" (ra only), model m and service s.  All links are up.  */
 struct test_hosts *test_hosts_create (int count, uint64_t seed);
 void test_hosts_destroy (struct test_hosts *hosts);
 marjoram_host *test_host (struct test_hosts *hosts, int index);
 int64_t test_now (const struct test_hosts *hosts);
-/* Gives all hosts the configuration; EXTRA, with a higher NUMBER, replaces the
-   callers file.  */
+/* Sends all hosts configuration NUMBER.  CALLERS replaces the default callers
+   file unless it is NULL.  */
 void test_configure (struct test_hosts *hosts, uint64_t number,
                      const char *callers);
 /* The same without zone b.  */
 void test_remove_zone (struct test_hosts *hosts, uint64_t number);
-/* An upstream announces itself to HOST: 127.9.0.1:PORT runs m and s.  */
+/* Announces an upstream at 127.9.0.1:PORT that runs m and s to HOST.  */
 void test_announce (struct test_hosts *hosts, int host, const char *name,
                     const char *zone, int port, uint64_t incarnation,
                     bool leaving);
-/* Sends a request; the call number returned finds its reply.  KEY makes it
-   non-idempotent.  */
+/* Sends a request and returns its call number, for test_reply.  With a KEY it
+   is not idempotent.  */
 uint64_t test_send (struct test_hosts *hosts, int host, const char *caller,
                     const char *body, const char *key, bool stream,
                     int64_t deadline_ms);
 struct test_reply *test_reply (struct test_hosts *hosts, uint64_t call);
-/* Runs so far, and the Nth of them.  */
+/* The number of runs so far, and the run with INDEX.  */
 int test_runs (const struct test_hosts *hosts);
 struct test_run *test_run (struct test_hosts *hosts, int index);
-/* Answers with BODY in one piece and an end.  */
+/* Sends a complete response with BODY.  */
 void test_answer (struct test_hosts *hosts, struct test_run *run,
                   const char *body);
 void test_head (struct test_hosts *hosts, struct test_run *run);
@@ -82,21 +81,21 @@
                 const char *body);
 void test_fail (struct test_hosts *hosts, struct test_run *run,
                 enum marjoram_run_failure failure);
-/* The answer to the host's last probe.  */
+/* Reports to HOST the result of its probe of UPSTREAM.  */
 void test_probed (struct test_hosts *hosts, int host, const char *upstream,
                   bool alive);
-/* Delivers what is in the bag until it is empty, without moving the clock.  */
+/* Delivers queued frames until none is left, without advancing the clock.  */
 void test_deliver (struct test_hosts *hosts);
-/* Moves the clock in steps of 50 ms, delivering on the way.  */
+/* Advances the clock in steps of 50 ms, delivering frames after each.  */
 void test_pass (struct test_hosts *hosts, int64_t msec);
-/* Frames between the two go no further, and their sessions break; or work
-   again.  */
+/* Disconnects hosts A and B if CUT: their sessions break and frames between
+   them are dropped.  Otherwise reconnects them.  */
 void test_cut (struct test_hosts *hosts, int a, int b, bool cut);
-/* Drops frames in the bag from A to B.  */
+/* Drops queued frames from A to B.  */
 void test_drop (struct test_hosts *hosts, int a, int b);
-/* HOST loses all its state and starts anew, with a higher incarnation.  */
+/* Restarts HOST without its state and with a higher incarnation.  */
 void test_restart (struct test_hosts *hosts, int host);
-/* Hands HOST a frame as if SLOT had sent it.  */
+/* Delivers a frame to HOST as if SLOT had sent it.  */
 void test_forge (struct test_hosts *hosts, int host, const char *slot,
                  uint64_t session, enum marjoram_frame_type type,
                  const void *message);
