--- a/src/host_state.h
+++ b/src/host_state.h
@@ -22,6 +22,7 @@
      new connection; the attempt fails if that one is silent too.  */
   MARJORAM_UPSTREAM_SILENT_MS = 2000,
   MARJORAM_RESUME_WAIT_MS = 2000,
+  /* The silence before each further resume doubles up to this limit.  */
   MARJORAM_PATIENCE_MAX_MS = 8000,
   MARJORAM_SERVICE_SILENT_MS = 4000,
   MARJORAM_PROBE_MS = 1000,
