--- a/bench/bench_claim.c
+++ b/bench/bench_claim.c
@@ -1,6 +1,7 @@
-/* Cost of claims: memory of a kept one, processor time of an acquire through
-   three hosts' decisions (messages packed and unpacked as on the links), and
-   messages by the number of a zone's hosts.  Links are without delay here.  */
+/* Measures the cost of claims: memory per retained claim, and time,
+   messages and bytes per acquired and finished claim, by the number of hosts
+   in the zone.  Messages are encoded and decoded as on a link, but delivered
+   without delay.  */
 #include "claim.h"
 #include "cleanup.h"
 
@@ -11,21 +12,21 @@
 
 enum
 {
-  SLOTS_MAX = 21,
-  QUEUE_MAX = 4 * SLOTS_MAX * SLOTS_MAX,
+  HOSTS_MAX = 21,
+  QUEUE_MAX = 4 * HOSTS_MAX * HOSTS_MAX,
   RETENTION_MS = 24 * 3600 * 1000,
   REPLAY_MS = 60 * 1000,
   TIMEOUT_MS = 1000,
-  SETTLED_MS = 15 * 1000,
-  WALL = 1000000000,
-  ACQUIRES = 20000,
-  MEDIAN = ACQUIRES / 2,
-  SLOW = ACQUIRES / 100 * 99,
-  ANSWER_SIZE = 200,
+  STARTUP_MS = 15 * 1000,
+  WALL_CLOCK_MS = 1000000000,
+  CLAIMS = 20000,
+  P50_INDEX = CLAIMS / 2,
+  P99_INDEX = CLAIMS / 100 * 99,
+  RESPONSE_SIZE = 200,
   NSEC_PER_USEC = 1000
 };
 
-struct letter
+struct queued_message
 {
   int from;
   int to;
@@ -36,22 +37,23 @@
 {
   int count;
   int64_t now;
-  marjoram_claims *claims[SLOTS_MAX];
+  marjoram_claims *claims[HOSTS_MAX];
   struct host
   {
     struct zone *zone;
-    int ordinal;
-  } hosts[SLOTS_MAX];
-  struct letter queue[QUEUE_MAX];
-  int first;
-  int last;
+    int host_index;
+  } hosts[HOSTS_MAX];
+  struct queued_message queue[QUEUE_MAX];
+  int queue_head;
+  int queue_tail;
   long messages;
   long bytes;
   long granted;
 };
 
 static void
-post (void *context, int ordinal, const struct marjoram_claim_message *message)
+on_send (void *context, int host_index,
+         const struct marjoram_claim_message *message)
 {
   const struct host *host = context;
   struct zone *zone = host->zone;
@@ -59,13 +61,15 @@
 
   zone->messages++;
   zone->bytes += (long)marjoram_bytes_size (bytes);
-  zone->queue[zone->last] = (struct letter){ host->ordinal, ordinal, bytes };
-  zone->last = (zone->last + 1) % QUEUE_MAX;
+  zone->queue[zone->queue_tail]
+      = (struct queued_message){ host->host_index, host_index, bytes };
+  zone->queue_tail = (zone->queue_tail + 1) % QUEUE_MAX;
 }
 
 static void
-decided (void *context, uint64_t attempt, enum marjoram_claim_verdict verdict,
-         const struct marjoram_kept_answer *kept)
+on_decided (void *context, uint64_t attempt,
+            enum marjoram_claim_verdict verdict,
+            const struct marjoram_kept_answer *kept)
 {
   struct host *host = context;
 
@@ -77,19 +81,19 @@
 static void
 deliver_all (struct zone *zone)
 {
-  while (zone->first != zone->last)
+  while (zone->queue_head != zone->queue_tail)
     {
-      struct letter letter = zone->queue[zone->first];
+      struct queued_message queued = zone->queue[zone->queue_head];
       void *message;
 
-      zone->first = (zone->first + 1) % QUEUE_MAX;
+      zone->queue_head = (zone->queue_head + 1) % QUEUE_MAX;
       message = marjoram_wire_unpack (
-          &marjoram_claim_layout, marjoram_bytes_data (letter.bytes),
-          marjoram_bytes_size (letter.bytes), NULL);
-      marjoram_claims_receive (zone->claims[letter.to], zone->now, letter.from,
+          &marjoram_claim_layout, marjoram_bytes_data (queued.bytes),
+          marjoram_bytes_size (queued.bytes), NULL);
+      marjoram_claims_receive (zone->claims[queued.to], zone->now, queued.from,
                                message);
       marjoram_wire_destroy (&marjoram_claim_layout, message);
-      marjoram_bytes_release (letter.bytes);
+      marjoram_bytes_release (queued.bytes);
     }
 }
 
@@ -98,7 +102,8 @@
 {
   for (int i = 0; i < zone->count; i++)
     {
-      marjoram_claims_tick (zone->claims[i], zone->now, WALL + zone->now);
+      marjoram_claims_tick (zone->claims[i], zone->now,
+                            WALL_CLOCK_MS + zone->now);
       deliver_all (zone);
     }
 }
@@ -106,7 +111,7 @@
 static struct zone *
 create_zone (int count)
 {
-  static const struct marjoram_claims_ops ops = { post, decided };
+  static const struct marjoram_claims_ops ops = { on_send, on_decided };
   struct zone *zone = marjoram_alloc (sizeof *zone);
 
   zone->count = count;
@@ -120,7 +125,7 @@
           = marjoram_claims_create (&options, &ops, &zone->hosts[i]);
     }
   tick_all (zone);
-  zone->now += SETTLED_MS;
+  zone->now += STARTUP_MS;
   tick_all (zone);
   zone->messages = 0;
   zone->bytes = 0;
@@ -141,7 +146,7 @@
 {
   struct marjoram_kept_answer kept = { 200, (char *)"text/plain", body };
   int host = (int)(number % zone->count);
-  int64_t issued = WALL + zone->now;
+  int64_t issued = WALL_CLOCK_MS + zone->now;
   char key[MARJORAM_KEY_MAX];
 
   snprintf (key, sizeof key, "zone-1.%llx.%ld", (unsigned long long)issued,
@@ -172,14 +177,14 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* Bytes of one host's heap, measured by the allocator in a zone of one.  */
+/* Measures heap growth per claim, in a zone of one host.  */
 static void
 measure_memory (long claims)
 {
   struct zone *zone = create_zone (1);
   marjoram_bytes *body = marjoram_bytes_create (NULL, 0);
   size_t before = mallinfo2 ().uordblks + mallinfo2 ().hblkhd;
-  double each;
+  double claim_bytes;
 
   for (long i = 0; i < claims; i++)
     {
@@ -190,26 +195,26 @@
     }
   zone->now += REPLAY_MS + 1;
   tick_all (zone);
-  each = (double)(mallinfo2 ().uordblks + mallinfo2 ().hblkhd - before)
-         / (double)claims;
+  claim_bytes = (double)(mallinfo2 ().uordblks + mallinfo2 ().hblkhd - before)
+                / (double)claims;
   printf ("metric=claim_memory_%ld value=%.1f unit=bytes baseline=200 "
           "baseline_name=wanted\n",
-          claims, each);
+          claims, claim_bytes);
   marjoram_bytes_release (body);
   destroy_zone (zone);
 }
 
-/* What the same call costs without a claim: its key is made and read.  */
+/* Baseline: formats and parses the key without claiming it.  */
 static int64_t
-hash_only (long number)
+time_key_parse (long number)
 {
   int64_t start = now_ns ();
   char key[MARJORAM_KEY_MAX];
   char zone[MARJORAM_KEY_MAX];
   int64_t issued;
 
-  snprintf (key, sizeof key, "zone-1.%llx.%ld", (unsigned long long)WALL,
-            number);
+  snprintf (key, sizeof key, "zone-1.%llx.%ld",
+            (unsigned long long)WALL_CLOCK_MS, number);
   if (!marjoram_key_parse (key, zone, &issued))
     abort ();
   return now_ns () - start;
@@ -218,38 +223,38 @@
 static void
 measure_time (int slots)
 {
-  static int64_t with[ACQUIRES];
-  static int64_t without[ACQUIRES];
+  static int64_t claim_ns[CLAIMS];
+  static int64_t baseline_ns[CLAIMS];
   struct zone *zone = create_zone (slots);
-  char text[ANSWER_SIZE] = { 0 };
+  char text[RESPONSE_SIZE] = { 0 };
   marjoram_bytes *body = marjoram_bytes_create (text, sizeof text);
 
-  for (long i = 0; i < ACQUIRES; i++)
+  for (long i = 0; i < CLAIMS; i++)
     {
       int64_t start = now_ns ();
 
       run_claim (zone, i, body);
-      with[i] = now_ns () - start;
-      without[i] = hash_only (i);
+      claim_ns[i] = now_ns () - start;
+      baseline_ns[i] = time_key_parse (i);
     }
-  if (zone->granted != ACQUIRES)
+  if (zone->granted != CLAIMS)
     abort ();
-  qsort (with, ACQUIRES, sizeof *with, compare);
-  qsort (without, ACQUIRES, sizeof *without, compare);
+  qsort (claim_ns, CLAIMS, sizeof *claim_ns, compare);
+  qsort (baseline_ns, CLAIMS, sizeof *baseline_ns, compare);
   printf ("metric=claim_cpu_p50_%d_slots value=%.2f unit=us baseline=%.2f "
           "baseline_name=key_parsed_no_claim\n",
-          slots, (double)with[MEDIAN] / NSEC_PER_USEC,
-          (double)without[MEDIAN] / NSEC_PER_USEC);
+          slots, (double)claim_ns[P50_INDEX] / NSEC_PER_USEC,
+          (double)baseline_ns[P50_INDEX] / NSEC_PER_USEC);
   printf ("metric=claim_cpu_p99_%d_slots value=%.2f unit=us baseline=%.2f "
           "baseline_name=key_parsed_no_claim\n",
-          slots, (double)with[SLOW] / NSEC_PER_USEC,
-          (double)without[SLOW] / NSEC_PER_USEC);
+          slots, (double)claim_ns[P99_INDEX] / NSEC_PER_USEC,
+          (double)baseline_ns[P99_INDEX] / NSEC_PER_USEC);
   printf ("metric=claim_messages_%d_slots value=%.2f unit=messages "
           "baseline=0 baseline_name=no_claim\n",
-          slots, (double)zone->messages / ACQUIRES);
+          slots, (double)zone->messages / CLAIMS);
   printf ("metric=claim_bytes_%d_slots value=%.0f unit=bytes "
           "baseline=0 baseline_name=no_claim\n",
-          slots, (double)zone->bytes / ACQUIRES);
+          slots, (double)zone->bytes / CLAIMS);
   marjoram_bytes_release (body);
   destroy_zone (zone);
 }
