--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -1,5 +1,5 @@
-/* Cost of a configuration at three sizes, the middle one being the target:
-   time to parse and check it, memory that it holds, time of one lookup.  */
+/* Measures a configuration at three sizes, the second of which is the target:
+   time to parse and validate it, memory use, and time per lookup.  */
 #include "cleanup.h"
 #include "config.h"
 
@@ -11,7 +11,7 @@
 enum
 {
   RUNS = 9,
-  MEDIAN = 4,
+  MEDIAN_INDEX = 4,
   LOOKUPS = 1000 * 1000,
   RULES = 16,
   REGIONS = 6,
@@ -23,7 +23,7 @@
   int callers;
   int zones;
   int slots;
-  int works;
+  int models;
 };
 
 static int64_t
@@ -64,7 +64,7 @@
              "[slot slot-%d]\nzone = zone-%d\npeer = 10.1.%d.%d:7000\n"
              "entry = 10.1.%d.%d:8080\n",
              i, i % size->zones, i / 250, i % 250, i / 250, i % 250);
-  for (int i = 0; i < size->works; i++)
+  for (int i = 0; i < size->models; i++)
     fprintf (out, "[model model-%d]\nprefill_rate = 4000\ncopies = 2\n", i);
   fclose (out);
   return text;
@@ -87,7 +87,7 @@
     fprintf (out,
              "[residency rule-%d]\ncallers = caller-%d, caller-%d\n"
              "works = model-%d\nregions = region-%d, region-%d\n",
-             i, i, i + REGIONS, i % size->works, i % REGIONS,
+             i, i, i + REGIONS, i % size->models, i % REGIONS,
              (i + 1) % REGIONS);
   fclose (out);
   return text;
@@ -124,7 +124,7 @@
       snprintf (token, sizeof token, "0123456789abcdef0123456789-%d",
                 i % size->callers);
       caller = marjoram_config_find_caller_by_token (config, token);
-      sum += marjoram_config_allowed (config, caller, i % size->works);
+      sum += marjoram_config_allowed (config, caller, i % size->models);
     }
   print ("admit_lookup", size, (double)(now_ns () - start) / LOOKUPS, "ns");
   if (sum == 0)
@@ -159,7 +159,8 @@
         }
     }
   qsort (times, RUNS, sizeof *times, compare_times);
-  print ("parse_median", size, (double)times[MEDIAN] / NSEC_PER_USEC, "us");
+  print ("parse_median", size, (double)times[MEDIAN_INDEX] / NSEC_PER_USEC,
+         "us");
   print ("memory", size,
          (double)(mallinfo2 ().uordblks + mallinfo2 ().hblkhd - before),
          "bytes");
