--- a/bench/bench_keeper.c
+++ b/bench/bench_keeper.c
@@ -1,9 +1,9 @@
-/* Agreement among three keepers with real stores on one disk, messages passed
-   on at once: what an apply costs in syncs, how a restart and the disk's size
-   go with the number of changes, and what a customer costs in the state.  The
-   baseline rewrites and syncs every file at every host for each change.  Then
-   six keepers on connections as between regions: what one changed route costs
-   in bytes between them and in processor time, by the number of routes.  */
+/* Measures consensus among three keepers with real stores on one disk and
+   immediate message delivery: changes per second, restart time and store size
+   by the number of changes, and state size per customer.  The baseline
+   rewrites and syncs every file of every host for each change.  Also measures
+   traffic and CPU time per changed route among six keepers on simulated
+   links between regions, by the number of routes.  */
 #include "cleanup.h"
 #include "keeper.h"
 #include "lib_keeper_net.h"
@@ -23,23 +23,23 @@
   HOSTS = 9,
   FILES = 5,
   FILE_BYTES = 8192,
-  ALONE = 200,
-  AT_ONCE = 64,
-  BASELINE = 20,
+  SEQUENTIAL_CHANGES = 200,
+  BATCH_SIZE = 64,
+  BASELINE_CHANGES = 20,
   RESTARTS = 5,
   CUSTOMERS = 2600,
   REGION_KEEPERS = 6,
   ROUTE_CHANGES = 5,
   ONE_WAY_MS = 55,
   BYTES_PER_S = 600 * 1000,
-  AGREE_MS = 60000,
+  AGREEMENT_TIMEOUT_MS = 60000,
   TICK_MS = 100,
   PATH_SIZE = 256
 };
 
-struct flight
+struct queued_message
 {
-  STAILQ_ENTRY (flight) link;
+  STAILQ_ENTRY (queued_message) link;
   int from, to;
   marjoram_bytes *packed;
 };
@@ -59,7 +59,7 @@
 struct net
 {
   struct host hosts[KEEPERS];
-  STAILQ_HEAD (, flight) flights;
+  STAILQ_HEAD (, queued_message) messages;
   marjoram_random *random;
   int64_t now;
   uint64_t answered;
@@ -86,13 +86,13 @@
          const struct marjoram_keeper_message *message)
 {
   struct host *host = context;
-  struct flight *flight = marjoram_alloc (sizeof *flight);
+  struct queued_message *queued = marjoram_alloc (sizeof *queued);
 
-  flight->from = host->index;
-  flight->to = slot[1] - '0';
-  flight->packed
+  queued->from = host->index;
+  queued->to = slot[1] - '0';
+  queued->packed
       = marjoram_wire_pack (&marjoram_keeper_message_layout, message);
-  STAILQ_INSERT_TAIL (&host->net->flights, flight, link);
+  STAILQ_INSERT_TAIL (&host->net->messages, queued, link);
 }
 
 static void
@@ -171,23 +171,23 @@
 }
 
 static void
-pass_on (struct net *net)
+deliver_all (struct net *net)
 {
-  while (!STAILQ_EMPTY (&net->flights))
+  while (!STAILQ_EMPTY (&net->messages))
     {
-      struct flight *flight = STAILQ_FIRST (&net->flights);
+      struct queued_message *queued = STAILQ_FIRST (&net->messages);
       struct marjoram_keeper_message *message;
 
-      STAILQ_REMOVE_HEAD (&net->flights, link);
+      STAILQ_REMOVE_HEAD (&net->messages, link);
       message
           = marjoram_wire_unpack (&marjoram_keeper_message_layout,
-                                  marjoram_bytes_data (flight->packed),
-                                  marjoram_bytes_size (flight->packed), NULL);
-      marjoram_keeper_receive (net->hosts[flight->to].keeper, net->now,
-                               net->hosts[flight->from].slot, message);
+                                  marjoram_bytes_data (queued->packed),
+                                  marjoram_bytes_size (queued->packed), NULL);
+      marjoram_keeper_receive (net->hosts[queued->to].keeper, net->now,
+                               net->hosts[queued->from].slot, message);
       marjoram_wire_destroy (&marjoram_keeper_message_layout, message);
-      marjoram_bytes_release (flight->packed);
-      free (flight);
+      marjoram_bytes_release (queued->packed);
+      free (queued);
     }
 }
 
@@ -198,12 +198,12 @@
   for (int i = 0; i < KEEPERS; i++)
     {
       marjoram_keeper_tick (net->hosts[i].keeper, net->now);
-      pass_on (net);
+      deliver_all (net);
     }
 }
 
 static bool
-agree (const struct net *net)
+in_agreement (const struct net *net)
 {
   uint64_t number = 0;
 
@@ -224,7 +224,7 @@
 open_net (struct net *net, const char *folder)
 {
   memset (net, 0, sizeof *net);
-  STAILQ_INIT (&net->flights);
+  STAILQ_INIT (&net->messages);
   net->random = marjoram_random_create (1);
   for (int i = 0; i < KEEPERS; i++)
     {
@@ -236,7 +236,7 @@
       snprintf (host->folder, sizeof host->folder, "%s/k%d", folder, i);
       open_host (net, i);
     }
-  while (!agree (net))
+  while (!in_agreement (net))
     step (net);
 }
 
@@ -260,10 +260,11 @@
   marjoram_random_destroy (net->random);
 }
 
-/* Applies COUNT new versions, AT_ONCE at a time, at the keepers in turn.  */
+/* Applies COUNT new versions in batches of BATCH_SIZE, each batch at the next
+   keeper.  */
 static void
-apply (struct net *net, uint64_t first_version, uint64_t count,
-       uint64_t at_once)
+apply_changes (struct net *net, uint64_t first_version, uint64_t count,
+               uint64_t batch_size)
 {
   char *text = marjoram_alloc (FILE_BYTES + 1);
 
@@ -274,16 +275,16 @@
       uint64_t version = first_version + i;
       char name[PATH_SIZE], id[PATH_SIZE];
       struct marjoram_file file = { name, version, NULL, text };
-      int index = (int)(i / at_once % KEEPERS);
+      int index = (int)(i / batch_size % KEEPERS);
 
       snprintf (name, sizeof name, "file-%d.ini", (int)(version % FILES));
       snprintf (id, sizeof id, "change-%llu", (unsigned long long)version);
       for (size_t j = 0; id[j]; j++)
         text[j] = id[j];
       marjoram_keeper_apply (net->hosts[index].keeper, net->now, i, id, &file);
-      if ((i + 1) % at_once != 0 && i + 1 < count)
+      if ((i + 1) % batch_size != 0 && i + 1 < count)
         continue;
-      pass_on (net);
+      deliver_all (net);
       while (net->answered <= i)
         step (net);
     }
@@ -292,23 +293,23 @@
 
 static double
 apply_rate (struct net *net, uint64_t first_version, uint64_t count,
-            uint64_t at_once)
+            uint64_t batch_size)
 {
   double start = seconds ();
 
-  apply (net, first_version, count, at_once);
+  apply_changes (net, first_version, count, batch_size);
   return (double)count / (seconds () - start);
 }
 
 static void
-write_synced (int folder, const char *name, const char *text)
+write_file_synced (int folder, const char *name, const char *text)
 {
   int fd = openat (folder, "new", O_WRONLY | O_CREAT | O_TRUNC, 0600);
 
   if (fd < 0 || write (fd, text, FILE_BYTES) != FILE_BYTES
       || fdatasync (fd) != 0 || close (fd) != 0
       || renameat (folder, "new", folder, name) != 0 || fsync (folder) != 0)
-    fail ("baseline");
+    fail ("baseline write");
 }
 
 static double
@@ -320,13 +321,13 @@
   double start = seconds ();
   double rate;
 
-  for (int i = 0; i < BASELINE; i++)
+  for (int i = 0; i < BASELINE_CHANGES; i++)
     for (int j = 0; j < HOSTS * FILES; j++)
       {
         snprintf (name, sizeof name, "%d", j);
-        write_synced (fd, name, text);
+        write_file_synced (fd, name, text);
       }
-  rate = BASELINE / (seconds () - start);
+  rate = BASELINE_CHANGES / (seconds () - start);
   for (int j = 0; j < HOSTS * FILES; j++)
     {
       snprintf (name, sizeof name, "%d", j);
@@ -377,8 +378,8 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* From opening the stores until all keepers vote and hold the same state,
-   median of RESTARTS; the clock of the messages is not counted.  */
+/* Returns the median time over RESTARTS from opening the stores until all
+   keepers vote and hold the same state.  Simulated time is not included.  */
 static double
 restart_ms (struct net *net, const char *folder)
 {
@@ -403,7 +404,7 @@
       char metric[PATH_SIZE];
       double bytes, ms;
 
-      apply (net, version + done, counts[i] - done, AT_ONCE);
+      apply_changes (net, version + done, counts[i] - done, BATCH_SIZE);
       done = counts[i];
       bytes = (double)store_size (net);
       ms = restart_ms (net, folder);
@@ -458,30 +459,30 @@
   print (metric, value, unit, baseline, baseline_name);
 }
 
-/* Of the changes, their costs together.  */
+/* Totals over several changes.  */
 struct route_changes
 {
-  int64_t took_ms;
+  int64_t total_ms;
   int answered;
   int agreed;
 };
 
 static void
 change_route (struct keeper_net *net, int routes, int changed,
-              struct route_changes *sum)
+              struct route_changes *totals)
 {
   marjoram_auto_free char *text = keeper_net_routes (routes, changed);
-  int64_t took
-      = keeper_net_change (net, changed % REGION_KEEPERS, text, AGREE_MS);
+  int64_t duration_ms = keeper_net_change (net, changed % REGION_KEEPERS, text,
+                                           AGREEMENT_TIMEOUT_MS);
 
-  sum->answered += took >= 0;
-  sum->took_ms += took < 0 ? AGREE_MS : took;
-  sum->agreed += keeper_net_wait_agreement (net, AGREE_MS);
+  totals->answered += duration_ms >= 0;
+  totals->total_ms += duration_ms < 0 ? AGREEMENT_TIMEOUT_MS : duration_ms;
+  totals->agreed += keeper_net_wait_agreement (net, AGREEMENT_TIMEOUT_MS);
 }
 
 static void
 print_route_changes (const struct keeper_net *net, int routes,
-                     const struct route_changes *sum, clock_t cpu)
+                     const struct route_changes *totals, clock_t cpu)
 {
   marjoram_auto_free char *text = keeper_net_routes (routes, -1);
 
@@ -491,34 +492,34 @@
   print_routes ("cpu", routes,
                 (double)cpu * 1e3 / CLOCKS_PER_SEC / ROUTE_CHANGES, "ms", 0,
                 "none");
-  print_routes ("answer", routes, (double)sum->took_ms / ROUTE_CHANGES, "ms",
-                4.0 * ONE_WAY_MS, "two_round_trips");
-  print_routes ("answered", routes, sum->answered, "changes", ROUTE_CHANGES,
+  print_routes ("answer", routes, (double)totals->total_ms / ROUTE_CHANGES,
+                "ms", 4.0 * ONE_WAY_MS, "two_round_trips");
+  print_routes ("answered", routes, totals->answered, "changes", ROUTE_CHANGES,
                 "all");
-  print_routes ("agreed", routes, sum->agreed, "changes", ROUTE_CHANGES,
+  print_routes ("agreed", routes, totals->agreed, "changes", ROUTE_CHANGES,
                 "all");
 }
 
-/* One route changed among ROUTES, mean of ROUTE_CHANGES; with the greetings of
-   the time until all hold it.  */
+/* Measures changes of one route among ROUTES, as the mean of ROUTE_CHANGES.
+   Heartbeats sent until all keepers hold the change are included.  */
 static void
 measure_route_change (int routes)
 {
   static const struct keeper_net_options options
       = { REGION_KEEPERS, ONE_WAY_MS, BYTES_PER_S };
   struct keeper_net *net = keeper_net_create (&options);
-  struct route_changes first = { 0 }, sum = { 0 };
+  struct route_changes first = { 0 }, totals = { 0 };
   clock_t cpu;
 
-  if (!keeper_net_wait_agreement (net, AGREE_MS))
-    fail ("a first state");
+  if (!keeper_net_wait_agreement (net, AGREEMENT_TIMEOUT_MS))
+    fail ("initial agreement");
   change_route (net, routes, 0, &first);
-  keeper_net_run (net, AGREE_MS);
+  keeper_net_run (net, AGREEMENT_TIMEOUT_MS);
   keeper_net_reset_counters (net);
   cpu = clock ();
   for (int i = 1; i <= ROUTE_CHANGES; i++)
-    change_route (net, routes, i, &sum);
-  print_route_changes (net, routes, &sum, clock () - cpu);
+    change_route (net, routes, i, &totals);
+  print_route_changes (net, routes, &totals, clock () - cpu);
   keeper_net_destroy (net);
 }
 
@@ -545,11 +546,13 @@
     fail ("mkdtemp");
   baseline = baseline_rate (folder);
   open_net (&net, folder);
-  apply (&net, 1, FILES, 1);
-  print ("apply_one_at_a_time", apply_rate (&net, FILES + 1, ALONE, 1),
-         "per_s", baseline, "every_file_at_9_hosts");
+  apply_changes (&net, 1, FILES, 1);
+  print ("apply_one_at_a_time",
+         apply_rate (&net, FILES + 1, SEQUENTIAL_CHANGES, 1), "per_s",
+         baseline, "every_file_at_9_hosts");
   print ("apply_64_at_once",
-         apply_rate (&net, FILES + ALONE + 1, (uint64_t)AT_ONCE * 10, AT_ONCE),
+         apply_rate (&net, FILES + SEQUENTIAL_CHANGES + 1,
+                     (uint64_t)BATCH_SIZE * 10, BATCH_SIZE),
          "per_s", baseline, "every_file_at_9_hosts");
   remove_net (&net);
   open_net (&net, folder);
