--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,6 +1,6 @@
-/* Of a hundred callers with long prompts, how many are served in time, placed
-   by the hosts or by simple rules, at four loads of four simulated engines;
-   and how many thousand tokens of shared parts the engines read again.  */
+/* Compares placement by the hosts with simple policies at four loads of four
+   simulated engines: the percentage of long prompts answered in time, and the
+   thousands of tokens of shared prompt parts that are prefilled again.  */
 #include "lib_load.h"
 
 #include <inttypes.h>
@@ -12,14 +12,14 @@
   ENGINES = 4,
   HOSTS = 4,
   SESSIONS = 83,
-  SPAN_MS = 60000,
+  DURATION_MS = 60000,
   SEEDS = 5,
   THOUSAND = 1000,
   PERCENT = 100
 };
 
 static void
-add (struct load_result *sum, const struct load_result *one)
+add_result (struct load_result *sum, const struct load_result *one)
 {
   sum->asked += one->asked;
   sum->in_time += one->in_time;
@@ -28,7 +28,7 @@
 }
 
 static struct load_result
-play (enum load_policy way, double reviews_per_s, double chats_per_s)
+run_seeds (enum load_policy way, double reviews_per_s, double chats_per_s)
 {
   struct load_result sum = { 0 };
 
@@ -42,18 +42,18 @@
         .reviews_per_s = reviews_per_s,
         .chats_per_s = chats_per_s,
         .sessions = SESSIONS,
-        .span_ms = SPAN_MS,
+        .span_ms = DURATION_MS,
       };
       struct load_result one;
 
       load_run (&terms, &one);
-      add (&sum, &one);
+      add_result (&sum, &one);
     }
   return sum;
 }
 
 static double
-share (int64_t part, int64_t whole)
+percentage (int64_t part, int64_t whole)
 {
   return PERCENT * (double)part / (double)whole;
 }
@@ -61,23 +61,23 @@
 static void
 compare (double reviews_per_s, double chats_per_s)
 {
-  struct load_result ours
-      = play (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
+  struct load_result placed
+      = run_seeds (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
 
   for (int way = 0; way < LOAD_PLACED_COPYING; way++)
     {
-      struct load_result theirs
-          = play ((enum load_policy)way, reviews_per_s, chats_per_s);
+      struct load_result baseline
+          = run_seeds ((enum load_policy)way, reviews_per_s, chats_per_s);
 
       printf ("metric=placement_in_time_%.0f_reviews value=%.1f unit=%% "
               "baseline=%.1f baseline_name=%s\n",
-              reviews_per_s, share (ours.in_time, ours.asked),
-              share (theirs.in_time, theirs.asked),
+              reviews_per_s, percentage (placed.in_time, placed.asked),
+              percentage (baseline.in_time, baseline.asked),
               load_policy_name ((enum load_policy)way));
       printf ("metric=placement_read_again_%.0f_reviews value=%" PRId64
               " unit=ktokens baseline=%" PRId64 " baseline_name=%s\n",
-              reviews_per_s, ours.read_again / THOUSAND,
-              theirs.read_again / THOUSAND,
+              reviews_per_s, placed.read_again / THOUSAND,
+              baseline.read_again / THOUSAND,
               load_policy_name ((enum load_policy)way));
     }
 }
