--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,5 +1,5 @@
-/* Measures the routing policy against plain ones in virtual time: the same
-   requests go to each, and each line names the best plain policy of the run.
+/* Compares the router with baseline policies in simulated time.  All get the
+   same requests; each line names the best baseline of the run.
    Usage: bench_policy [--seed N] [--verbose] [WORKLOAD...]  */
 #include "cleanup.h"
 #include "lib_world.h"
@@ -13,31 +13,31 @@
 enum
 {
   SECOND = 1000000,
-  WARM_S = 180,
+  WARM_UP_S = 180,
   REQUESTS_MAX = 1000000,
   SEEDS = 3,
   POLICIES_MAX = 8,
-  HOTELS = 120,
+  CHAT_PREFIXES = 120,
   CALLERS = 40,
-  OTHERS = 12,           /* callers of each zone */
-  OBEDIENT_RESENDS = 50, /* of callers that come when they are told to */
-  GREEDY = 1,            /* index of the caller that asks too much */
+  CALLERS_PER_ZONE = 12,    /* other callers per zone */
+  RETRY_AFTER_RESENDS = 50, /* of callers that obey Retry-After */
+  GREEDY_CALLER = 1,        /* index of the caller over its limit */
   RATE_MAX = 1000,
-  LOSS_S = 240,
-  RETURN_S = 420,
-  SLOWNESS = 5,
-  AFTER_S = 120, /* for the last requests to end */
-  FAR_DEADLINE_MS = 100000000
+  FAULT_S = 240,
+  RECOVERY_S = 420,
+  SLOWDOWN_FACTOR = 5,
+  DRAIN_S = 120, /* until the last requests end */
+  UNLIMITED_DEADLINE_MS = 100000000
 };
 
-/* What each request of one kind is like.  */
+/* Distribution of one kind of request.  */
 struct kind
 {
   double share; /* of the requests */
   enum marjoram_class class;
   int prompt;
   int prefix_tokens;
-  int prefixes; /* different ones in each region */
+  int prefixes; /* distinct prefixes per region */
   int answer;
   int deadline_ms;
 };
@@ -49,7 +49,7 @@
   bool free_retries;
 };
 
-/* The router first, the plain ones after it.  */
+/* The router, followed by the baselines.  */
 static const struct policy policies[] = {
   { "router", WORLD_ROUTER, false },
   { "round-robin", WORLD_ROUND_ROBIN, true },
@@ -66,41 +66,43 @@
   const char *name;
   const struct kind *kinds;
   void (*change) (struct world *world);
-  double load[WORLD_ZONES_MAX]; /* of the zone's capacity */
-  double rate_part; /* a caller's limit, of the whole capacity; 0 for none */
-  double greedy;    /* how many times its limit one caller asks */
+  double load[WORLD_ZONES_MAX]; /* fraction of the zone's capacity */
+  /* Caller limit as a fraction of the total capacity; 0: no limit.  */
+  double caller_rate_share;
+  /* Rate of the greedy caller as a multiple of its limit.  */
+  double greedy_rate;
   int engines[WORLD_ZONES_MAX];
   int kind_count;
   int regions;
   int duration_s;
-  int attempt_ms; /* patience of a caller; 0 for the deadline */
+  int attempt_ms; /* timeout of a caller's attempt; 0: the deadline */
   int resends;
-  bool no_limits; /* not asked all the same */
+  bool no_limits; /* limits are not enforced */
 };
 
-/* What one run gave.  */
+/* Results of one run.  */
 struct result
 {
   double p50_ms;
-  double p99_ms;     /* interactive; unanswered ones count as their deadline */
-  double first99_ms; /* the same of the first token */
-  double answered;   /* part of the interactive requests */
-  double goodput;    /* answers in time, a second */
-  double tokens;     /* the same in answer tokens */
-  double outside;    /* part of the answers that ran outside the home zone */
-  double prefill;    /* prefill tokens computed for each answer */
-  double retries;    /* of hosts, for each request */
-  double attempts;   /* of callers, for each request */
+  double p99_ms;      /* interactive; unanswered requests count as deadline */
+  double ttft_p99_ms; /* the same for the first token */
+  double answered;    /* fraction of the interactive requests */
+  double goodput;     /* answers in time per second */
+  double tokens;      /* answer tokens in time per second */
+  double outside;     /* fraction of answers that ran outside the home zone */
+  double prefill;     /* computed prefill tokens per answer */
+  double retries;     /* by hosts, per request */
+  double attempts;    /* by callers, per request */
   double crossed;
-  double overnight; /* answers a second */
+  double overnight; /* overnight answers per second */
   int64_t limited;
 };
 
-static const struct kind tatranska[] = {
-  { 0.75, MARJORAM_CLASS_INTERACTIVE, 900, 600, HOTELS, 60, 30000 },
-  { 0.25, MARJORAM_CLASS_INTERACTIVE, 5000, 4000, HOTELS, 250, 60000 },
+static const struct kind chat_kinds[] = {
+  { 0.75, MARJORAM_CLASS_INTERACTIVE, 900, 600, CHAT_PREFIXES, 60, 30000 },
+  { 0.25, MARJORAM_CLASS_INTERACTIVE, 5000, 4000, CHAT_PREFIXES, 250, 60000 },
 };
-static const struct kind huon[] = {
+static const struct kind overnight_kinds[] = {
   { 0.6, MARJORAM_CLASS_OVERNIGHT, 8000, 6000, 60, 400, 600000 },
   { 0.4, MARJORAM_CLASS_INTERACTIVE, 1200, 800, 60, 40, 10000 },
 };
@@ -118,7 +120,7 @@
 static uint64_t
 zipf (marjoram_random *random, int count)
 {
-  /* Continuous approximation of weights 1/n.  */
+  /* Continuous approximation of a Zipf distribution with weights 1/n.  */
   return (uint64_t)(pow (count + 1, marjoram_random_unit (random)) - 1);
 }
 
@@ -126,13 +128,13 @@
 draw_request (const struct workload *workload, marjoram_random *random,
               int64_t at_us, int zone, int caller)
 {
-  double pick = marjoram_random_unit (random);
+  double remaining = marjoram_random_unit (random);
   const struct kind *kind = workload->kinds;
   int index = 0;
 
-  while (index + 1 < workload->kind_count && pick >= kind->share)
+  while (index + 1 < workload->kind_count && remaining >= kind->share)
     {
-      pick -= kind->share;
+      remaining -= kind->share;
       kind++;
       index++;
     }
@@ -163,17 +165,17 @@
 }
 
 static double
-limit_of (const struct workload *workload, double capacity)
+caller_limit (const struct workload *workload, double capacity)
 {
   int engines = 0;
 
   for (int i = 0; i < workload->regions; i++)
     engines += workload->engines[i];
-  return workload->rate_part * capacity * engines;
+  return workload->caller_rate_share * capacity * engines;
 }
 
-/* Poisson arrivals of one caller, or of the others in turn if CALLER is
-   negative.  */
+/* Adds Poisson arrivals of CALLER, or of random other callers of ZONE if
+   CALLER is negative.  */
 static size_t
 add_stream (const struct workload *workload, marjoram_random *random, int zone,
             double rate, int caller, struct world_request *requests,
@@ -183,21 +185,22 @@
 
   while (rate > 0 && count < REQUESTS_MAX)
     {
-      int who
+      int sender
           = caller >= 0
                 ? caller
-                : 3 + (int)marjoram_random_below (random, OTHERS) * 3 + zone;
+                : 3 + (int)marjoram_random_below (random, CALLERS_PER_ZONE) * 3
+                      + zone;
 
       at -= log (1 - marjoram_random_unit (random)) / rate;
       if (at > workload->duration_s)
         break;
-      requests[count++]
-          = draw_request (workload, random, (int64_t)(at * SECOND), zone, who);
+      requests[count++] = draw_request (workload, random,
+                                        (int64_t)(at * SECOND), zone, sender);
     }
   return count;
 }
 
-/* CAPACITY is that of one engine, requests a second.  */
+/* CAPACITY is in requests per second and engine.  */
 static size_t
 make_requests (const struct workload *workload, double capacity, uint64_t seed,
                struct world_request *requests)
@@ -211,11 +214,12 @@
 
       count = add_stream (workload, random, zone, rate, -1, requests, count);
     }
-  for (int zone = 0; workload->greedy > 0 && zone < workload->regions; zone++)
+  for (int zone = 0; workload->greedy_rate > 0 && zone < workload->regions;
+       zone++)
     count = add_stream (workload, random, zone,
-                        limit_of (workload, capacity) * workload->greedy
-                            / workload->regions,
-                        GREEDY, requests, count);
+                        caller_limit (workload, capacity)
+                            * workload->greedy_rate / workload->regions,
+                        GREEDY_CALLER, requests, count);
   marjoram_random_destroy (random);
   qsort (requests, count, sizeof *requests, compare_requests);
   return count;
@@ -236,7 +240,7 @@
            struct result *result)
 {
   double *times = marjoram_alloc ((count + 1) * sizeof *times);
-  double *firsts = marjoram_alloc ((count + 1) * sizeof *firsts);
+  double *ttfts = marjoram_alloc ((count + 1) * sizeof *ttfts);
   size_t interactive = 0;
   size_t all = 0;
   size_t done = 0;
@@ -247,7 +251,7 @@
     {
       const struct world_request *r = &requests[i];
 
-      if (r->at_us < (int64_t)WARM_S * SECOND || r->caller == GREEDY)
+      if (r->at_us < (int64_t)WARM_UP_S * SECOND || r->caller == GREEDY_CALLER)
         continue;
       all++;
       result->retries += r->retries;
@@ -263,30 +267,29 @@
       if (r->class != MARJORAM_CLASS_INTERACTIVE)
         continue;
       answered += r->done_us != 0;
-      firsts[interactive] = r->done_us
-                                ? (double)(r->first_us - r->at_us) / 1000
-                                : r->deadline_ms;
+      ttfts[interactive] = r->done_us ? (double)(r->first_us - r->at_us) / 1000
+                                      : r->deadline_ms;
       times[interactive++] = r->done_us
                                  ? (double)(r->done_us - r->at_us) / 1000
                                  : r->deadline_ms;
     }
-  qsort (firsts, interactive, sizeof *firsts, compare_doubles);
+  qsort (ttfts, interactive, sizeof *ttfts, compare_doubles);
   qsort (times, interactive, sizeof *times, compare_doubles);
   if (interactive > 0)
     {
       result->p50_ms = times[interactive / 2];
       result->p99_ms = times[interactive * 99 / 100];
-      result->first99_ms = firsts[interactive * 99 / 100];
+      result->ttft_p99_ms = ttfts[interactive * 99 / 100];
       result->answered = (double)answered / (double)interactive;
     }
-  result->goodput = (double)done / (workload->duration_s - WARM_S);
-  result->tokens /= workload->duration_s - WARM_S;
-  result->overnight /= workload->duration_s - WARM_S;
+  result->goodput = (double)done / (workload->duration_s - WARM_UP_S);
+  result->tokens /= workload->duration_s - WARM_UP_S;
+  result->overnight /= workload->duration_s - WARM_UP_S;
   result->outside /= fmax (1, (double)done);
   result->retries /= fmax (1, (double)all);
   result->attempts /= fmax (1, (double)all);
   result->crossed /= fmax (1, (double)all);
-  free (firsts);
+  free (ttfts);
   free (times);
 }
 
@@ -294,8 +297,9 @@
 make_world (const struct workload *workload, const struct policy *policy,
             double capacity, uint64_t seed)
 {
-  double rate
-      = workload->rate_part > 0 ? limit_of (workload, capacity) : RATE_MAX;
+  double rate = workload->caller_rate_share > 0
+                    ? caller_limit (workload, capacity)
+                    : RATE_MAX;
   struct world_options options = {
     .spec = { .regions = workload->regions,
               .zones = 1,
@@ -313,10 +317,10 @@
     .link_near_us = 1500,
     .link_far_us = 52000,
     .policy = policy->policy,
-    .no_limits = workload->rate_part <= 0 || workload->no_limits,
+    .no_limits = workload->caller_rate_share <= 0 || workload->no_limits,
     .free_retries = policy->free_retries,
     .attempt_ms = workload->attempt_ms,
-    .resends = workload->attempt_ms ? workload->resends : OBEDIENT_RESENDS,
+    .resends = workload->attempt_ms ? workload->resends : RETRY_AFTER_RESENDS,
     .seed = seed,
   };
 
@@ -336,92 +340,93 @@
   if (workload->change)
     workload->change (world);
   world_run (world, copies, count,
-             (int64_t)(workload->duration_s + AFTER_S) * SECOND);
+             (int64_t)(workload->duration_s + DRAIN_S) * SECOND);
   summarize (workload, copies, count, result);
   result->prefill = (double)world_prefilled (world)
                     / fmax (1, result->goodput * workload->duration_s);
-  result->limited = world_limited (world, GREEDY);
+  result->limited = world_limited (world, GREEDY_CALLER);
   world_destroy (world);
   free (copies);
 }
 
-/* Answers a second of one engine that always has work, under least in flight:
-   what 100 per cent means in a workload.  */
+/* Returns the answers per second of a saturated engine under the
+   least-in-flight policy, which a workload's load of 1 stands for.  */
 static double
-capacity_of (const struct workload *workload, uint64_t seed,
-             struct world_request *requests)
+measure_capacity (const struct workload *workload, uint64_t seed,
+                  struct world_request *requests)
 {
-  static const struct policy least = { "least", WORLD_LEAST_IN_ZONE, true };
-  struct workload full = *workload;
+  static const struct policy least_in_flight
+      = { "least", WORLD_LEAST_IN_ZONE, true };
+  struct workload saturated = *workload;
   struct world *world;
   size_t count;
   int done = 0;
 
-  full.attempt_ms = 0;
-  full.rate_part = 0;
-  full.greedy = 0;
-  full.regions = 1;
-  full.load[0] = 1;
-  full.engines[0] = 3;
-  full.duration_s = 480;
-  count = make_requests (&full, 10, seed, requests);
+  saturated.attempt_ms = 0;
+  saturated.caller_rate_share = 0;
+  saturated.greedy_rate = 0;
+  saturated.regions = 1;
+  saturated.load[0] = 1;
+  saturated.engines[0] = 3;
+  saturated.duration_s = 480;
+  count = make_requests (&saturated, 10, seed, requests);
   for (size_t i = 0; i < count; i++)
     {
-      requests[i].deadline_ms = FAR_DEADLINE_MS;
+      requests[i].deadline_ms = UNLIMITED_DEADLINE_MS;
       requests[i].class = MARJORAM_CLASS_INTERACTIVE;
     }
-  world = make_world (&full, &least, 1, seed);
-  world_run (world, requests, count, (int64_t)full.duration_s * SECOND);
+  world = make_world (&saturated, &least_in_flight, 1, seed);
+  world_run (world, requests, count, (int64_t)saturated.duration_s * SECOND);
   for (size_t i = 0; i < count; i++)
-    done += requests[i].done_us > (int64_t)WARM_S * SECOND;
+    done += requests[i].done_us > (int64_t)WARM_UP_S * SECOND;
   world_destroy (world);
-  return (double)done / (full.duration_s - WARM_S) / 3;
+  return (double)done / (saturated.duration_s - WARM_UP_S) / 3;
 }
 
 static void
-lose_one (struct world *world)
+stop_engine (struct world *world)
 {
-  world_kill_engine (world, (int64_t)LOSS_S * SECOND, 0, 0);
+  world_kill_engine (world, (int64_t)FAULT_S * SECOND, 0, 0);
 }
 
 static void
-lose_and_return (struct world *world)
+stop_and_restart_engine (struct world *world)
 {
-  lose_one (world);
-  world_start_engine (world, (int64_t)RETURN_S * SECOND, 0, 0);
+  stop_engine (world);
+  world_start_engine (world, (int64_t)RECOVERY_S * SECOND, 0, 0);
 }
 
 static void
-slow_one (struct world *world)
+slow_down_engine (struct world *world)
 {
-  world_slow_engine (world, (int64_t)LOSS_S * SECOND, 0, 0, SLOWNESS);
+  world_slow_engine (world, (int64_t)FAULT_S * SECOND, 0, 0, SLOWDOWN_FACTOR);
 }
 
 static void
-cut_and_heal (struct world *world)
+partition_and_heal (struct world *world)
 {
-  world_cut (world, (int64_t)LOSS_S * SECOND, 0, true);
-  world_cut (world, (int64_t)RETURN_S * SECOND, 0, false);
+  world_cut (world, (int64_t)FAULT_S * SECOND, 0, true);
+  world_cut (world, (int64_t)RECOVERY_S * SECOND, 0, false);
 }
 
 static const struct workload workloads[] = {
   { .name = "morning-peak",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 900,
     .load = { 0.9, 0.9, 0.9 } },
   { .name = "loss-of-a-third",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 900,
     .load = { 0.9, 0.6, 0.6 },
-    .change = lose_one },
+    .change = stop_engine },
   { .name = "twice-the-capacity",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
@@ -430,101 +435,102 @@
     .resends = 5,
     .load = { 2, 2, 2 } },
   { .name = "overnight",
-    .kinds = huon,
+    .kinds = overnight_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 4, 4, 4 },
     .duration_s = 900,
     .load = { 0.9, 0.9, 0.9 } },
   { .name = "region-at-a-tenth",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 1, 10, 10 },
     .duration_s = 900,
     .load = { 1.5, 0.7, 0.7 } },
   { .name = "return-with-cold-cache",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 600,
     .load = { 0.8, 0.6, 0.6 },
-    .change = lose_and_return },
+    .change = stop_and_restart_engine },
   { .name = "slow-replica",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 4, 4, 4 },
     .duration_s = 600,
     .load = { 0.6, 0.6, 0.6 },
-    .change = slow_one },
+    .change = slow_down_engine },
   { .name = "link-heals",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 600,
     .load = { 1.3, 0.6, 0.6 },
-    .change = cut_and_heal },
+    .change = partition_and_heal },
   { .name = "greedy-caller",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 900,
     .load = { 0.7, 0.7, 0.7 },
-    .rate_part = 0.05,
-    .greedy = 20 },
+    .caller_rate_share = 0.05,
+    .greedy_rate = 20 },
   { .name = "greedy-without-limits",
-    .kinds = tatranska,
+    .kinds = chat_kinds,
     .kind_count = 2,
     .regions = 3,
     .engines = { 3, 3, 3 },
     .duration_s = 900,
     .load = { 0.7, 0.7, 0.7 },
-    .rate_part = 0.05,
+    .caller_rate_share = 0.05,
     .no_limits = true,
-    .greedy = 20 },
+    .greedy_rate = 20 },
 };
 
 static void
-show (const char *policy, const struct result *r)
+print_summary (const char *policy, const struct result *r)
 {
   printf ("# %-16s p50 %.0f ms p99 %.0f ms first99 %.0f ms answered %.4f "
           "goodput %.2f/s %.0f tokens/s outside %.4f prefill %.0f "
           "overnight %.2f/s retries %.4f attempts %.3f crossed %.3f\n",
-          policy, r->p50_ms, r->p99_ms, r->first99_ms, r->answered, r->goodput,
-          r->tokens, r->outside, r->prefill, r->overnight, r->retries,
-          r->attempts, r->crossed);
+          policy, r->p50_ms, r->p99_ms, r->ttft_p99_ms, r->answered,
+          r->goodput, r->tokens, r->outside, r->prefill, r->overnight,
+          r->retries, r->attempts, r->crossed);
 }
 
-/* One line: the router against the best plain policy.  */
+/* Prints a line that compares the router with the best baseline.  */
 static void
 compare (const struct workload *workload, uint64_t seed, const char *what,
          const char *unit, size_t offset, bool more_is_better,
          const struct result *results)
 {
   double value = *(const double *)((const char *)&results[0] + offset);
-  double best = 0;
-  int which = -1;
+  double best_value = 0;
+  int best_policy = -1;
 
   for (int i = 1; i < POLICIES; i++)
     {
       double other = *(const double *)((const char *)&results[i] + offset);
 
-      if (which >= 0 && (more_is_better ? other <= best : other >= best))
+      if (best_policy >= 0
+          && (more_is_better ? other <= best_value : other >= best_value))
         continue;
-      best = other;
-      which = i;
+      best_value = other;
+      best_policy = i;
     }
   printf ("metric=%s.%s value=%.4f unit=%s baseline=%.4f baseline_name=%s "
           "seed=%d\n",
-          workload->name, what, value, unit, best, policies[which].name,
-          (int)seed);
+          workload->name, what, value, unit, best_value,
+          policies[best_policy].name, (int)seed);
 }
 
-/* The same measure of the router against a policy that leaves home too.  */
+/* Compares the router with a baseline that also leaves the home zone.  */
 static void
 compare_outside (const struct workload *workload, uint64_t seed,
                  const struct result *results)
@@ -536,62 +542,66 @@
 }
 
 static void
-compare_runs (const struct workload *workload, uint64_t seed, const char *what,
-              const char *unit, double value, double baseline,
-              const char *name)
+print_comparison (const struct workload *workload, uint64_t seed,
+                  const char *what, const char *unit, double value,
+                  double baseline, const char *name)
 {
   printf ("metric=%s.%s value=%.4f unit=%s baseline=%.4f baseline_name=%s "
           "seed=%d\n",
           workload->name, what, value, unit, baseline, name, (int)seed);
 }
 
-/* Overload against the same callers at capacity.  */
+/* Compares goodput under overload with that of the same workload at
+   capacity.  */
 static void
 compare_with_capacity (const struct workload *workload, double capacity,
                        uint64_t seed, struct world_request *requests,
-                       const struct result *twice)
+                       const struct result *overloaded)
 {
-  struct workload once = *workload;
+  struct workload at_capacity = *workload;
   struct result result;
   size_t count;
 
-  for (int i = 0; i < once.regions; i++)
-    once.load[i] = 1;
-  count = make_requests (&once, capacity, seed, requests);
-  run (&once, &policies[0], capacity, seed, requests, count, &result);
-  compare_runs (workload, seed, "goodput_tokens_of_capacity", "tokens/s",
-                twice->tokens, result.tokens, "router-at-capacity");
-  compare_runs (workload, seed, "goodput_of_capacity", "answers/s",
-                twice->goodput, result.goodput, "router-at-capacity");
-  compare_runs (workload, seed, "host_retries", "per_request", twice->retries,
-                0.1, "budget");
+  for (int i = 0; i < at_capacity.regions; i++)
+    at_capacity.load[i] = 1;
+  count = make_requests (&at_capacity, capacity, seed, requests);
+  run (&at_capacity, &policies[0], capacity, seed, requests, count, &result);
+  print_comparison (workload, seed, "goodput_tokens_of_capacity", "tokens/s",
+                    overloaded->tokens, result.tokens, "router-at-capacity");
+  print_comparison (workload, seed, "goodput_of_capacity", "answers/s",
+                    overloaded->goodput, result.goodput, "router-at-capacity");
+  print_comparison (workload, seed, "host_retries", "per_request",
+                    overloaded->retries, 0.1, "budget");
 }
 
-/* Well-behaved callers beside the greedy one against themselves alone.  */
+/* Compares the latency of the other callers with and without the greedy
+   caller.  */
 static void
 compare_without_greedy (const struct workload *workload, double capacity,
                         uint64_t seed, struct world_request *requests,
-                        const struct result *beside)
+                        const struct result *with_greedy)
 {
-  struct workload alone = *workload;
+  struct workload without_greedy = *workload;
   struct result result;
   size_t count;
 
-  alone.greedy = 0;
-  count = make_requests (&alone, capacity, seed, requests);
-  run (&alone, &policies[0], capacity, seed, requests, count, &result);
-  compare_runs (workload, seed, "p99_beside_greedy", "ms", beside->p99_ms,
-                result.p99_ms, "router-without-greedy");
-  compare_runs (workload, seed, "first99_beside_greedy", "ms",
-                beside->first99_ms, result.first99_ms,
-                "router-without-greedy");
+  without_greedy.greedy_rate = 0;
+  count = make_requests (&without_greedy, capacity, seed, requests);
+  run (&without_greedy, &policies[0], capacity, seed, requests, count,
+       &result);
+  print_comparison (workload, seed, "p99_beside_greedy", "ms",
+                    with_greedy->p99_ms, result.p99_ms,
+                    "router-without-greedy");
+  print_comparison (workload, seed, "first99_beside_greedy", "ms",
+                    with_greedy->ttft_p99_ms, result.ttft_p99_ms,
+                    "router-without-greedy");
 }
 
 static void
 measure (const struct workload *workload, uint64_t seed, bool verbose,
          struct world_request *requests)
 {
-  double capacity = capacity_of (workload, seed, requests);
+  double capacity = measure_capacity (workload, seed, requests);
   size_t count = make_requests (workload, capacity, seed, requests);
   struct result results[POLICIES];
 
@@ -600,15 +610,15 @@
       run (workload, &policies[i], capacity, seed, requests, count,
            &results[i]);
       if (verbose && i == 0)
-        printf ("# %s seed %d: capacity %.3f/s an engine, %zu requests\n",
+        printf ("# %s seed %d: capacity %.3f/s per engine, %zu requests\n",
                 workload->name, (int)seed, capacity, count);
       if (verbose)
-        show (policies[i].name, &results[i]);
+        print_summary (policies[i].name, &results[i]);
     }
   compare (workload, seed, "p99", "ms", offsetof (struct result, p99_ms),
            false, results);
   compare (workload, seed, "first99", "ms",
-           offsetof (struct result, first99_ms), false, results);
+           offsetof (struct result, ttft_p99_ms), false, results);
   compare (workload, seed, "prefill_tokens", "per_answer",
            offsetof (struct result, prefill), false, results);
   compare (workload, seed, "goodput", "answers/s",
@@ -616,7 +626,7 @@
   compare_outside (workload, seed, results);
   if (workload->attempt_ms)
     compare_with_capacity (workload, capacity, seed, requests, &results[0]);
-  if (workload->greedy > 0)
+  if (workload->greedy_rate > 0)
     compare_without_greedy (workload, capacity, seed, requests, &results[0]);
   fflush (stdout);
 }
