--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -1,5 +1,5 @@
-/* Measures what routing costs an entry host: time of a decision, memory, and
-   bytes of the messages, at three sizes or more each.  */
+/* Measures the cost of routing at an entry host, each by size: CPU time per
+   decision, memory use and message sizes.  */
 #include "cleanup.h"
 #include "config_spec.h"
 #include "frame.h"
@@ -49,8 +49,8 @@
 }
 
 static struct marjoram_announcement
-announcement (char *name, uint64_t sequence, struct marjoram_work_name *works,
-              size_t count)
+make_announcement (char *name, uint64_t sequence,
+                   struct marjoram_work_name *works, size_t count)
 {
   return (struct marjoram_announcement){
     .name = name,
@@ -74,7 +74,8 @@
 
   for (int i = 0; i < upstreams; i++)
     {
-      struct marjoram_announcement a = announcement (name, sequence, &work, 1);
+      struct marjoram_announcement a
+          = make_announcement (name, sequence, &work, 1);
 
       snprintf (name, sizeof name, "engine-%03d", i);
       a.running = (uint64_t)(i * 7) % (SLOTS + 2);
@@ -116,10 +117,10 @@
   marjoram_config_release (node->config);
 }
 
-/* Each request is admitted, placed, started, ended and measured; reports come
-   once a second.  */
+/* Returns the mean CPU time of a request's admission, placement, start, end
+   and latency record.  All upstreams report every 1000 requests.  */
 static double
-decide_ns (struct node *node, int upstreams, int64_t *now)
+time_decision (struct node *node, int upstreams, int64_t *now)
 {
   double start = now_ns ();
 
@@ -153,9 +154,9 @@
   return (now_ns () - start) / DECISIONS;
 }
 
-/* The plain policy: the least loaded of all.  */
+/* Baseline: scans all upstreams for the least loaded one.  */
 static double
-scan_ns (struct node *node, int64_t now)
+time_scan (struct node *node, int64_t now)
 {
   double start = now_ns ();
   uint64_t sum = 0;
@@ -195,13 +196,13 @@
       make_node (&node, &spec, sizes[i]);
       for (int j = 0; j < ROUNDS; j++)
         {
-          double ns = decide_ns (&node, sizes[i], &now);
+          double ns = time_decision (&node, sizes[i], &now);
 
           best = ns < best ? ns : best;
         }
       printf ("metric=decision_%d value=%.0f unit=ns baseline=%.0f "
               "baseline_name=scan-of-all\n",
-              sizes[i], best, scan_ns (&node, now));
+              sizes[i], best, time_scan (&node, now));
       free_node (&node);
     }
 }
@@ -281,7 +282,7 @@
   for (int i = 0; i < 3; i++)
     {
       struct marjoram_announcement a
-          = announcement (name, 100000, works, (size_t)sizes[i]);
+          = make_announcement (name, 100000, works, (size_t)sizes[i]);
 
       print_size ("bytes_announcement_works", sizes[i],
                   MARJORAM_FRAME_UPSTREAM, &a);
@@ -336,7 +337,7 @@
 
             snprintf (name, sizeof name, "w%02d", k);
             snprintf (upstream, sizeof upstream, "other-%d", k);
-            a = announcement (upstream, 1, &work, 1);
+            a = make_announcement (upstream, 1, &work, 1);
             marjoram_members_announce (node.members, 0, &a, false);
           }
         for (int k = 0; k < 500 * callers[i]; k++)
@@ -350,8 +351,8 @@
       }
 }
 
-/* The agreed state as keepers store it and as a host that starts gets it:
-   CALLERS callers in one file, and the results of CHANGES changes.  */
+/* Measures the encoded state that keepers store and send to a starting host,
+   by the number of callers in a file and of recorded changes.  */
 static void
 measure_state (void)
 {
@@ -363,8 +364,8 @@
       struct config_spec spec = target_spec ();
       struct marjoram_state *state = marjoram_state_copy (NULL);
       struct marjoram_file *file = marjoram_alloc (sizeof *file);
-      struct marjoram_change *kept
-          = marjoram_alloc ((size_t)(changes[i] + 1) * sizeof *kept);
+      struct marjoram_change *recorded
+          = marjoram_alloc ((size_t)(changes[i] + 1) * sizeof *recorded);
       marjoram_bytes *packed;
       size_t size;
       FILE *out = open_memstream (&file->text, &size);
@@ -386,13 +387,13 @@
           char id[NAME_SIZE];
 
           snprintf (id, sizeof id, "change-of-operator-%06d", j);
-          kept[j].id = marjoram_strdup (id);
-          kept[j].file = marjoram_strdup ("callers");
-          kept[j].digest = marjoram_strdup (file->digest);
-          kept[j].number = (uint64_t)j + 30000;
-          kept[j].version = (uint64_t)j + 30000;
+          recorded[j].id = marjoram_strdup (id);
+          recorded[j].file = marjoram_strdup ("callers");
+          recorded[j].digest = marjoram_strdup (file->digest);
+          recorded[j].number = (uint64_t)j + 30000;
+          recorded[j].version = (uint64_t)j + 30000;
         }
-      state->changes.items = kept;
+      state->changes.items = recorded;
       state->changes.count = (size_t)changes[i];
       packed = marjoram_wire_pack (&marjoram_state_layout, state);
       print ("bytes_state_with_text_changes", changes[i],
