--- a/bench/bench_state.c
+++ b/bench/bench_state.c
@@ -1,6 +1,6 @@
-/* What one changed route costs on its way to an entry host, by the number of
-   routes: bytes as a difference and whole, and the steps of the event loops of
-   keeper and host.  */
+/* Measures the distribution of one changed route to an entry host, by the
+   number of routes: size of the state as a difference and in full, and time
+   spent in the event loops of keeper and host.  */
 #include "agreed.h"
 #include "cleanup.h"
 #include "compress.h"
@@ -14,8 +14,8 @@
 enum
 {
   RUNS = 9,
-  MEDIAN = 4,
-  HOSTS_OF_ROUTES = 300,
+  MEDIAN_INDEX = 4,
+  ROUTE_HOSTS = 300,
   NSEC_PER_USEC = 1000,
   STATE_MAX = 64 * 1024 * 1024
 };
@@ -29,7 +29,7 @@
   return (int64_t)ts.tv_sec * 1000000000 + ts.tv_nsec;
 }
 
-/* ROUTES routes; the one in the middle has TIMEOUT_MS.  */
+/* Returns a configuration of ROUTES routes; the middle one has TIMEOUT_MS.  */
 static char *
 config_text (int routes, uint64_t version, int timeout_ms)
 {
@@ -46,7 +46,7 @@
              "\"service\":\"app\",\"max_attempts\":1,\"sticky\":false,"
              "\"resumable\":false,\"home_regions\":[]}",
              i > 0 ? "," : "", (unsigned)i * 2654435761U,
-             (unsigned)(i % HOSTS_OF_ROUTES) * 2246822519U,
+             (unsigned)(i % ROUTE_HOSTS) * 2246822519U,
              (unsigned)i * 3266489917U, i == routes / 2 ? timeout_ms : 4000);
   fprintf (out, "],\"services\":[{\"name\":\"app\",\"health_path\":"
                 "\"/health\",\"max_connections\":100}],\"limits\":{"
@@ -90,17 +90,17 @@
 print_median (const char *name, int routes, int64_t times[RUNS])
 {
   qsort (times, RUNS, sizeof *times, compare_times);
-  print (name, routes, (double)times[MEDIAN] / NSEC_PER_USEC, "us");
+  print (name, routes, (double)times[MEDIAN_INDEX] / NSEC_PER_USEC, "us");
 }
 
 struct steps
 {
-  int64_t pack[RUNS];   /* the keeper's, once a change */
-  int64_t unpack[RUNS]; /* the host's, to the state */
-  int64_t build[RUNS];  /* the host's, to the routes */
+  int64_t pack[RUNS];   /* keeper, once per change */
+  int64_t unpack[RUNS]; /* host, from difference to state */
+  int64_t build[RUNS];  /* host, from state to route table */
 };
 
-/* One change from BASE to STATE, run I.  */
+/* Records in run I of STEPS the times of a change from BASE to STATE.  */
 static void
 measure_steps (const struct marjoram_packed_state *base,
                const struct marjoram_state *state, struct steps *steps, int i)
@@ -108,24 +108,25 @@
   int64_t start = now_ns ();
   struct marjoram_packed_state packed = marjoram_packed_state_make (state);
   marjoram_bytes *difference = marjoram_compress (packed.bytes, base->bytes);
-  struct marjoram_packed_state came;
-  struct marjoram_state *taken = NULL;
+  struct marjoram_packed_state received;
+  struct marjoram_state *received_state = NULL;
   struct marjoram_route_table *table;
 
   steps->pack[i] = now_ns () - start;
   start = now_ns ();
-  came = marjoram_packed_state_read (
-      marjoram_decompress (difference, base->bytes, STATE_MAX, NULL), &taken,
-      NULL);
+  received = marjoram_packed_state_read (
+      marjoram_decompress (difference, base->bytes, STATE_MAX, NULL),
+      &received_state, NULL);
   steps->unpack[i] = now_ns () - start;
   start = now_ns ();
-  table = marjoram_agreed_routes (taken, marjoram_platform_dialect (), NULL);
+  table = marjoram_agreed_routes (received_state, marjoram_platform_dialect (),
+                                  NULL);
   steps->build[i] = now_ns () - start;
   if (!table)
     abort ();
   marjoram_route_table_destroy (table);
-  marjoram_state_destroy (taken);
-  marjoram_packed_state_clear (&came);
+  marjoram_state_destroy (received_state);
+  marjoram_packed_state_clear (&received);
   marjoram_packed_state_clear (&packed);
   marjoram_bytes_release (difference);
 }
@@ -170,7 +171,7 @@
 int
 main (void)
 {
-  /* The last are about as many as one file takes.  */
+  /* The last size is close to the maximum of one file.  */
   static const int sizes[] = { 100, 1400, 5600, 16000 };
 
   for (size_t i = 0; i < sizeof sizes / sizeof *sizes; i++)
