--- a/bench/report.sh
+++ b/bench/report.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Writes docs/MEASUREMENTS.md and its plots from the raw lines in bench/raw,
-# which "make bench" left there.
+# Generates docs/MEASUREMENTS.md and its plots from the output of "make bench"
+# in bench/raw.
 set -e
 page=docs/MEASUREMENTS.md
 mkdir -p docs/plots
