--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -1,4 +1,5 @@
-/* The platform's way of speaking, read into the product's types and back.  */
+/* Tests of parsing and formatting the platform's headers, API calls and
+   configuration.  */
 #include "suite.h"
 
 #include "platform.h"
@@ -67,8 +68,8 @@
 }
 END_TEST
 
-/* A caller sets headers that are ours to set: to reserve memory at an engine,
-   or to read another request's.  They must not reach an upstream.  */
+/* A caller sets internal headers to reserve engine memory or to read another
+   request's cache.  They must not reach an upstream.  */
 START_TEST (callers_cannot_set_what_is_ours)
 {
   ck_assert (!dialect->passes_to_upstream ("Marjoramproxy-Hold"));
@@ -131,49 +132,50 @@
 }
 END_TEST
 
-/* ---- Calls.  ---- */
+/* ---- API calls.  ---- */
 
 static bool
-ask (const char *method, const char *target, const char *body,
-     struct marjoram_ask *what)
+read_api_call (const char *method, const char *target, const char *body,
+               struct marjoram_ask *call)
 {
   struct marjoram_error err = { 0 };
   bool ok
-      = dialect->read_ask (method, target, body, strlen (body), what, &err);
+      = dialect->read_ask (method, target, body, strlen (body), call, &err);
 
   ck_assert (ok || err.message[0]);
   return ok;
 }
 
-#define BEAT                                                                  \
+#define HEARTBEAT                                                             \
   "{\"service\":\"lm\",\"address\":\"10.0.0.9:8080\",\"zone\":\"za\","        \
   "\"state\":\"%s\",\"slots\":64,\"cold_remaining_ms\":250,\"seq\":4,"        \
   "\"born\":1700000000123,\"version\":\"v1\",\"new\":[1]}"
 
 START_TEST (heartbeat_is_read)
 {
-  struct marjoram_ask what;
+  struct marjoram_ask call;
   char body[512];
 
-  snprintf (body, sizeof body, BEAT, "ready");
-  ck_assert (ask ("POST", "/-/instances/i-7f/heartbeat", body, &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_NEWS);
-  ck_assert_str_eq (what.news.id, "i-7f");
-  ck_assert_str_eq (what.news.address, "10.0.0.9:8080");
-  ck_assert_int_eq (what.news.state, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (what.news.born, 1700000000123);
-  ck_assert_int_eq (what.news.sequence, 4);
-  ck_assert_int_eq (what.news.cold_ms, 250);
-  ck_assert_int_eq (what.news.ends_ms, -1);
-  snprintf (body, sizeof body, BEAT, "draining");
-  ck_assert (ask ("POST", "/-/instances/i-7f/heartbeat", body, &what));
-  ck_assert_int_eq (what.news.state, MARJORAM_NEWS_LEAVING);
+  snprintf (body, sizeof body, HEARTBEAT, "ready");
+  ck_assert (
+      read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_NEWS);
+  ck_assert_str_eq (call.news.id, "i-7f");
+  ck_assert_str_eq (call.news.address, "10.0.0.9:8080");
+  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (call.news.born, 1700000000123);
+  ck_assert_int_eq (call.news.sequence, 4);
+  ck_assert_int_eq (call.news.cold_ms, 250);
+  ck_assert_int_eq (call.news.ends_ms, -1);
+  snprintf (body, sizeof body, HEARTBEAT, "draining");
+  ck_assert (
+      read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
+  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_LEAVING);
 }
 END_TEST
 
-/* Another writer sends entries that it should not: fields missing or of other
-   types, unknown states, bytes that can't be read.  None may name an upstream
-   to use.  */
+/* Heartbeats with missing or mistyped fields, unknown states or invalid bytes
+   must not register an upstream.  */
 START_TEST (malformed_heartbeats_are_refused)
 {
   static const char *const bodies[] = {
@@ -201,55 +203,56 @@
     "\"state\":\"ready\",\"seq\":1e300}",
     "\xff\xfe",
   };
-  struct marjoram_ask what;
+  struct marjoram_ask call;
 
   for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
-    ck_assert_msg (
-        !ask ("POST", "/-/instances/i-7f/heartbeat", bodies[i], &what),
-        "accepted: %s", bodies[i]);
+    ck_assert_msg (!read_api_call ("POST", "/-/instances/i-7f/heartbeat",
+                                   bodies[i], &call),
+                   "accepted: %s", bodies[i]);
 }
 END_TEST
 
 START_TEST (leave_needs_no_body)
 {
-  struct marjoram_ask what;
+  struct marjoram_ask call;
 
-  ck_assert (ask ("POST", "/-/instances/i-7f/deregister", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_NEWS);
-  ck_assert_int_eq (what.news.state, MARJORAM_NEWS_GONE);
   ck_assert (
-      ask ("POST", "/-/instances/i-7f/deregister", "{\"born\":5}", &what));
-  ck_assert_int_eq (what.news.born, 5);
+      read_api_call ("POST", "/-/instances/i-7f/deregister", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_NEWS);
+  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_GONE);
+  ck_assert (read_api_call ("POST", "/-/instances/i-7f/deregister",
+                            "{\"born\":5}", &call));
+  ck_assert_int_eq (call.news.born, 5);
 }
 END_TEST
 
 START_TEST (other_calls_are_read)
 {
-  struct marjoram_ask what;
-
-  ck_assert (
-      ask ("GET", "/-/resolve?name=a.example&region=r1&zone=z1", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_LOOKUP);
-  ck_assert_str_eq (what.host, "a.example");
-  ck_assert_str_eq (what.region, "r1");
-  ck_assert_str_eq (what.zone, "z1");
-  ck_assert (ask ("POST", "/-/evacuations/hob-a/begin", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_EVACUATE);
-  ck_assert_str_eq (what.zone, "hob-a");
-  ck_assert (ask ("POST", "/-/evacuations/hob-a/finish", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_RESTORE);
-  ck_assert (ask ("GET", "/-/config/read", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_CONFIG_GET);
-  ck_assert (ask ("POST", "/-/config/replace", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_CONFIG_SET);
-  ck_assert (ask ("GET", "/-/ready", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_READY);
-  ck_assert (ask ("GET", "/-/evacuations/a/b/begin", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_UNKNOWN);
-  ck_assert (ask ("POST", "/-/evacuations//begin", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_UNKNOWN);
-  ck_assert (ask ("PUT", "/-/config/replace", "", &what));
-  ck_assert_int_eq (what.kind, MARJORAM_ASK_UNKNOWN);
+  struct marjoram_ask call;
+
+  ck_assert (read_api_call (
+      "GET", "/-/resolve?name=a.example&region=r1&zone=z1", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_LOOKUP);
+  ck_assert_str_eq (call.host, "a.example");
+  ck_assert_str_eq (call.region, "r1");
+  ck_assert_str_eq (call.zone, "z1");
+  ck_assert (read_api_call ("POST", "/-/evacuations/hob-a/begin", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_EVACUATE);
+  ck_assert_str_eq (call.zone, "hob-a");
+  ck_assert (read_api_call ("POST", "/-/evacuations/hob-a/finish", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_RESTORE);
+  ck_assert (read_api_call ("GET", "/-/config/read", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_CONFIG_GET);
+  ck_assert (read_api_call ("POST", "/-/config/replace", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_CONFIG_SET);
+  ck_assert (read_api_call ("GET", "/-/ready", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_READY);
+  ck_assert (read_api_call ("GET", "/-/evacuations/a/b/begin", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
+  ck_assert (read_api_call ("POST", "/-/evacuations//begin", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
+  ck_assert (read_api_call ("PUT", "/-/config/replace", "", &call));
+  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
 }
 END_TEST
 
@@ -275,12 +278,12 @@
   "\",\"kind\":\"streaming\",\"target_latency_ms\":1500,\"priority\":1,"      \
   "\"max_attempts\":2,\"resumable\":true,\"target_gap_ms\":600,"              \
   "\"home_regions\":[\"r1\",\"r2\"]," rest "}"
-#define LM                                                                    \
+#define LM_SERVICE                                                            \
   "{\"name\":\"lm\",\"health_path\":\"/health\",\"max_connections\":370,"     \
   "\"cold_start_s\":3.0,\"cold_per_s\":2.6,"                                  \
   "\"engine\":{\"slots\":64,\"kv_capacity\":232342,"                          \
   "\"kv_token_bytes\":163840,\"link_mbps\":530000.0}}"
-#define APP                                                                   \
+#define APP_SERVICE                                                           \
   "{\"name\":\"app\",\"health_path\":\"/health\",\"max_connections\":110}"
 
 static struct marjoram_route_table *
@@ -305,7 +308,7 @@
                      "\"timeout_ms\":4000,\"weighted_clusters\":"
                      "[{\"service\":\"lm\",\"weight\":90},"
                      "{\"service\":\"app\",\"weight\":10}]"),
-              LM "," APP),
+              LM_SERVICE "," APP_SERVICE),
       &err);
   const struct marjoram_route_rule *route;
   const struct marjoram_service_rule *service;
@@ -329,7 +332,7 @@
   ck_assert (service->has_engine);
   ck_assert_int_eq (service->cold_ms, 3000);
   ck_assert_int_eq (service->engine.kv_capacity, 232342);
-  /* 66,250 MB a second.  */
+  /* 66,250 MB/s divided by 163,840 bytes per token.  */
   ck_assert (service->engine.copied_per_ms > 404.3
              && service->engine.copied_per_ms < 404.4);
   marjoram_route_table_destroy (table);
@@ -349,7 +352,7 @@
                                                                 "ms\":1,"
                                                                 "\"service\":"
                                                                 "\"lm\""),
-          LM),
+          LM_SERVICE),
       &err);
 
   ck_assert_str_eq (
@@ -372,21 +375,21 @@
                                     "\"timeout_ms\":1,\"weighted_clusters\":"
                                     "[{\"service\":\"lm\",\"weight\":90},"
                                     "{\"service\":\"app\",\"weight\":10}]"),
-                             LM "," APP),
+                             LM_SERVICE "," APP_SERVICE),
                      &err);
   const struct marjoram_route_rule *route
       = marjoram_route_table_find (table, "a.example", "/a/");
-  int lm = 0;
+  int lm_count = 0;
 
   for (int i = 0; i < 10000; i++)
     {
       char key[16];
 
       snprintf (key, sizeof key, "%d", i);
-      lm += strcmp (marjoram_route_pick_service (route, key), "lm") == 0;
+      lm_count += strcmp (marjoram_route_pick_service (route, key), "lm") == 0;
     }
-  ck_assert_int_gt (lm, 8800);
-  ck_assert_int_lt (lm, 9200);
+  ck_assert_int_gt (lm_count, 8800);
+  ck_assert_int_lt (lm_count, 9200);
   marjoram_route_table_destroy (table);
 }
 END_TEST
@@ -397,27 +400,30 @@
     "",
     "{\"version\":7,\"routes\":[{\"name\":",
     "{\"version\":7}",
-    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":0,\"service\":\"lm\""), LM),
-    CONFIG (ROUTE ("r", "/a/", "\"service\":\"lm\""), LM),
-    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":1,\"service\":\"none\""), LM),
-    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":1"), LM),
-    CONFIG (ROUTE ("r", "/a", "\"timeout_ms\":1,\"service\":\"lm\""), LM),
+    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":0,\"service\":\"lm\""),
+            LM_SERVICE),
+    CONFIG (ROUTE ("r", "/a/", "\"service\":\"lm\""), LM_SERVICE),
+    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":1,\"service\":\"none\""),
+            LM_SERVICE),
+    CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":1"), LM_SERVICE),
+    CONFIG (ROUTE ("r", "/a", "\"timeout_ms\":1,\"service\":\"lm\""),
+            LM_SERVICE),
     CONFIG (
         ROUTE ("r", "/a/", "\"timeout_ms\":1,\"service\":\"lm\"") "," ROUTE (
             "s", "/a/", "\"timeout_ms\":1,\"service\":\"lm\""),
-        LM),
+        LM_SERVICE),
     CONFIG (ROUTE ("r", "/a/",
                    "\"timeout_ms\":1,\"weighted_clusters\":"
                    "[{\"service\":\"lm\",\"weight\":0}]"),
-            LM),
+            LM_SERVICE),
     CONFIG (ROUTE ("r", "/a/", "\"timeout_ms\":1,\"weighted_clusters\":[]"),
-            LM),
+            LM_SERVICE),
     CONFIG (ROUTE ("r", "/a/",
                    "\"timeout_ms\":1,\"weighted_clusters\":"
                    "[{\"service\":\"lm\",\"weight\":2},"
                    "{\"service\":\"lm\",\"weight\":-1}]"),
-            LM),
-    CONFIG ("7", LM),
+            LM_SERVICE),
+    CONFIG ("7", LM_SERVICE),
     CONFIG ("", "{\"name\":1}"),
   };
 
@@ -435,23 +441,23 @@
 suite (void)
 {
   Suite *s = suite_create ("platform");
-  TCase *c = tcase_create ("platform");
-
-  tcase_add_checked_fixture (c, setup, NULL);
-  tcase_add_test (c, call_is_read);
-  tcase_add_test (c, malformed_call_headers_say_nothing);
-  tcase_add_test (c, callers_cannot_set_what_is_ours);
-  tcase_add_test (c, run_is_written);
-  tcase_add_test (c, answer_is_read);
-  tcase_add_test (c, heartbeat_is_read);
-  tcase_add_test (c, malformed_heartbeats_are_refused);
-  tcase_add_test (c, leave_needs_no_body);
-  tcase_add_test (c, other_calls_are_read);
-  tcase_add_test (c, lookup_is_written);
-  tcase_add_test (c, configuration_is_read);
-  tcase_add_test (c, longest_prefix_wins);
-  tcase_add_test (c, weights_split_keys);
-  tcase_add_test (c, faulty_configurations_are_refused);
-  suite_add_tcase (s, c);
+  TCase *tcase = tcase_create ("platform");
+
+  tcase_add_checked_fixture (tcase, setup, NULL);
+  tcase_add_test (tcase, call_is_read);
+  tcase_add_test (tcase, malformed_call_headers_say_nothing);
+  tcase_add_test (tcase, callers_cannot_set_what_is_ours);
+  tcase_add_test (tcase, run_is_written);
+  tcase_add_test (tcase, answer_is_read);
+  tcase_add_test (tcase, heartbeat_is_read);
+  tcase_add_test (tcase, malformed_heartbeats_are_refused);
+  tcase_add_test (tcase, leave_needs_no_body);
+  tcase_add_test (tcase, other_calls_are_read);
+  tcase_add_test (tcase, lookup_is_written);
+  tcase_add_test (tcase, configuration_is_read);
+  tcase_add_test (tcase, longest_prefix_wins);
+  tcase_add_test (tcase, weights_split_keys);
+  tcase_add_test (tcase, faulty_configurations_are_refused);
+  suite_add_tcase (s, tcase);
   return s;
 }
