--- a/src/ctl.c
+++ b/src/ctl.c
@@ -16,7 +16,7 @@
 enum
 {
   STATUS_OK = 200,
-  PATH_TEXT_MAX = 1024
+  PATH_MAX_BYTES = 1024
 };
 
 enum marjoram_ctl_status
@@ -40,178 +40,182 @@
   json_decref (object);
 }
 
-/* The path of the operand that holds the file NAME.  */
+/* Returns the path of the operand whose file is called NAME; null if none.  */
 static const char *
-path_of (struct marjoram_ctl_call *run, const char *name, size_t length)
+find_operand_path (struct marjoram_ctl_call *call, const char *name,
+                   size_t length)
 {
-  for (int i = 0; i < run->arg_count; i++)
-    if (run->names[i] && strlen (run->names[i]) == length
-        && strncmp (run->names[i], name, length) == 0)
-      return run->args[i];
+  for (int i = 0; i < call->arg_count; i++)
+    if (call->names[i] && strlen (call->names[i]) == length
+        && strncmp (call->names[i], name, length) == 0)
+      return call->args[i];
   return NULL;
 }
 
-/* Faults name the file as it calls itself; people look for its path.  */
+/* Prints FAULTS with the file names replaced by the paths of the operands.  */
 static void
-print_faults (struct marjoram_ctl_call *run, const char *faults)
+print_faults (struct marjoram_ctl_call *call, const char *faults)
 {
   while (*faults)
     {
       size_t length = strcspn (faults, "\n");
       size_t name = strcspn (faults, ":\n");
-      const char *path = path_of (run, faults, name);
+      const char *path = find_operand_path (call, faults, name);
 
       if (path)
-        fprintf (run->errors, "%s%.*s\n", path, (int)(length - name),
+        fprintf (call->errors, "%s%.*s\n", path, (int)(length - name),
                  faults + name);
       else
-        fprintf (run->errors, "%.*s\n", (int)length, faults);
+        fprintf (call->errors, "%.*s\n", (int)length, faults);
       faults += length + (faults[length] == '\n');
     }
 }
 
-/* Prints an answer that may hold faults: those go where errors go, unless JSON
-   is wanted.  Takes over OBJECT.  */
+/* Prints a response.  Without --json, its faults go to the error stream.
+   Takes ownership of OBJECT.  */
 static void
-print_answer (struct marjoram_ctl_call *run, json_t *object)
+print_response (struct marjoram_ctl_call *call, json_t *object)
 {
   const char *faults = json_string_value (json_object_get (object, "faults"));
 
-  if (faults && !run->options->json)
+  if (faults && !call->options->json)
     {
-      print_faults (run, faults);
+      print_faults (call, faults);
       json_object_del (object, "faults");
     }
-  marjoram_ctl_print_object (run, object);
+  marjoram_ctl_print_object (call, object);
 }
 
-/* Loads operand INDEX and notes the name that faults will give it.  */
+/* Loads operand INDEX and stores its file name for print_faults.  */
 static bool
-load_operand (struct marjoram_ctl_call *run, int index,
+load_operand (struct marjoram_ctl_call *call, int index,
               struct marjoram_file *file, struct marjoram_error *err)
 {
-  if (!marjoram_config_file_load (run->args[index], file, err))
+  if (!marjoram_config_file_load (call->args[index], file, err))
     return false;
-  run->names[index] = marjoram_strdup (file->name);
+  call->names[index] = marjoram_strdup (file->name);
   return true;
 }
 
-/* Reads the operands as one state.  */
+/* Loads all operands into STATE.  */
 static bool
-load_files (struct marjoram_ctl_call *run, struct marjoram_state *state)
+load_files (struct marjoram_ctl_call *call, struct marjoram_state *state)
 {
   struct marjoram_error err;
-  bool good = true;
+  bool valid = true;
 
-  for (int i = 0; i < run->arg_count; i++)
+  for (int i = 0; i < call->arg_count; i++)
     {
       struct marjoram_file file = { 0 };
 
-      if (!load_operand (run, i, &file, &err))
+      if (!load_operand (call, i, &file, &err))
         {
-          fprintf (run->errors, "%s\n", err.message);
-          good = false;
+          fprintf (call->errors, "%s\n", err.message);
+          valid = false;
         }
       else if (marjoram_state_file (state, file.name))
         {
-          fprintf (run->errors,
-                   "%s: a file named \"%s\" was given already; give each file "
-                   "once, or another name\n",
-                   run->args[i], file.name);
-          good = false;
+          fprintf (
+              call->errors,
+              "%s: duplicate file name \"%s\"; give each file once or rename "
+              "one\n",
+              call->args[i], file.name);
+          valid = false;
         }
       else
         marjoram_state_set_file (state, &file);
       marjoram_wire_clear (&marjoram_file_layout, &file);
     }
-  return good;
+  return valid;
 }
 
 static enum marjoram_ctl_status
-run_check (struct marjoram_ctl_call *run)
+run_check (struct marjoram_ctl_call *call)
 {
   marjoram_auto (marjoram_state_cleanup) struct marjoram_state *state
       = marjoram_state_copy (NULL);
   marjoram_auto_free char *faults = NULL;
   marjoram_config *config;
 
-  if (!load_files (run, state))
+  if (!load_files (call, state))
     return MARJORAM_CTL_REFUSED;
   config = marjoram_config_create (state, &faults, NULL);
   if (!config)
     {
-      print_faults (run, faults);
+      print_faults (call, faults);
       return MARJORAM_CTL_REFUSED;
     }
   marjoram_ctl_print_object (
-      run, json_pack ("{sbsssisisisisi}", "valid", 1, "cluster",
-                      marjoram_config_cluster (config), "regions",
-                      marjoram_config_region_count (config), "zones",
-                      marjoram_config_zone_count (config), "slots",
-                      marjoram_config_slot_count (config), "works",
-                      marjoram_config_work_count (config), "callers",
-                      marjoram_config_caller_count (config)));
+      call, json_pack ("{sbsssisisisisi}", "valid", 1, "cluster",
+                       marjoram_config_cluster (config), "regions",
+                       marjoram_config_region_count (config), "zones",
+                       marjoram_config_zone_count (config), "slots",
+                       marjoram_config_slot_count (config), "works",
+                       marjoram_config_work_count (config), "callers",
+                       marjoram_config_caller_count (config)));
   marjoram_config_release (config);
   return MARJORAM_CTL_DONE;
 }
 
 static enum marjoram_ctl_status
-run_new_secret (struct marjoram_ctl_call *run)
+run_new_secret (struct marjoram_ctl_call *call)
 {
   struct marjoram_error err;
 
-  if (!marjoram_secret_create (run->args[0], &err))
-    return marjoram_ctl_complain (run, MARJORAM_CTL_REFUSED, err.message);
-  marjoram_ctl_print_object (run,
-                             json_pack ("{ss}", "secret_file", run->args[0]));
+  if (!marjoram_secret_create (call->args[0], &err))
+    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+  marjoram_ctl_print_object (call,
+                             json_pack ("{ss}", "secret_file", call->args[0]));
   return MARJORAM_CTL_DONE;
 }
 
-/* Asks the first host that can be reached.  A host that may have taken the
-   call is never followed by another one.  */
+/* Sends the call to the first reachable host.  Once a host may have received
+   it, no other host is tried, since the call could run twice.  */
 static enum marjoram_control_result
-ask (struct marjoram_ctl_call *run, const char *method, const char *path,
-     const char *body, struct marjoram_control_answer *answer,
-     struct marjoram_error *err)
+call_first_reachable_host (struct marjoram_ctl_call *call, const char *method,
+                           const char *path, const char *body,
+                           struct marjoram_control_answer *answer,
+                           struct marjoram_error *err)
 {
   enum marjoram_control_result result = MARJORAM_CONTROL_UNREACHED;
 
-  for (size_t i = 0; i < run->host_count; i++)
+  for (size_t i = 0; i < call->host_count; i++)
     {
-      run->target.address = run->hosts[i];
-      result = marjoram_control_ask (&run->target, method, path, body, answer,
+      call->target.address = call->hosts[i];
+      result = marjoram_control_ask (&call->target, method, path, body, answer,
                                      err);
       if (result != MARJORAM_CONTROL_UNREACHED)
         break;
       marjoram_control_answer_clear (answer);
-      fprintf (run->errors, "marjoramctl: %s\n", err->message);
+      fprintf (call->errors, "marjoramctl: %s\n", err->message);
     }
   return result;
 }
 
-/* The host's own refusal of a call.  */
+/* Prints the error response of a host.  */
 static enum marjoram_ctl_status
-refused (struct marjoram_ctl_call *run,
-         const struct marjoram_control_answer *answer)
+report_refusal (struct marjoram_ctl_call *call,
+                const struct marjoram_control_answer *answer)
 {
   json_t *object = json_loadb (answer->body, answer->size, 0, NULL);
   const char *message = json_string_value (
       json_object_get (json_object_get (object, "error"), "message"));
 
-  fprintf (run->errors, "marjoramctl: %s: %s\n", answer->slot,
-           message ? message : "refused without a reason; see its log");
+  fprintf (call->errors, "marjoramctl: %s: %s\n", answer->slot,
+           message ? message
+                   : "call rejected without a message; see the host's log");
   json_decref (object);
   return MARJORAM_CTL_REFUSED;
 }
 
-/* Runs a query whose answer is printed as it is.  */
+/* Runs a query and prints the response unchanged.  */
 static enum marjoram_ctl_status
-query (struct marjoram_ctl_call *run, const char *path)
+query (struct marjoram_ctl_call *call, const char *path)
 {
   struct marjoram_control_answer answer;
   struct marjoram_error err;
   enum marjoram_control_result result
-      = ask (run, "GET", path, NULL, &answer, &err);
+      = call_first_reachable_host (call, "GET", path, NULL, &answer, &err);
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
   json_t *object;
 
@@ -219,52 +223,52 @@
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
     status
-        = marjoram_ctl_complain (run, MARJORAM_CTL_UNREACHABLE, err.message);
+        = marjoram_ctl_complain (call, MARJORAM_CTL_UNREACHABLE, err.message);
   else if (answer.status != STATUS_OK)
-    status = refused (run, &answer);
+    status = report_refusal (call, &answer);
   else
     {
       object = json_loadb (answer.body, answer.size, 0, NULL);
       if (object)
-        marjoram_ctl_print_object (run, object);
+        marjoram_ctl_print_object (call, object);
       else
-        fwrite (answer.body, 1, answer.size, run->out);
+        fwrite (answer.body, 1, answer.size, call->out);
     }
   marjoram_control_answer_clear (&answer);
   return status;
 }
 
 static enum marjoram_ctl_status
-run_status (struct marjoram_ctl_call *run)
+run_status (struct marjoram_ctl_call *call)
 {
-  return query (run, "/control/status");
+  return query (call, "/control/status");
 }
 
 static enum marjoram_ctl_status
-run_upstreams (struct marjoram_ctl_call *run)
+run_upstreams (struct marjoram_ctl_call *call)
 {
-  return query (run, "/control/upstreams");
+  return query (call, "/control/upstreams");
 }
 
 static enum marjoram_ctl_status
-run_counters (struct marjoram_ctl_call *run)
+run_counters (struct marjoram_ctl_call *call)
 {
-  return query (run, "/control/counters");
+  return query (call, "/control/counters");
 }
 
 static enum marjoram_ctl_status
-run_explain (struct marjoram_ctl_call *run)
+run_explain (struct marjoram_ctl_call *call)
 {
-  const struct marjoram_ctl_options *o = run->options;
+  const struct marjoram_ctl_options *o = call->options;
   const char *const names[]
       = { "caller", "work", "class", "deadline_ms", "prompt_tokens" };
   const char *const values[]
       = { o->caller, o->work, o->class, o->deadline_ms, o->prompt_tokens };
-  char path[PATH_TEXT_MAX] = "/control/explain";
+  char path[PATH_MAX_BYTES] = "/control/explain";
 
   if (!o->caller || !o->work)
     return marjoram_ctl_complain (
-        run, MARJORAM_CTL_USAGE,
+        call, MARJORAM_CTL_USAGE,
         "explain needs --caller NAME and --work NAME");
   for (size_t i = 0; i < sizeof names / sizeof *names; i++)
     {
@@ -274,11 +278,11 @@
       snprintf (path + used, sizeof path - used, "%c%s=%s", i ? '&' : '?',
                 names[i], value);
     }
-  return query (run, path);
+  return query (call, path);
 }
 
 static enum marjoram_ctl_status
-run_diff (struct marjoram_ctl_call *run)
+run_diff (struct marjoram_ctl_call *call)
 {
   struct marjoram_file file = { 0 };
   struct marjoram_control_answer answer;
@@ -287,23 +291,24 @@
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
   json_t *object;
 
-  if (!load_operand (run, 0, &file, &err))
-    return marjoram_ctl_complain (run, MARJORAM_CTL_REFUSED, err.message);
-  result = ask (run, "POST", "/control/diff", file.text, &answer, &err);
+  if (!load_operand (call, 0, &file, &err))
+    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+  result = call_first_reachable_host (call, "POST", "/control/diff", file.text,
+                                      &answer, &err);
   marjoram_wire_clear (&marjoram_file_layout, &file);
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
     status
-        = marjoram_ctl_complain (run, MARJORAM_CTL_UNREACHABLE, err.message);
+        = marjoram_ctl_complain (call, MARJORAM_CTL_UNREACHABLE, err.message);
   else if (answer.status != STATUS_OK)
-    status = refused (run, &answer);
+    status = report_refusal (call, &answer);
   else
     {
       object = json_loadb (answer.body, answer.size, 0, NULL);
       if (!json_is_true (json_object_get (object, "valid")))
         status = MARJORAM_CTL_REFUSED;
-      print_answer (run, object);
+      print_response (call, object);
     }
   marjoram_control_answer_clear (&answer);
   return status;
@@ -327,22 +332,24 @@
 }
 
 static void
-tell_resend (struct marjoram_ctl_call *run, const char *id)
+print_resend_hint (struct marjoram_ctl_call *call, const char *id)
 {
-  fprintf (run->errors,
-           "marjoramctl: the change may yet take effect; run the same command "
-           "again with --change-id %s, also at another host, until it is "
-           "answered\n",
-           id);
+  fprintf (
+      call->errors,
+      "marjoramctl: the change may still take effect; run the same command "
+      "again with --change-id %s, on this or another host, until it "
+      "succeeds or is rejected\n",
+      id);
 }
 
-/* Sends a change under the id given, or a new one, which is printed before it
-   goes out: whoever loses the answer can send it again.  */
+/* Sends a change with the given or a generated change id.  The id is printed
+   first so that the change can be resent if the response is lost.  */
 static enum marjoram_ctl_status
-change (struct marjoram_ctl_call *run, const char *path, const char *body)
+send_change (struct marjoram_ctl_call *call, const char *path,
+             const char *body)
 {
-  char made[MARJORAM_NONCE_TEXT + 1];
-  const char *id = run->options->change_id;
+  char generated_id[MARJORAM_NONCE_TEXT + 1];
+  const char *id = call->options->change_id;
   marjoram_auto_free char *target = NULL;
   struct marjoram_control_answer answer;
   struct marjoram_error err;
@@ -352,86 +359,88 @@
 
   if (!id)
     {
-      marjoram_control_nonce_make (made);
-      id = made;
+      marjoram_control_nonce_make (generated_id);
+      id = generated_id;
     }
-  fprintf (run->errors, "change id: %s\n", id);
-  fflush (run->errors);
+  fprintf (call->errors, "change id: %s\n", id);
+  fflush (call->errors);
   if (asprintf (&target, "%s%cchange_id=%s", path,
                 strchr (path, '?') ? '&' : '?', id)
       < 0)
     abort ();
-  result = ask (run, "POST", target, body, &answer, &err);
+  result
+      = call_first_reachable_host (call, "POST", target, body, &answer, &err);
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status = marjoram_ctl_complain (run, MARJORAM_CTL_UNKNOWN, err.message);
+    status = marjoram_ctl_complain (call, MARJORAM_CTL_UNKNOWN, err.message);
   else if (answer.status != STATUS_OK)
-    refused (run, &answer);
+    report_refusal (call, &answer);
   else
     {
       object = json_loadb (answer.body, answer.size, 0, NULL);
       status = change_status (object);
       json_object_set_new (object, "change_id", json_string (id));
-      print_answer (run, object);
+      print_response (call, object);
     }
   if (status == MARJORAM_CTL_UNKNOWN)
-    tell_resend (run, id);
+    print_resend_hint (call, id);
   marjoram_control_answer_clear (&answer);
   return status;
 }
 
 static enum marjoram_ctl_status
-run_apply (struct marjoram_ctl_call *run)
+run_apply (struct marjoram_ctl_call *call)
 {
   struct marjoram_file file = { 0 };
   struct marjoram_error err;
   enum marjoram_ctl_status status;
 
-  if (!load_operand (run, 0, &file, &err))
-    return marjoram_ctl_complain (run, MARJORAM_CTL_REFUSED, err.message);
-  status = change (run, "/control/apply", file.text);
+  if (!load_operand (call, 0, &file, &err))
+    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+  status = send_change (call, "/control/apply", file.text);
   marjoram_wire_clear (&marjoram_file_layout, &file);
   return status;
 }
 
 static enum marjoram_ctl_status
-run_replace (struct marjoram_ctl_call *run)
+run_replace_keeper (struct marjoram_ctl_call *call)
 {
-  char path[PATH_TEXT_MAX];
+  char path[PATH_MAX_BYTES];
 
-  if (!marjoram_name_valid (run->args[0], false)
-      || !marjoram_name_valid (run->args[1], false))
+  if (!marjoram_name_valid (call->args[0], false)
+      || !marjoram_name_valid (call->args[1], false))
     return marjoram_ctl_complain (
-        run, MARJORAM_CTL_USAGE,
-        "replace-keeper needs two slots' names; give the same "
-        "one twice after its disk was lost");
+        call, MARJORAM_CTL_USAGE,
+        "replace-keeper needs the names of two slots; give the same "
+        "name twice to replace a keeper that lost its disk");
   snprintf (path, sizeof path, "/control/replace-keeper?old=%s&new=%s",
-            run->args[0], run->args[1]);
-  return change (run, path, NULL);
+            call->args[0], call->args[1]);
+  return send_change (call, path, NULL);
 }
 
 static enum marjoram_ctl_status
-run_drain (struct marjoram_ctl_call *run)
+run_drain (struct marjoram_ctl_call *call)
 {
   struct marjoram_control_answer answer;
   struct marjoram_error err;
   enum marjoram_control_result result;
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
 
-  if (run->host_count > 1)
+  if (call->host_count > 1)
     return marjoram_ctl_complain (
-        run, MARJORAM_CTL_USAGE,
-        "drain needs just one --host: the one to drain");
-  result = ask (run, "POST", "/control/drain", NULL, &answer, &err);
+        call, MARJORAM_CTL_USAGE,
+        "drain needs exactly one --host: the host to drain");
+  result = call_first_reachable_host (call, "POST", "/control/drain", NULL,
+                                      &answer, &err);
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status = marjoram_ctl_complain (run, MARJORAM_CTL_UNKNOWN, err.message);
+    status = marjoram_ctl_complain (call, MARJORAM_CTL_UNKNOWN, err.message);
   else if (answer.status != STATUS_OK)
-    status = refused (run, &answer);
+    status = report_refusal (call, &answer);
   else
-    marjoram_ctl_print_object (run,
+    marjoram_ctl_print_object (call,
                                json_loadb (answer.body, answer.size, 0, NULL));
   marjoram_control_answer_clear (&answer);
   return status;
@@ -440,45 +449,46 @@
 static const struct command
 {
   const char *name;
-  int least; /* operands */
-  int most;
+  int min_operands;
+  int max_operands;
   bool online;
-  enum marjoram_ctl_status (*run) (struct marjoram_ctl_call *run);
+  enum marjoram_ctl_status (*run) (struct marjoram_ctl_call *call);
   const char *usage;
 } commands[] = {
   { "check", 1, MARJORAM_CTL_OPERANDS_MAX, false, run_check,
-    "check FILE...          check the whole set of files, offline" },
+    "check FILE...          validate a complete set of files offline" },
   { "diff", 1, 1, true, run_diff,
     "diff FILE              show what applying FILE would change" },
   { "apply", 1, 1, true, run_apply,
-    "apply FILE             put FILE in force, as a whole" },
+    "apply FILE             apply FILE atomically" },
   { "status", 0, 0, true, run_status,
-    "status                 configuration in force, on which host" },
+    "status                 show the configuration in force and the hosts" },
   { "upstreams", 0, 0, true, run_upstreams,
-    "upstreams              upstreams known to the host's zone" },
+    "upstreams              list the upstreams known to the host's zone" },
   { "explain", 0, 0, true, run_explain,
-    "explain                where a request would go and why" },
+    "explain                show how a request would be routed and why" },
   { "counters", 0, 0, true, run_counters,
-    "counters               the host's counters" },
+    "counters               print the host's counters" },
   { "drain", 0, 0, true, run_drain,
-    "drain                  take no new requests, finish those in progress" },
-  { "replace-keeper", 2, 2, true, run_replace,
-    "replace-keeper OLD NEW keeper of slot NEW in place of OLD" },
+    "drain                  accept no new requests, finish those in "
+    "progress" },
+  { "replace-keeper", 2, 2, true, run_replace_keeper,
+    "replace-keeper OLD NEW replace the keeper of slot OLD by slot NEW" },
   { "gateway", 1, 1, false, marjoram_ctl_gateway,
-    "gateway ADDRESS        a host in the role entry or keeper: what it "
-    "knows" },
+    "gateway ADDRESS        show the status of a host in the role entry or "
+    "keeper" },
   { "routes", 1, 2, false, marjoram_ctl_routes,
     "routes ADDRESS [FILE]  show the routes in force at a keeper's control "
-    "address, or put FILE in force" },
+    "address, or apply FILE" },
   { "evacuate", 2, 2, false, marjoram_ctl_evacuate,
-    "evacuate ADDRESS ZONE  nothing more is sent to ZONE's upstreams" },
+    "evacuate ADDRESS ZONE  stop sending requests to ZONE's upstreams" },
   { "restore", 2, 2, false, marjoram_ctl_restore,
-    "restore ADDRESS ZONE   ends the evacuation of ZONE" },
+    "restore ADDRESS ZONE   end the evacuation of ZONE" },
   { "account", 1, MARJORAM_CTL_OPERANDS_MAX, false, marjoram_ctl_account,
-    "account LOG...         why requests were not served or came late, from "
-    "logs of hosts in the role entry; - reads standard input" },
+    "account LOG...         summarize failed and late requests by cause from "
+    "event logs of entry hosts; - reads standard input" },
   { "new-secret", 1, 1, false, run_new_secret,
-    "new-secret FILE        make a new owner's secret" },
+    "new-secret FILE        create a new owner's secret" },
 };
 
 void
@@ -497,24 +507,24 @@
   return NULL;
 }
 
-/* Address and secret from a daemon's settings, unless they were given.  */
+/* Reads address and secret, if not given, from the daemon settings.  */
 static enum marjoram_ctl_status
-use_settings (struct marjoram_ctl_call *run, char **secret)
+load_target_settings (struct marjoram_ctl_call *call, char **secret)
 {
   marjoram_auto_free char *faults = NULL;
   struct marjoram_settings *settings
-      = marjoram_settings_load (run->options->settings, &faults, NULL);
+      = marjoram_settings_load (call->options->settings, &faults, NULL);
 
   if (!settings)
     {
-      fputs (faults, run->errors);
+      fputs (faults, call->errors);
       return MARJORAM_CTL_REFUSED;
     }
-  if (run->host_count == 0)
+  if (call->host_count == 0)
     {
-      snprintf (run->address, sizeof run->address, "%s",
+      snprintf (call->address, sizeof call->address, "%s",
                 settings->control_address);
-      run->hosts[run->host_count++] = run->address;
+      call->hosts[call->host_count++] = call->address;
     }
   if (!*secret)
     *secret = marjoram_strdup (settings->secret);
@@ -523,78 +533,80 @@
 }
 
 static enum marjoram_ctl_status
-use_hosts (struct marjoram_ctl_call *run)
+parse_hosts (struct marjoram_ctl_call *call)
 {
-  for (size_t i = 0; i < run->options->host_count; i++)
+  for (size_t i = 0; i < call->options->host_count; i++)
     {
       marjoram_auto_free char *address
-          = marjoram_address_parse (run->options->hosts[i]);
+          = marjoram_address_parse (call->options->hosts[i]);
 
       if (!address)
         return marjoram_ctl_complain (
-            run, MARJORAM_CTL_USAGE,
-            "--host needs an IP number and a port, for example "
+            call, MARJORAM_CTL_USAGE,
+            "--host needs an IP address and a port, for example "
             "10.0.0.1:7001");
-      run->hosts[run->host_count++] = run->options->hosts[i];
+      call->hosts[call->host_count++] = call->options->hosts[i];
     }
   return MARJORAM_CTL_DONE;
 }
 
 static enum marjoram_ctl_status
-run_online (struct marjoram_ctl_call *run, const struct command *command)
+run_online (struct marjoram_ctl_call *call, const struct command *command)
 {
   marjoram_auto_free char *secret = NULL;
   struct marjoram_error err;
-  enum marjoram_ctl_status status = use_hosts (run);
+  enum marjoram_ctl_status status = parse_hosts (call);
 
   if (status)
     return status;
-  if (run->options->secret_file)
+  if (call->options->secret_file)
     {
-      secret = marjoram_secret_read (run->options->secret_file, &err);
+      secret = marjoram_secret_read (call->options->secret_file, &err);
       if (!secret)
-        return marjoram_ctl_complain (run, MARJORAM_CTL_REFUSED, err.message);
+        return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
     }
-  if (run->options->settings)
-    status = use_settings (run, &secret);
-  else if (!secret || run->host_count == 0)
+  if (call->options->settings)
+    status = load_target_settings (call, &secret);
+  else if (!secret || call->host_count == 0)
     status = marjoram_ctl_complain (
-        run, MARJORAM_CTL_USAGE,
-        "say which host: --settings FILE, or --host IP:port "
-        "and --secret-file FILE");
+        call, MARJORAM_CTL_USAGE,
+        "no host given; use --settings FILE, or --host IP:PORT and "
+        "--secret-file FILE");
   if (status)
     return status;
-  run->target.secret = secret;
-  run->target.timeout_ms = run->options->timeout_ms;
-  return command->run (run);
+  call->target.secret = secret;
+  call->target.timeout_ms = call->options->timeout_ms;
+  return command->run (call);
 }
 
 enum marjoram_ctl_status
 marjoram_ctl_run (const struct marjoram_ctl_options *options, int arg_count,
                   char *const *args, FILE *out, FILE *errors)
 {
-  struct marjoram_ctl_call run = { .options = options,
-                                   .arg_count = arg_count - 1,
-                                   .args = args + 1,
-                                   .out = out,
-                                   .errors = errors };
+  struct marjoram_ctl_call call = { .options = options,
+                                    .arg_count = arg_count - 1,
+                                    .args = args + 1,
+                                    .out = out,
+                                    .errors = errors };
   const struct command *command;
   enum marjoram_ctl_status status;
 
   if (arg_count < 1)
-    return marjoram_ctl_complain (&run, MARJORAM_CTL_USAGE,
-                                  "no command; see --help");
+    return marjoram_ctl_complain (&call, MARJORAM_CTL_USAGE,
+                                  "missing command; see --help");
   command = find_command (args[0]);
   if (!command)
-    return marjoram_ctl_complain (&run, MARJORAM_CTL_USAGE,
+    return marjoram_ctl_complain (&call, MARJORAM_CTL_USAGE,
                                   "no such command; see --help");
-  if (run.arg_count < command->least || run.arg_count > command->most)
+  if (call.arg_count < command->min_operands
+      || call.arg_count > command->max_operands)
     {
       fprintf (errors, "usage: marjoramctl [OPTION]... %s\n", command->usage);
       return MARJORAM_CTL_USAGE;
     }
-  status = command->online ? run_online (&run, command) : command->run (&run);
-  for (int i = 0; i < run.arg_count; i++)
-    free (run.names[i]);
+  status
+      = command->online ? run_online (&call, command) : command->run (&call);
+  for (int i = 0; i < call.arg_count; i++)
+    free (call.names[i]);
   return status;
 }
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,4 +1,4 @@
-/* Commands of the operators' tool.  */
+/* Commands of marjoramctl.  */
 #ifndef MARJORAM_CTL_H
 #define MARJORAM_CTL_H
 
@@ -12,11 +12,11 @@
 enum marjoram_ctl_status
 {
   MARJORAM_CTL_DONE = 0,
-  MARJORAM_CTL_REFUSED = 1,     /* refused, faulty, stale or in conflict */
-  MARJORAM_CTL_USAGE = 2,       /* the command line is wrong */
-  MARJORAM_CTL_UNREACHABLE = 3, /* no host was asked */
-  MARJORAM_CTL_UNKNOWN = 4,     /* may take effect: resend the same id */
-  MARJORAM_CTL_NOT_RUN = 5      /* nothing was changed: try again */
+  MARJORAM_CTL_REFUSED = 1,     /* rejected, invalid, stale or in conflict */
+  MARJORAM_CTL_USAGE = 2,       /* invalid command line */
+  MARJORAM_CTL_UNREACHABLE = 3, /* the call reached no host */
+  MARJORAM_CTL_UNKNOWN = 4,     /* outcome unknown: resend with the same id */
+  MARJORAM_CTL_NOT_RUN = 5      /* nothing was changed: retry */
 };
 
 enum
@@ -27,7 +27,7 @@
 
 struct marjoram_ctl_options
 {
-  const char *settings; /* of a daemon: gives address and secret */
+  const char *settings; /* daemon settings file with address and secret */
   const char *hosts[MARJORAM_CTL_HOSTS_MAX]; /* tried in turn */
   size_t host_count;
   const char *secret_file;
@@ -41,21 +41,20 @@
   const char *deadline_ms;
   const char *prompt_tokens;
   /* account */
-  const char *by; /* null: by cause and route */
-  const char *id; /* show this request's lines instead */
+  const char *by; /* fields to group by; null: cause and route */
+  const char *id; /* print the log lines of this request instead */
 };
 
-/* Runs the command ARGS[0] with its operands; prints to OUT, and what went
-   wrong to ERRORS.  */
+/* Runs the command ARGS[0] with its operands.  Output goes to OUT, error
+   messages to ERRORS.  */
 enum marjoram_ctl_status
 marjoram_ctl_run (const struct marjoram_ctl_options *options, int arg_count,
                   char *const *args, FILE *out, FILE *errors);
-/* The list of commands, for --help.  */
+/* Prints the list of commands for --help.  */
 void marjoram_ctl_help (FILE *out);
 
-/* Prints a JSON object for people: its plain values one a line, lists of
+/* Prints a JSON object in human-readable form: scalars one per line, arrays of
    objects as tables.  */
-
 void marjoram_ctl_print (FILE *out, const json_t *object);
 
 #endif
