--- a/src/ctl_account.c
+++ b/src/ctl_account.c
@@ -1,4 +1,4 @@
-/* Commands of marjoramctl that read the event logs of hosts.  */
+/* The account command of marjoramctl, which reads the event logs of hosts.  */
 #include "ctl_private.h"
 
 #include "account.h"
@@ -7,8 +7,7 @@
 #include <errno.h>
 #include <string.h>
 
-/* Lines that tell of one request, from all files, in the order of their
-   times.  */
+/* Log lines of one request, collected from all files.  */
 struct found_line
 {
   double at;
@@ -22,7 +21,7 @@
 };
 
 static void
-keep_line (struct found_lines *found, double at, const char *text)
+add_line (struct found_lines *found, double at, const char *text)
 {
   found->items
       = realloc (found->items, (found->count + 1) * sizeof *found->items);
@@ -33,29 +32,29 @@
 }
 
 static int
-by_time (const void *one, const void *other)
+compare_times (const void *a_line, const void *b_line)
 {
-  double a = ((const struct found_line *)one)->at;
-  double b = ((const struct found_line *)other)->at;
+  double a = ((const struct found_line *)a_line)->at;
+  double b = ((const struct found_line *)b_line)->at;
 
   return (a > b) - (a < b);
 }
 
 static bool
-is_of (const struct marjoram_log_line *line, const char *id)
+has_request_id (const struct marjoram_log_line *line, const char *id)
 {
   const char *found = marjoram_log_line_get (line, "id");
 
   return found && strcmp (found, id) == 0;
 }
 
-/* Returns how many of its lines are lines of the log.  */
+/* Returns the number of lines of IN that are event log lines.  */
 static size_t
-read_lines (FILE *in, const char *id, marjoram_account *account,
-            struct found_lines *found)
+parse_log (FILE *in, const char *id, marjoram_account *account,
+           struct found_lines *found)
 {
   marjoram_auto_free char *text = NULL;
-  marjoram_auto_free char *whole = NULL;
+  marjoram_auto_free char *copy = NULL;
   size_t size = 0;
   size_t count = 0;
 
@@ -63,57 +62,58 @@
     {
       struct marjoram_log_line line;
 
-      free (whole);
-      whole = marjoram_strdup (text);
+      free (copy);
+      copy = marjoram_strdup (text);
       if (!marjoram_log_line_read (text, &line))
         continue;
       count++;
       if (!id)
         marjoram_account_add (account, &line);
-      else if (is_of (&line, id))
-        keep_line (found, line.at, whole);
+      else if (has_request_id (&line, id))
+        add_line (found, line.at, copy);
     }
   return count;
 }
 
 static enum marjoram_ctl_status
-read_file (struct marjoram_ctl_call *call, const char *path,
-           marjoram_account *account, struct found_lines *found)
+parse_log_file (struct marjoram_ctl_call *call, const char *path,
+                marjoram_account *account, struct found_lines *found)
 {
-  bool is_input = strcmp (path, "-") == 0;
-  FILE *in = is_input ? stdin : fopen (path, "r");
+  bool is_stdin = strcmp (path, "-") == 0;
+  FILE *in = is_stdin ? stdin : fopen (path, "r");
   size_t count;
 
   if (!in)
     {
-      fprintf (call->errors, "marjoramctl: %s: %s; give logs of hosts\n", path,
-               strerror (errno));
+      fprintf (call->errors, "marjoramctl: %s: %s; give event logs of hosts\n",
+               path, strerror (errno));
       return MARJORAM_CTL_USAGE;
     }
-  count = read_lines (in, call->options->id, account, found);
-  if (!is_input)
+  count = parse_log (in, call->options->id, account, found);
+  if (!is_stdin)
     fclose (in);
   if (count > 0)
     return MARJORAM_CTL_DONE;
   fprintf (call->errors,
-           "marjoramctl: %s: no line of the event log in it; give what "
-           "marjoramd wrote to its standard output\n",
+           "marjoramctl: %s: no line of the event log found; give the "
+           "standard output of marjoramd\n",
            path);
   return MARJORAM_CTL_REFUSED;
 }
 
 static enum marjoram_ctl_status
-print_found (struct marjoram_ctl_call *call, struct found_lines *found)
+print_lines (struct marjoram_ctl_call *call, struct found_lines *found)
 {
   if (found->count == 0)
     {
-      fprintf (call->errors,
-               "marjoramctl: no line of %s; give the logs of all hosts of "
-               "that time, and look for lines_dropped\n",
-               call->options->id);
+      fprintf (
+          call->errors,
+          "marjoramctl: no line of %s found; give the logs of all hosts for "
+          "that time and check them for lines_dropped\n",
+          call->options->id);
       return MARJORAM_CTL_REFUSED;
     }
-  qsort (found->items, found->count, sizeof *found->items, by_time);
+  qsort (found->items, found->count, sizeof *found->items, compare_times);
   for (size_t i = 0; i < found->count; i++)
     {
       fputs (found->items[i].text, call->out);
@@ -125,21 +125,21 @@
 enum marjoram_ctl_status
 marjoram_ctl_account (struct marjoram_ctl_call *call)
 {
-  static const char by_default[] = "cause,route";
-  const char *by = call->options->by ? call->options->by : by_default;
-  marjoram_account *account = marjoram_account_create (by);
+  static const char default_fields[] = "cause,route";
+  const char *fields = call->options->by ? call->options->by : default_fields;
+  marjoram_account *account = marjoram_account_create (fields);
   struct found_lines found = { 0 };
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
 
   if (!account)
     return marjoram_ctl_complain (
         call, MARJORAM_CTL_USAGE,
-        "--by takes one to six names, for example cause,route or "
+        "--by takes one to six field names, for example cause,route or "
         "second,upstream");
   for (int i = 0; i < call->arg_count && status == MARJORAM_CTL_DONE; i++)
-    status = read_file (call, call->args[i], account, &found);
+    status = parse_log_file (call, call->args[i], account, &found);
   if (status == MARJORAM_CTL_DONE && call->options->id)
-    status = print_found (call, &found);
+    status = print_lines (call, &found);
   else if (status == MARJORAM_CTL_DONE)
     marjoram_account_print (account, call->out);
   free (found.items);
