--- a/src/ctl_print.c
+++ b/src/ctl_print.c
@@ -8,37 +8,39 @@
 
 enum
 {
-  CELL_MAX = 128,
+  CELL_MAX_BYTES = 128,
   COLUMNS_MAX = 16
 };
 
 static void
-cell (const json_t *value, char text[CELL_MAX])
+format_cell (const json_t *value, char text[CELL_MAX_BYTES])
 {
   if (json_is_string (value))
-    snprintf (text, CELL_MAX, "%s", json_string_value (value));
+    snprintf (text, CELL_MAX_BYTES, "%s", json_string_value (value));
   else if (json_is_boolean (value))
-    snprintf (text, CELL_MAX, "%s", json_is_true (value) ? "yes" : "no");
+    snprintf (text, CELL_MAX_BYTES, "%s", json_is_true (value) ? "yes" : "no");
   else if (json_is_integer (value))
-    snprintf (text, CELL_MAX, "%" JSON_INTEGER_FORMAT,
+    snprintf (text, CELL_MAX_BYTES, "%" JSON_INTEGER_FORMAT,
               json_integer_value (value));
   else if (json_is_real (value))
-    snprintf (text, CELL_MAX, "%g", json_real_value (value));
+    snprintf (text, CELL_MAX_BYTES, "%g", json_real_value (value));
   else if (json_is_array (value))
     {
       size_t used = 0;
 
-      snprintf (text, CELL_MAX, "%s", json_array_size (value) ? "" : "none");
-      for (size_t i = 0; i < json_array_size (value) && used < CELL_MAX; i++)
+      snprintf (text, CELL_MAX_BYTES, "%s",
+                json_array_size (value) ? "" : "none");
+      for (size_t i = 0; i < json_array_size (value) && used < CELL_MAX_BYTES;
+           i++)
         {
           const char *item = json_string_value (json_array_get (value, i));
 
-          used += (size_t)snprintf (text + used, CELL_MAX - used, "%s%s",
+          used += (size_t)snprintf (text + used, CELL_MAX_BYTES - used, "%s%s",
                                     i ? "," : "", item ? item : "...");
         }
     }
   else
-    snprintf (text, CELL_MAX, "-");
+    snprintf (text, CELL_MAX_BYTES, "-");
 }
 
 struct table
@@ -49,13 +51,14 @@
   size_t count;
 };
 
-/* The columns are the keys of the first row.  */
+/* Determines the columns, which are the keys of the first row, and their
+   widths.  */
 static void
-measure (struct table *table)
+measure_columns (struct table *table)
 {
   const char *key;
   json_t *value;
-  char text[CELL_MAX];
+  char text[CELL_MAX_BYTES];
 
   json_object_foreach (json_array_get (table->rows, 0), key, value)
   {
@@ -67,9 +70,9 @@
       table->widths[c] = (int)strlen (table->columns[c]);
       for (size_t r = 0; r < json_array_size (table->rows); r++)
         {
-          cell (json_object_get (json_array_get (table->rows, r),
-                                 table->columns[c]),
-                text);
+          format_cell (json_object_get (json_array_get (table->rows, r),
+                                        table->columns[c]),
+                       text);
           if ((int)strlen (text) > table->widths[c])
             table->widths[c] = (int)strlen (text);
         }
@@ -79,12 +82,12 @@
 static void
 print_row (FILE *out, const struct table *table, const json_t *row)
 {
-  char text[CELL_MAX];
+  char text[CELL_MAX_BYTES];
 
   for (size_t c = 0; c < table->count; c++)
     {
       if (row)
-        cell (json_object_get (row, table->columns[c]), text);
+        format_cell (json_object_get (row, table->columns[c]), text);
       else
         snprintf (text, sizeof text, "%s", table->columns[c]);
       fprintf (out, "  %-*s", c + 1 < table->count ? table->widths[c] : 0,
@@ -99,7 +102,7 @@
   struct table table = { .rows = rows };
 
   fprintf (out, "%s:\n", name);
-  measure (&table);
+  measure_columns (&table);
   print_row (out, &table, NULL);
   for (size_t r = 0; r < json_array_size (rows); r++)
     print_row (out, &table, json_array_get (rows, r));
@@ -108,7 +111,6 @@
 static void
 print_text (FILE *out, const char *name, const char *text)
 {
-  /* What is empty has no news for people.  */
   if (!*text)
     return;
   if (!strchr (text, '\n'))
@@ -125,7 +127,7 @@
 {
   const char *key;
   json_t *value;
-  char text[CELL_MAX];
+  char text[CELL_MAX_BYTES];
 
   json_object_foreach ((json_t *)object, key, value)
   {
@@ -135,7 +137,7 @@
       print_text (out, key, json_string_value (value));
     else
       {
-        cell (value, text);
+        format_cell (value, text);
         fprintf (out, "%s: %s\n", key, text);
       }
   }
