--- a/src/control.c
+++ b/src/control.c
@@ -18,17 +18,17 @@
 
 enum
 {
-  HEADERS_BYTES_MAX = 16 * 1024,
-  /* Longer than any apply takes to be answered.  */
+  HEADERS_MAX_BYTES = 16 * 1024,
+  /* Exceeds the longest time until an apply is answered.  */
   CONNECTION_TIMEOUT_S = 120,
   STATUS_OK = 200,
-  STATUS_BAD = 400,
-  STATUS_UNPROVED = 401,
+  STATUS_BAD_REQUEST = 400,
+  STATUS_UNAUTHORIZED = 401,
   STATUS_NOT_FOUND = 404,
   STATUS_BUSY = 503
 };
 
-/* A call that has been read and proved.  */
+/* A call in progress.  */
 struct call
 {
   struct marjoram_control *control;
@@ -39,14 +39,14 @@
   size_t size;
 };
 
-/* An apply or a change of keepers that waits for its answer.  */
+/* An apply or keeper replacement that waits for its outcome.  */
 struct pending
 {
   uint64_t request;
   struct marjoram_control *control;
   struct evhttp_request *req;
   char nonce[MARJORAM_NONCE_TEXT + 1];
-  struct marjoram_file file; /* empty for a change of keepers */
+  struct marjoram_file file; /* empty for a keeper replacement */
   LIST_ENTRY (pending) link;
 };
 
@@ -82,7 +82,7 @@
   evbuffer_free (body);
 }
 
-/* Takes over OBJECT.  */
+/* Takes ownership of OBJECT.  */
 static void
 send_json (marjoram_control *control, struct evhttp_request *req,
            const char *nonce, int status, json_t *object)
@@ -95,10 +95,11 @@
 }
 
 static void
-refuse (marjoram_control *control, struct evhttp_request *req,
-        const char *nonce, int status, const char *kind, const char *message)
+send_error (marjoram_control *control, struct evhttp_request *req,
+            const char *nonce, int status, const char *kind,
+            const char *message)
 {
-  marjoram_log (MARJORAM_LOG_WARNING, "control: %s refused: %s",
+  marjoram_log (MARJORAM_LOG_WARNING, "control: rejected %s: %s",
                 evhttp_request_get_uri (req), message);
   send_json (
       control, req, nonce, status,
@@ -106,38 +107,38 @@
 }
 
 static void
-refuse_call (struct call *call, const char *message)
+reject_call (struct call *call, const char *message)
 {
-  refuse (call->control, call->req, call->nonce, STATUS_BAD, "invalid",
-          message);
+  send_error (call->control, call->req, call->nonce, STATUS_BAD_REQUEST,
+              "invalid", message);
 }
 
 static void
-answer (struct call *call, json_t *object)
+send_result (struct call *call, json_t *object)
 {
   send_json (call->control, call->req, call->nonce, STATUS_OK, object);
 }
 
 static const char *
-parameter (struct call *call, const char *name)
+query_parameter (struct call *call, const char *name)
 {
   return evhttp_find_header (&call->query, name);
 }
 
 static void
-do_status (struct call *call)
+handle_status (struct call *call)
 {
-  answer (call, call->control->ops->status (call->control->context));
+  send_result (call, call->control->ops->status (call->control->context));
 }
 
 static void
-do_upstreams (struct call *call)
+handle_upstreams (struct call *call)
 {
-  answer (call, call->control->ops->upstreams (call->control->context));
+  send_result (call, call->control->ops->upstreams (call->control->context));
 }
 
 static void
-do_counters (struct call *call)
+handle_counters (struct call *call)
 {
   marjoram_auto_free char *text
       = call->control->ops->counters (call->control->context);
@@ -147,7 +148,7 @@
 }
 
 static bool
-read_whole (const char *text, int64_t *value)
+parse_non_negative (const char *text, int64_t *value)
 {
   char *end;
 
@@ -157,46 +158,47 @@
 }
 
 static void
-do_explain (struct call *call)
-{
-  const char *deadline = parameter (call, "deadline_ms");
-  const char *tokens = parameter (call, "prompt_tokens");
-  struct marjoram_explain_query query = { .caller = parameter (call, "caller"),
-                                          .work = parameter (call, "work"),
-                                          .class = parameter (call, "class") };
+handle_explain (struct call *call)
+{
+  const char *deadline = query_parameter (call, "deadline_ms");
+  const char *tokens = query_parameter (call, "prompt_tokens");
+  struct marjoram_explain_query query
+      = { .caller = query_parameter (call, "caller"),
+          .work = query_parameter (call, "work"),
+          .class = query_parameter (call, "class") };
   int64_t prompt_tokens;
 
   if (!query.caller || !query.work || !query.class || !deadline || !tokens)
-    refuse_call (call, "caller, work, class, deadline_ms and prompt_tokens "
-                       "are needed; give them all");
+    reject_call (call, "missing parameter; give caller, work, class, "
+                       "deadline_ms and prompt_tokens");
   else if (strcmp (query.class, "interactive") != 0
            && strcmp (query.class, "overnight") != 0)
-    refuse_call (call, "unknown class; give interactive or overnight");
-  else if (!read_whole (deadline, &query.deadline_ms)
-           || !read_whole (tokens, &prompt_tokens))
-    refuse_call (call, "deadline_ms and prompt_tokens must be whole numbers; "
-                       "mend them");
+    reject_call (call, "unknown class; use interactive or overnight");
+  else if (!parse_non_negative (deadline, &query.deadline_ms)
+           || !parse_non_negative (tokens, &prompt_tokens))
+    reject_call (call, "deadline_ms or prompt_tokens is invalid; use "
+                       "non-negative integers");
   else
     {
       query.prompt_tokens = (uint64_t)prompt_tokens;
-      answer (call,
-              call->control->ops->explain (call->control->context, &query));
+      send_result (
+          call, call->control->ops->explain (call->control->context, &query));
     }
 }
 
 static bool
-read_file (struct call *call, struct marjoram_file *file)
+parse_file (struct call *call, struct marjoram_file *file)
 {
   struct marjoram_error err;
 
   if (marjoram_config_file_parse ("file", call->body, call->size, file, &err))
     return true;
-  refuse_call (call, err.message);
+  reject_call (call, err.message);
   return false;
 }
 
-/* The faults that the configuration in force would have with FILE put in;
-   null if none.  */
+/* Returns the faults of the configuration in force with FILE added or
+   replaced; null if none.  */
 static char *
 find_faults (marjoram_control *control, const struct marjoram_file *file)
 {
@@ -210,33 +212,34 @@
 }
 
 static void
-do_diff (struct call *call)
+handle_diff (struct call *call)
 {
   marjoram_control *control = call->control;
   const struct marjoram_state *state = control->ops->state (control->context);
-  const struct marjoram_file *held = NULL;
+  const struct marjoram_file *current = NULL;
   struct marjoram_file file = { 0 };
   marjoram_auto_free char *faults = NULL;
   marjoram_auto_free char *changes = NULL;
 
-  if (!read_file (call, &file))
+  if (!parse_file (call, &file))
     return;
   if (state)
-    held = marjoram_state_file (state, file.name);
+    current = marjoram_state_file (state, file.name);
   faults = find_faults (control, &file);
-  changes = marjoram_config_file_diff (held ? held->text : NULL, file.text);
-  answer (call,
-          json_pack ("{sssIsssIsssbssss}", "file", file.name, "version",
-                     (json_int_t)file.version, "digest", file.digest,
-                     "version_in_force", held ? (json_int_t)held->version : 0,
-                     "digest_in_force", held ? held->digest : "", "valid",
-                     !faults, "faults", faults ? faults : "", "changes",
-                     changes));
+  changes
+      = marjoram_config_file_diff (current ? current->text : NULL, file.text);
+  send_result (
+      call, json_pack (
+                "{sssIsssIsssbssss}", "file", file.name, "version",
+                (json_int_t)file.version, "digest", file.digest,
+                "version_in_force", current ? (json_int_t)current->version : 0,
+                "digest_in_force", current ? current->digest : "", "valid",
+                !faults, "faults", faults ? faults : "", "changes", changes));
   marjoram_wire_clear (&marjoram_file_layout, &file);
 }
 
 static void
-forget (struct pending *pending)
+pending_destroy (struct pending *pending)
 {
   LIST_REMOVE (pending, link);
   marjoram_wire_clear (&marjoram_file_layout, &pending->file);
@@ -244,14 +247,14 @@
 }
 
 static void
-connection_closed (struct evhttp_connection *connection, void *context)
+on_connection_closed (struct evhttp_connection *connection, void *context)
 {
   (void)connection;
-  forget (context);
+  pending_destroy (context);
 }
 
 static struct pending *
-hold (struct call *call)
+pending_create (struct call *call)
 {
   marjoram_control *control = call->control;
   struct pending *pending = marjoram_alloc (sizeof *pending);
@@ -262,63 +265,64 @@
   memcpy (pending->nonce, call->nonce, sizeof pending->nonce);
   LIST_INSERT_HEAD (&control->pending, pending, link);
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->req),
-                                 connection_closed, pending);
+                                 on_connection_closed, pending);
   return pending;
 }
 
 static void
-do_apply (struct call *call)
+handle_apply (struct call *call)
 {
   marjoram_control *control = call->control;
-  const char *id = parameter (call, "change_id");
+  const char *id = query_parameter (call, "change_id");
   struct marjoram_file file = { 0 };
   struct pending *pending;
 
   if (!id || !marjoram_name_valid (id, true))
     {
-      refuse_call (call, "change_id is missing or no name; use letters, "
-                         "digits and ._-, at most 48");
+      reject_call (call, "change_id is missing or invalid; use at most 48 "
+                         "letters, digits and ._-");
       return;
     }
-  if (!read_file (call, &file))
+  if (!parse_file (call, &file))
     return;
   marjoram_log (MARJORAM_LOG_NOTICE,
-                "control: apply %s version %" PRIu64 " change %s", file.name,
-                file.version, id);
-  pending = hold (call);
+                "control: applying file %s version %" PRIu64 ", change %s",
+                file.name, file.version, id);
+  pending = pending_create (call);
   pending->file = file;
-  /* The answer may come before this returns and free PENDING.  */
+  /* This may answer synchronously and free PENDING.  */
   control->ops->apply (control->context, pending->request, id, &pending->file);
 }
 
 static void
-do_replace (struct call *call)
+handle_replace (struct call *call)
 {
   marjoram_control *control = call->control;
-  const char *id = parameter (call, "change_id");
-  const char *old = parameter (call, "old");
-  const char *new = parameter (call, "new");
+  const char *id = query_parameter (call, "change_id");
+  const char *old = query_parameter (call, "old");
+  const char *new = query_parameter (call, "new");
 
   if (!id || !old || !new || !marjoram_name_valid (id, true)
       || !marjoram_name_valid (old, false)
       || !marjoram_name_valid (new, false))
     {
-      refuse_call (call, "change_id, old and new are needed, each a name; "
-                         "give the slots of the old and the new keeper");
+      reject_call (call, "change_id, old or new is missing or invalid; give "
+                         "the slots of the old and the new keeper");
       return;
     }
-  marjoram_log (MARJORAM_LOG_NOTICE, "control: keeper %s to %s, change %s",
-                old, new, id);
-  control->ops->replace (control->context, hold (call)->request, id, old, new);
+  marjoram_log (MARJORAM_LOG_NOTICE,
+                "control: replacing keeper %s by %s, change %s", old, new, id);
+  control->ops->replace (control->context, pending_create (call)->request, id,
+                         old, new);
 }
 
 static void
-do_drain (struct call *call)
+handle_drain (struct call *call)
 {
-  marjoram_log (MARJORAM_LOG_NOTICE, "control: drain");
+  marjoram_log (MARJORAM_LOG_NOTICE, "control: draining");
   call->control->ops->drain (call->control->context);
-  answer (call,
-          json_pack ("{sssb}", "slot", call->control->slot, "draining", 1));
+  send_result (
+      call, json_pack ("{sssb}", "slot", call->control->slot, "draining", 1));
 }
 
 static const struct command
@@ -327,14 +331,14 @@
   const char *path;
   void (*run) (struct call *call);
 } commands[] = {
-  { EVHTTP_REQ_GET, "/control/status", do_status },
-  { EVHTTP_REQ_GET, "/control/upstreams", do_upstreams },
-  { EVHTTP_REQ_GET, "/control/counters", do_counters },
-  { EVHTTP_REQ_GET, "/control/explain", do_explain },
-  { EVHTTP_REQ_POST, "/control/diff", do_diff },
-  { EVHTTP_REQ_POST, "/control/apply", do_apply },
-  { EVHTTP_REQ_POST, "/control/replace-keeper", do_replace },
-  { EVHTTP_REQ_POST, "/control/drain", do_drain },
+  { EVHTTP_REQ_GET, "/control/status", handle_status },
+  { EVHTTP_REQ_GET, "/control/upstreams", handle_upstreams },
+  { EVHTTP_REQ_GET, "/control/counters", handle_counters },
+  { EVHTTP_REQ_GET, "/control/explain", handle_explain },
+  { EVHTTP_REQ_POST, "/control/diff", handle_diff },
+  { EVHTTP_REQ_POST, "/control/apply", handle_apply },
+  { EVHTTP_REQ_POST, "/control/replace-keeper", handle_replace },
+  { EVHTTP_REQ_POST, "/control/drain", handle_drain },
 };
 
 static const struct command *
@@ -350,10 +354,10 @@
   return NULL;
 }
 
-/* Tells the slot and the time that calls have to be signed for.  */
+/* Returns the slot and the time that the client must sign its calls with.  */
 static void
-say_hello (marjoram_control *control, struct evhttp_request *req,
-           const char *nonce)
+handle_hello (marjoram_control *control, struct evhttp_request *req,
+              const char *nonce)
 {
   int64_t now = marjoram_replays_now (control->replays,
                                       marjoram_clock_wall (control->clock));
@@ -364,30 +368,31 @@
 }
 
 static const char *
-replay_fault (enum marjoram_replay_verdict verdict)
+replay_error (enum marjoram_replay_verdict verdict)
 {
   switch (verdict)
     {
     case MARJORAM_REPLAY_FRESH:
       return NULL;
     case MARJORAM_REPLAY_EXPIRED:
-      return "the call is too old; send it anew, and look whether someone "
-             "repeats recorded calls";
+      return "the call has expired; send a new one and check for replayed "
+             "calls";
     case MARJORAM_REPLAY_EARLY:
-      return "the call is from the future; ask for this host's time again";
+      return "the timestamp is ahead of this host's clock; fetch the time "
+             "again";
     case MARJORAM_REPLAY_REUSED:
-      return "the call was taken before; send it anew, and look whether "
-             "someone repeats recorded calls";
+      return "the nonce was already used; send a new call and check for "
+             "replayed calls";
     case MARJORAM_REPLAY_FULL:
-      return "too many calls in a minute; wait for a minute";
+      return "too many calls; retry in a minute";
     }
   return "unknown";
 }
 
-/* Whether the call was signed with the owner's secret for this host, just now
-   and for the first time; if not, it is refused.  */
+/* Verifies the signature, timestamp and nonce of the call.  Sends an error
+   response and returns false if one of them is invalid.  */
 static bool
-proved (struct call *call)
+authenticate (struct call *call)
 {
   marjoram_control *control = call->control;
   struct evkeyvalq *headers = evhttp_request_get_input_headers (call->req);
@@ -404,27 +409,26 @@
   char expected[MARJORAM_PROOF_TEXT + 1];
   const char *fault;
 
-  if (time && read_whole (time, &signed_call.sent))
+  if (time && parse_non_negative (time, &signed_call.sent))
     {
       marjoram_control_call_prove (control->secret, &signed_call, expected);
       if (marjoram_control_proof_equal (
               evhttp_find_header (headers, MARJORAM_CONTROL_PROOF), expected))
         {
-          fault = replay_fault (marjoram_replays_take (
+          fault = replay_error (marjoram_replays_take (
               control->replays, marjoram_clock_wall (control->clock),
               signed_call.sent, call->nonce));
           if (!fault)
             return true;
-          refuse (control, call->req, call->nonce, STATUS_UNPROVED, "refused",
-                  fault);
+          send_error (control, call->req, call->nonce, STATUS_UNAUTHORIZED,
+                      "refused", fault);
           return false;
         }
     }
   if (control->ops->unproved)
     control->ops->unproved (control->context);
-  refuse (control, call->req, call->nonce, STATUS_UNPROVED, "refused",
-          "not signed with the owner's secret for this host; check "
-          "--secret-file and that --host is the host you mean");
+  send_error (control, call->req, call->nonce, STATUS_UNAUTHORIZED, "refused",
+              "invalid signature; check --secret-file and --host");
   return false;
 }
 
@@ -438,19 +442,19 @@
   call->size = evbuffer_get_length (input);
   call->body = marjoram_alloc (call->size + 1);
   evbuffer_remove (input, call->body, call->size);
-  if (proved (call))
+  if (authenticate (call))
     {
       if (evhttp_parse_query_str (query ? query : "", &call->query) == 0)
         command->run (call);
       else
-        refuse_call (call, "the query can't be read; mend it");
+        reject_call (call, "malformed query string; correct it");
       evhttp_clear_headers (&call->query);
     }
   free (call->body);
 }
 
 static void
-receive (struct evhttp_request *req, void *context)
+handle_request (struct evhttp_request *req, void *context)
 {
   struct call call = { .control = context, .req = req };
   const char *nonce = evhttp_find_header (
@@ -459,13 +463,13 @@
   const char *uri = evhttp_request_get_uri (req);
 
   if (!marjoram_control_nonce_valid (nonce))
-    refuse (context, req, "", STATUS_BAD, "invalid",
-            "no nonce; use marjoramctl");
+    send_error (context, req, "", STATUS_BAD_REQUEST, "invalid",
+                "missing or invalid nonce; use marjoramctl");
   else if (strcmp (uri, MARJORAM_CONTROL_HELLO) == 0)
-    say_hello (context, req, nonce);
+    handle_hello (context, req, nonce);
   else if (!command)
-    refuse (context, req, nonce, STATUS_NOT_FOUND, "invalid",
-            "no such command; use marjoramctl of this host's release");
+    send_error (context, req, nonce, STATUS_NOT_FOUND, "invalid",
+                "unknown command; use the marjoramctl of this host's release");
   else
     {
       memcpy (call.nonce, nonce, MARJORAM_NONCE_TEXT);
@@ -484,8 +488,8 @@
       && evhttp_bind_socket_with_handle (http, ip, port))
     return true;
   return marjoram_error_set (err, MARJORAM_ERROR_IO,
-                             "can't listen on control address %s: %s; see "
-                             "whether another program has it",
+                             "can't listen on control address %s: %s; check "
+                             "whether another process uses it",
                              address, strerror (errno));
 }
 
@@ -507,10 +511,10 @@
   if (!control->http)
     abort ();
   evhttp_set_allowed_methods (control->http, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
-  evhttp_set_max_headers_size (control->http, HEADERS_BYTES_MAX);
+  evhttp_set_max_headers_size (control->http, HEADERS_MAX_BYTES);
   evhttp_set_max_body_size (control->http, MARJORAM_FILE_TEXT_MAX);
   evhttp_set_timeout (control->http, CONNECTION_TIMEOUT_S);
-  evhttp_set_gencb (control->http, receive, control);
+  evhttp_set_gencb (control->http, handle_request, control);
   if (bind_address (control->http, settings->control_address, err))
     return control;
   marjoram_control_destroy (control);
@@ -522,7 +526,7 @@
 {
   if (!control)
     return;
-  /* Closing the connections forgets what is pending.  */
+  /* Closing the connections frees all pending calls.  */
   evhttp_free (control->http);
   marjoram_replays_destroy (control->replays);
   free (control->slot);
@@ -531,29 +535,29 @@
 }
 
 static const char *
-outcome_word (enum marjoram_apply_outcome outcome)
+outcome_name (enum marjoram_apply_outcome outcome)
 {
-  static const char *const words[] = { "decided", "not-run", "unknown" };
+  static const char *const names[] = { "decided", "not-run", "unknown" };
 
-  return words[outcome];
+  return names[outcome];
 }
 
 static const char *
-result_word (enum marjoram_change_result result)
+result_name (enum marjoram_change_result result)
 {
-  static const char *const words[]
+  static const char *const names[]
       = { "accepted", "same", "conflict", "stale", "invalid" };
 
-  return words[result];
+  return names[result];
 }
 
 static json_t *
-answer_json (struct pending *pending,
-             const struct marjoram_apply_answer *given)
+format_outcome (struct pending *pending,
+                const struct marjoram_apply_answer *answer)
 {
-  bool decided = given->outcome == MARJORAM_APPLY_DECIDED;
+  bool is_decided = answer->outcome == MARJORAM_APPLY_DECIDED;
   marjoram_auto_free char *faults
-      = decided && given->result == MARJORAM_CHANGE_INVALID
+      = is_decided && answer->result == MARJORAM_CHANGE_INVALID
                 && pending->file.name
             ? find_faults (pending->control, &pending->file)
             : NULL;
@@ -561,16 +565,16 @@
   return json_pack (
       "{sssssssssIsIssssss}", "slot", pending->control->slot, "file",
       pending->file.name ? pending->file.name : "", "outcome",
-      outcome_word (given->outcome), "result",
-      decided ? result_word (given->result) : "", "number",
-      (json_int_t)given->number, "version", (json_int_t)given->version,
-      "digest", given->digest ? given->digest : "", "message",
-      given->message ? given->message : "", "faults", faults ? faults : "");
+      outcome_name (answer->outcome), "result",
+      is_decided ? result_name (answer->result) : "", "number",
+      (json_int_t)answer->number, "version", (json_int_t)answer->version,
+      "digest", answer->digest ? answer->digest : "", "message",
+      answer->message ? answer->message : "", "faults", faults ? faults : "");
 }
 
 void
 marjoram_control_answer (marjoram_control *control, uint64_t request,
-                         const struct marjoram_apply_answer *given)
+                         const struct marjoram_apply_answer *answer)
 {
   struct pending *pending;
 
@@ -580,14 +584,14 @@
   if (!pending)
     return;
   marjoram_log (
-      MARJORAM_LOG_NOTICE, "control: change ended: %s %s%s%s",
-      outcome_word (given->outcome),
-      given->outcome == MARJORAM_APPLY_DECIDED ? result_word (given->result)
-                                               : "",
-      given->message ? ": " : "", given->message ? given->message : "");
+      MARJORAM_LOG_NOTICE, "control: change completed: %s %s%s%s",
+      outcome_name (answer->outcome),
+      answer->outcome == MARJORAM_APPLY_DECIDED ? result_name (answer->result)
+                                                : "",
+      answer->message ? ": " : "", answer->message ? answer->message : "");
   evhttp_connection_set_closecb (evhttp_request_get_connection (pending->req),
                                  NULL, NULL);
   send_json (control, pending->req, pending->nonce, STATUS_OK,
-             answer_json (pending, given));
-  forget (pending);
+             format_outcome (pending, answer));
+  pending_destroy (pending);
 }
--- a/src/control.h
+++ b/src/control.h
@@ -1,6 +1,6 @@
-/* The operators' interface of one daemon: HTTP on its control address, every
-   call signed with the owner's secret.  The task owns its listener and asks
-   the host through the operations below.  */
+/* Control interface of a daemon: HTTP on its control address, with every call
+   signed with the owner's secret.  It owns its listener and accesses the host
+   through the operations below.  */
 #ifndef MARJORAM_CONTROL_H
 #define MARJORAM_CONTROL_H
 
@@ -24,29 +24,30 @@
 
 struct marjoram_control_ops
 {
-  /* Queries; each returns a new JSON object.  STATUS: this host's slot, zone,
-     incarnation, draining, config number and files in force, and for every
-     other host of the configuration its slot, zone, whether it is alive, and
-     the config number that it was last heard to have in force.  */
+  /* Queries; each returns a new JSON object.  STATUS: slot, zone,
+     incarnation, draining, config number and files in force of this host, and
+     for every other host of the configuration its slot, zone, liveness and
+     last reported config number.  */
   json_t *(*status) (void *context);
   json_t *(*upstreams) (void *context);
   json_t *(*explain) (void *context,
                       const struct marjoram_explain_query *query);
-  /* The state in force, for diff; null if none.  */
+  /* Returns the state in force, for diff; null if none.  */
   const struct marjoram_state *(*state) (void *context);
-  char *(*counters) (void *context); /* metrics text, malloc'd */
-  /* Commands.  Apply and replace are answered once, later or at once, by
-     marjoram_control_answer with the same REQUEST.  */
+  char *(*counters) (void *context); /* malloc'd metrics text */
+  /* Commands.  Apply and replace each call marjoram_control_answer exactly
+     once with the same REQUEST, possibly before they return.  */
   void (*apply) (void *context, uint64_t request, const char *change_id,
                  const struct marjoram_file *file);
   void (*replace) (void *context, uint64_t request, const char *change_id,
                    const char *old, const char *new);
   void (*drain) (void *context);
-  /* A call without a good proof was refused, for counting; may be null.  */
+  /* Called when a call fails authentication; may be null.  */
   void (*unproved) (void *context);
 };
 
-/* Listens on SETTINGS' control address; null with ERR set if it can't.  */
+/* Listens on the control address of SETTINGS.  Returns null and sets ERR on
+   failure.  */
 marjoram_control *
 marjoram_control_create (struct event_base *base, struct marjoram_clock *clock,
                          const struct marjoram_settings *settings,
