--- a/src/control_client.c
+++ b/src/control_client.c
@@ -17,21 +17,21 @@
   MSEC_PER_SEC = 1000,
   USEC_PER_MSEC = 1000,
   STATUS_OK = 200,
-  TIME_TEXT_MAX = 32
+  TIME_MAX_BYTES = 32
 };
 
 /* One HTTP exchange.  */
 struct exchange
 {
   struct event_base *base;
-  int status; /* 0: no whole answer */
+  int status; /* 0: no complete response */
   char proof[MARJORAM_PROOF_TEXT + 1];
   char *body;
   size_t size;
 };
 
 static void
-receive (struct evhttp_request *req, void *context)
+handle_response (struct evhttp_request *req, void *context)
 {
   struct exchange *exchange = context;
   struct evkeyvalq *headers;
@@ -52,7 +52,7 @@
 }
 
 static void
-give_up (evutil_socket_t fd, short what, void *base)
+handle_timeout (evutil_socket_t fd, short what, void *base)
 {
   (void)fd;
   (void)what;
@@ -67,7 +67,7 @@
 }
 
 static struct evhttp_connection *
-connect_to (struct event_base *base, const char *address)
+create_connection (struct event_base *base, const char *address)
 {
   char ip[MARJORAM_IP_MAX] = "";
   uint16_t port = 0;
@@ -76,18 +76,20 @@
   return evhttp_connection_base_new (base, NULL, ip, port);
 }
 
-/* CALL's proof goes along unless it is null.  */
+/* Sends CALL and waits for the response.  Timestamp and proof are sent unless
+   PROOF is null.  */
 static void
-exchange_run (struct exchange *exchange,
+run_exchange (struct exchange *exchange,
               const struct marjoram_control_target *target,
               const struct marjoram_control_call *call, const char *proof)
 {
   struct event_base *base = event_base_new ();
-  struct evhttp_connection *connection = connect_to (base, target->address);
-  struct evhttp_request *req = evhttp_request_new (receive, exchange);
+  struct evhttp_connection *connection
+      = create_connection (base, target->address);
+  struct evhttp_request *req = evhttp_request_new (handle_response, exchange);
   struct evkeyvalq *headers = evhttp_request_get_output_headers (req);
   struct timeval timeout = to_timeval (target->timeout_ms);
-  char time[TIME_TEXT_MAX];
+  char time[TIME_MAX_BYTES];
 
   exchange->base = base;
   snprintf (time, sizeof time, "%" PRId64, call->sent);
@@ -101,7 +103,7 @@
     }
   evbuffer_add (evhttp_request_get_output_buffer (req), call->body,
                 call->size);
-  event_base_once (base, -1, EV_TIMEOUT, give_up, base, &timeout);
+  event_base_once (base, -1, EV_TIMEOUT, handle_timeout, base, &timeout);
   evhttp_make_request (connection, req,
                        strcmp (call->method, "GET") == 0 ? EVHTTP_REQ_GET
                                                          : EVHTTP_REQ_POST,
@@ -111,9 +113,9 @@
   event_base_free (base);
 }
 
-/* Whether the answer was proved for just this call.  */
+/* Verifies that the response was signed for this call.  */
 static bool
-reply_proved (const struct exchange *exchange,
+verify_reply (const struct exchange *exchange,
               const struct marjoram_control_target *target, const char *slot,
               const char *nonce)
 {
@@ -126,33 +128,33 @@
 }
 
 static bool
-read_hello (const struct exchange *exchange,
-            const struct marjoram_control_target *target, const char *nonce,
-            char **slot, int64_t *time, struct marjoram_error *err)
+parse_hello (const struct exchange *exchange,
+             const struct marjoram_control_target *target, const char *nonce,
+             char **slot, int64_t *time, struct marjoram_error *err)
 {
   json_t *hello = json_loadb (exchange->body, exchange->size, 0, NULL);
   const char *name = json_string_value (json_object_get (hello, "slot"));
-  bool good = exchange->status == STATUS_OK && name
-              && reply_proved (exchange, target, name, nonce);
+  bool valid = exchange->status == STATUS_OK && name
+               && verify_reply (exchange, target, name, nonce);
 
-  if (good)
+  if (valid)
     {
       *slot = marjoram_strdup (name);
       *time = json_integer_value (json_object_get (hello, "time"));
     }
   json_decref (hello);
-  return good
+  return valid
          || marjoram_error_set (
              err, MARJORAM_ERROR_REFUSED,
-             "%s doesn't prove that it has the owner's secret; check "
+             "%s doesn't prove knowledge of the owner's secret; check "
              "--secret-file and the address",
              target->address);
 }
 
-/* The slot and time to sign for.  */
+/* Fetches the host's slot and time, which calls are signed with.  */
 static bool
-ask_hello (const struct marjoram_control_target *target, char **slot,
-           int64_t *time, struct marjoram_error *err)
+fetch_hello (const struct marjoram_control_target *target, char **slot,
+             int64_t *time, struct marjoram_error *err)
 {
   char nonce[MARJORAM_NONCE_TEXT + 1];
   struct marjoram_control_call call = { .method = "GET",
@@ -160,20 +162,20 @@
                                         .nonce = nonce,
                                         .body = "" };
   struct exchange exchange = { 0 };
-  bool good;
+  bool valid;
 
   marjoram_control_nonce_make (nonce);
-  exchange_run (&exchange, target, &call, NULL);
+  run_exchange (&exchange, target, &call, NULL);
   if (exchange.status)
-    good = read_hello (&exchange, target, nonce, slot, time, err);
+    valid = parse_hello (&exchange, target, nonce, slot, time, err);
   else
-    good = marjoram_error_set (
+    valid = marjoram_error_set (
         err, MARJORAM_ERROR_IO,
-        "no answer from %s; check the address and that marjoramd runs there, "
-        "or name another host",
+        "no answer from %s; check the address and that marjoramd is running, "
+        "or use another host",
         target->address);
   free (exchange.body);
-  return good;
+  return valid;
 }
 
 enum marjoram_control_result
@@ -192,20 +194,20 @@
   struct exchange exchange = { 0 };
 
   memset (answer, 0, sizeof *answer);
-  if (!ask_hello (target, &answer->slot, &call.sent, err))
+  if (!fetch_hello (target, &answer->slot, &call.sent, err))
     return MARJORAM_CONTROL_UNREACHED;
   call.slot = answer->slot;
   marjoram_control_nonce_make (nonce);
   marjoram_control_call_prove (target->secret, &call, proof);
-  exchange_run (&exchange, target, &call, proof);
+  run_exchange (&exchange, target, &call, proof);
   answer->status = exchange.status;
   answer->body = exchange.body;
   answer->size = exchange.size;
-  if (exchange.status && reply_proved (&exchange, target, answer->slot, nonce))
+  if (exchange.status && verify_reply (&exchange, target, answer->slot, nonce))
     return MARJORAM_CONTROL_ANSWERED;
   marjoram_error_set (err, MARJORAM_ERROR_TIMEOUT,
-                      "%s took the call but gave no whole proved answer in "
-                      "%" PRId64 " ms",
+                      "no authenticated response from %s within "
+                      "%" PRId64 " ms; the call may have been executed",
                       target->address, target->timeout_ms);
   return MARJORAM_CONTROL_UNKNOWN;
 }
--- a/src/control_client.h
+++ b/src/control_client.h
@@ -1,5 +1,5 @@
-/* One call to a daemon's control address, for the operators' tool: blocks
-   until the proved answer is there or the time is up.  */
+/* Client of the control interface, used by marjoramctl.  A call blocks until
+   an authenticated response arrives or the timeout expires.  */
 #ifndef MARJORAM_CONTROL_CLIENT_H
 #define MARJORAM_CONTROL_CLIENT_H
 
@@ -18,19 +18,20 @@
 enum marjoram_control_result
 {
   MARJORAM_CONTROL_ANSWERED,
-  MARJORAM_CONTROL_UNREACHED, /* nothing was asked of the host */
-  MARJORAM_CONTROL_UNKNOWN    /* asked, but no whole proved answer came */
+  MARJORAM_CONTROL_UNREACHED, /* the call was not sent */
+  MARJORAM_CONTROL_UNKNOWN    /* sent, but no valid response */
 };
 
 struct marjoram_control_answer
 {
   int status;
-  char *slot; /* of the host that answered */
+  char *slot; /* of the responding host */
   char *body; /* NUL-terminated */
   size_t size;
 };
 
-/* PATH may hold a query.  ANSWER is to be cleared in any case.  */
+/* PATH may include a query string.  ANSWER must always be cleared by the
+   caller.  */
 enum marjoram_control_result
 marjoram_control_ask (const struct marjoram_control_target *target,
                       const char *method, const char *path, const char *body,
