--- a/src/control_proof.c
+++ b/src/control_proof.c
@@ -8,15 +8,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The proof of TEXT, which is freed.  The line that each text begins with
-   keeps a call's proof from passing for an answer's, or for a link's.  */
+/* Computes the proof of TEXT and frees TEXT.  The first line of each text
+   provides domain separation between calls, replies and peer links.  */
 static void
-prove (const char *secret, char *text, char proof[MARJORAM_PROOF_TEXT + 1])
+compute_proof (const char *secret, char *text,
+               char proof[MARJORAM_PROOF_TEXT + 1])
 {
-  uint8_t code[MARJORAM_PROOF_SIZE];
+  uint8_t hash[MARJORAM_PROOF_SIZE];
 
-  marjoram_secret_prove (secret, text, strlen (text), code);
-  sodium_bin2hex (proof, MARJORAM_PROOF_TEXT + 1, code, sizeof code);
+  marjoram_secret_prove (secret, text, strlen (text), hash);
+  sodium_bin2hex (proof, MARJORAM_PROOF_TEXT + 1, hash, sizeof hash);
   free (text);
 }
 
@@ -33,7 +34,7 @@
                 call->nonce, digest)
       < 0)
     abort ();
-  prove (secret, text, proof);
+  compute_proof (secret, text, proof);
 }
 
 void
@@ -48,7 +49,7 @@
                 reply->nonce, reply->status, digest)
       < 0)
     abort ();
-  prove (secret, text, proof);
+  compute_proof (secret, text, proof);
 }
 
 bool
--- a/src/control_proof.h
+++ b/src/control_proof.h
@@ -1,5 +1,5 @@
-/* Proofs of control calls and their answers by the owner's secret, the same
-   for the daemon and the operators' tool.  */
+/* Authentication of control calls and replies with the owner's secret, shared
+   by the daemon and marjoramctl.  A proof is a keyed hash as hex digits.  */
 #ifndef MARJORAM_CONTROL_PROOF_H
 #define MARJORAM_CONTROL_PROOF_H
 
@@ -22,8 +22,8 @@
 {
   const char *method;
   const char *target; /* path and query, as sent */
-  const char *slot;   /* of the host that is called: no other takes it */
-  int64_t sent;       /* by that host's wall clock, milliseconds */
+  const char *slot;   /* of the called host; others reject the call */
+  int64_t sent;       /* milliseconds, by the called host's wall clock */
   const char *nonce;
   const void *body;
   size_t size;
@@ -32,20 +32,20 @@
 struct marjoram_control_reply
 {
   const char *slot;
-  const char *nonce; /* of the call that it answers */
-  int status;        /* HTTP */
+  const char *nonce; /* of the call */
+  int status;        /* HTTP status code */
   const void *body;
   size_t size;
 };
 
-/* PROOF gets MARJORAM_PROOF_TEXT digits and a NUL.  */
+/* Store MARJORAM_PROOF_TEXT hex digits and a NUL in PROOF.  */
 void marjoram_control_call_prove (const char *secret,
                                   const struct marjoram_control_call *call,
                                   char proof[MARJORAM_PROOF_TEXT + 1]);
 void marjoram_control_reply_prove (const char *secret,
                                    const struct marjoram_control_reply *reply,
                                    char proof[MARJORAM_PROOF_TEXT + 1]);
-/* Compares two proofs in constant time; GIVEN may be null or malformed.  */
+/* Compares in constant time.  GIVEN may be null or malformed.  */
 bool marjoram_control_proof_equal (const char *given, const char *expected);
 bool marjoram_control_nonce_valid (const char *nonce);
 void marjoram_control_nonce_make (char nonce[MARJORAM_NONCE_TEXT + 1]);
