--- a/src/apply.c
+++ b/src/apply.c
@@ -6,20 +6,20 @@
 
 enum
 {
-  /* Longer than a keeper takes to give up by itself.  */
+  /* Exceeds the time after which a keeper aborts an apply by itself.  */
   APPLY_TIMEOUT_MS = 12000
 };
 
-/* An apply, or a change of keepers, that waits for its answer: from an
-   operator of this host, or from a host that has no keeper.  */
+/* A pending apply or keeper replacement, received from the control interface
+   of this host or relayed by a host that is not a keeper.  */
 struct marjoram_relayed
 {
   uint64_t number;
-  uint64_t operator_request; /* 0 if it came from another host */
+  uint64_t operator_request; /* 0 if relayed by another host */
   char *peer;
   uint64_t peer_session;
   uint64_t peer_request;
-  char *keeper; /* the slot that it was sent on to; null if here */
+  char *keeper; /* slot it was forwarded to; null if local */
   int64_t started;
   UT_hash_handle hh;
 };
@@ -38,7 +38,7 @@
 static void
 relayed_destroy (marjoram_host *host, struct marjoram_relayed *relayed)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
+  /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-unix.*) */
   HASH_DEL (host->relayed, relayed);
   free (relayed->peer);
   free (relayed->keeper);
@@ -92,7 +92,7 @@
   marjoram_apply_answered (host, number, &answer);
 }
 
-/* A keeper whose link is up; null if none.  */
+/* Returns the slot of a keeper whose link is up; null if none.  */
 static const char *
 reachable_keeper (const marjoram_host *host)
 {
@@ -119,16 +119,16 @@
 }
 
 static void
-relay (marjoram_host *host, struct marjoram_relayed *relayed,
-       struct marjoram_apply *apply)
+relay_to_keeper (marjoram_host *host, struct marjoram_relayed *relayed,
+                 struct marjoram_apply *apply)
 {
   const char *keeper = reachable_keeper (host);
 
   if (!keeper)
     {
       answer_failure (host, relayed->number, MARJORAM_APPLY_NOT_RUN,
-                      "no keeper can be reached from this host; apply at "
-                      "another host, or again when the links are back");
+                      "no keeper is reachable from this host; apply at "
+                      "another host, or retry when the links are up");
       return;
     }
   relayed->keeper = marjoram_strdup (keeper);
@@ -153,7 +153,7 @@
     }
   apply.change_id = (char *)change_id;
   apply.file = marjoram_wire_pack (&marjoram_file_layout, file);
-  relay (host, relayed, &apply);
+  relay_to_keeper (host, relayed, &apply);
   marjoram_bytes_release (apply.file);
 }
 
@@ -175,7 +175,7 @@
   apply.change_id = (char *)change_id;
   apply.old_keeper = (char *)old;
   apply.new_keeper = (char *)new;
-  relay (host, relayed, &apply);
+  relay_to_keeper (host, relayed, &apply);
 }
 
 void
@@ -191,8 +191,8 @@
   if (!host->keeper || !apply->change_id)
     {
       answer_failure (host, relayed->number, MARJORAM_APPLY_NOT_RUN,
-                      "the asked host is no keeper; check [host] role_keeper "
-                      "there");
+                      "the receiving host is not a keeper; check [host] "
+                      "role_keeper there");
       return;
     }
   if (!apply->file)
@@ -211,7 +211,7 @@
                            apply->change_id, file);
   else
     answer_failure (host, relayed->number, MARJORAM_APPLY_NOT_RUN,
-                    "the file did not come whole; apply it again");
+                    "the file was received incomplete; apply it again");
   marjoram_wire_destroy (&marjoram_file_layout, file);
 }
 
@@ -232,8 +232,9 @@
   marjoram_apply_answered (host, applied->request, &answer);
 }
 
-/* A keeper that was asked may have taken the change, so that a lost answer
-   leaves the outcome open; the same change id, sent again, tells it.  */
+/* Ends applies whose keeper did not answer in time or was disconnected.  The
+   keeper may have accepted the change, so the outcome is unknown; resending
+   the same change id returns it.  */
 void
 marjoram_applies_tick (marjoram_host *host, int64_t now)
 {
@@ -248,8 +249,8 @@
     if (now - relayed->started >= APPLY_TIMEOUT_MS
         || (relayed->keeper && (!link || !link->up)))
       answer_failure (host, relayed->number, MARJORAM_APPLY_UNKNOWN,
-                      "no answer from the keeper; send the same change id "
-                      "again to learn the outcome");
+                      "no response from the keeper; resend the same change "
+                      "id to get the outcome");
   }
 }
 
