--- a/src/account.c
+++ b/src/account.c
@@ -8,8 +8,8 @@
 
 enum
 {
-  BY_MAX = 6,
-  KEY_MAX = 512,
+  FIELDS_MAX = 6,
+  KEY_MAX_BYTES = 512,
   MSEC_PER_SEC = 1000,
   PERCENT = 100
 };
@@ -18,19 +18,19 @@
 {
   char *key;
   size_t requests;
-  int64_t ms; /* of all of them */
-  double first_at;
-  double last_at;
+  int64_t total_ms;
+  double first_arrival;
+  double last_arrival;
   UT_hash_handle hh;
 };
 
 struct marjoram_account
 {
   char *by;
-  const char *names[BY_MAX];
-  size_t name_count;
+  const char *field_names[FIELDS_MAX];
+  size_t field_count;
   size_t requests;
-  size_t served; /* in time */
+  size_t served; /* within the objective */
   struct group *groups;
 };
 
@@ -38,15 +38,15 @@
 marjoram_account_create (const char *by)
 {
   marjoram_account *account = marjoram_alloc (sizeof *account);
-  char *rest = NULL;
+  char *state = NULL;
   char *name;
 
   account->by = marjoram_strdup (by);
-  for (name = strtok_r (account->by, ",", &rest);
-       name && account->name_count < BY_MAX;
-       name = strtok_r (NULL, ",", &rest))
-    account->names[account->name_count++] = name;
-  if (account->name_count > 0 && !name)
+  for (name = strtok_r (account->by, ",", &state);
+       name && account->field_count < FIELDS_MAX;
+       name = strtok_r (NULL, ",", &state))
+    account->field_names[account->field_count++] = name;
+  if (account->field_count > 0 && !name)
     return account;
   marjoram_account_destroy (account);
   return NULL;
@@ -62,7 +62,7 @@
     return;
   HASH_ITER (hh, account->groups, group, next)
   {
-    /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+    /* False positive in uthash.  NOLINTNEXTLINE(clang-analyzer-*) */
     HASH_DELETE (hh, account->groups, group);
     free (group->key);
     free (group);
@@ -80,9 +80,9 @@
          && marjoram_log_line_number (line, "first_ms", 0) > objective;
 }
 
-/* An answer of the upstream that tells its own failure is no service.  */
+/* Error responses of the upstream don't count as served.  */
 static bool
-is_served (const struct marjoram_log_line *line)
+served_successfully (const struct marjoram_log_line *line)
 {
   const char *outcome = marjoram_log_line_get (line, "outcome");
 
@@ -97,7 +97,7 @@
   const char *reason = marjoram_log_line_get (line, "reason");
   const char *limit = marjoram_log_line_get (line, "limit");
 
-  if (is_served (line))
+  if (served_successfully (line))
     snprintf (text, size, "late");
   else if (reason && strcmp (reason, "none") != 0)
     snprintf (text, size, "%s/%s/%s", outcome, reason, limit ? limit : "none");
@@ -107,7 +107,7 @@
 }
 
 static double
-came_at (const struct marjoram_log_line *line)
+arrival_time (const struct marjoram_log_line *line)
 {
   return line->at
          - (double)marjoram_log_line_number (line, "ms", 0) / MSEC_PER_SEC;
@@ -122,23 +122,23 @@
   if (strcmp (name, "cause") == 0)
     write_cause (line, text, size);
   else if (strcmp (name, "second") == 0)
-    snprintf (text, size, "%.0f", came_at (line));
+    snprintf (text, size, "%.0f", arrival_time (line));
   else
     snprintf (text, size, "%s", value ? value : "-");
 }
 
 static void
 write_key (const marjoram_account *account,
-           const struct marjoram_log_line *line, char key[KEY_MAX])
+           const struct marjoram_log_line *line, char key[KEY_MAX_BYTES])
 {
   size_t used = 0;
 
-  for (size_t i = 0; i < account->name_count && used < KEY_MAX; i++)
+  for (size_t i = 0; i < account->field_count && used < KEY_MAX_BYTES; i++)
     {
-      char text[KEY_MAX / BY_MAX];
+      char text[KEY_MAX_BYTES / FIELDS_MAX];
 
-      write_field (line, account->names[i], text, sizeof text);
-      used += (size_t)snprintf (key + used, KEY_MAX - used, "%s%s",
+      write_field (line, account->field_names[i], text, sizeof text);
+      used += (size_t)snprintf (key + used, KEY_MAX_BYTES - used, "%s%s",
                                 i > 0 ? "  " : "", text);
     }
 }
@@ -153,7 +153,7 @@
     return group;
   group = marjoram_alloc (sizeof *group);
   group->key = marjoram_strdup (key);
-  group->first_at = group->last_at = at;
+  group->first_arrival = group->last_arrival = at;
   HASH_ADD_KEYPTR (hh, account->groups, group->key, strlen (group->key),
                    group);
   return group;
@@ -164,15 +164,15 @@
                       const struct marjoram_log_line *line)
 {
   const char *event = marjoram_log_line_get (line, "event");
-  char key[KEY_MAX] = "";
+  char key[KEY_MAX_BYTES] = "";
   struct group *group;
-  double at = came_at (line);
+  double at = arrival_time (line);
 
   if (strcmp (event, "request") != 0
       || marjoram_log_line_number (line, "forwarded", 0) != 0)
     return;
   account->requests++;
-  if (is_served (line) && !is_late (line))
+  if (served_successfully (line) && !is_late (line))
     {
       account->served++;
       return;
@@ -180,11 +180,11 @@
   write_key (account, line, key);
   group = find_group (account, key, at);
   group->requests++;
-  group->ms += marjoram_log_line_number (line, "ms", 0);
-  if (at < group->first_at)
-    group->first_at = at;
-  if (at > group->last_at)
-    group->last_at = at;
+  group->total_ms += marjoram_log_line_number (line, "ms", 0);
+  if (at < group->first_arrival)
+    group->first_arrival = at;
+  if (at > group->last_arrival)
+    group->last_arrival = at;
 }
 
 size_t
@@ -194,11 +194,11 @@
 }
 
 static int
-by_size (struct group *one, struct group *other)
+compare_groups (struct group *a, struct group *b)
 {
-  if (one->requests != other->requests)
-    return one->requests < other->requests ? 1 : -1;
-  return strcmp (one->key, other->key);
+  if (a->requests != b->requests)
+    return a->requests < b->requests ? 1 : -1;
+  return strcmp (a->key, b->key);
 }
 
 void
@@ -210,14 +210,14 @@
   fprintf (out, "%zu requests, %zu served in time\n", account->requests,
            account->served);
   fprintf (out, "%9s %6s %8s %14s %14s  group\n", "requests", "share",
-           "mean ms", "first came at", "last came at");
-  HASH_SORT (account->groups, by_size);
+           "mean ms", "first arrival", "last arrival");
+  HASH_SORT (account->groups, compare_groups);
   HASH_ITER (hh, account->groups, group, next)
   {
     fprintf (out, "%9zu %5.1f%% %8" PRId64 " %14.3f %14.3f  %s\n",
              group->requests,
              PERCENT * (double)group->requests / (double)account->requests,
-             group->ms / (int64_t)group->requests, group->first_at,
-             group->last_at, group->key);
+             group->total_ms / (int64_t)group->requests, group->first_arrival,
+             group->last_arrival, group->key);
   }
 }
--- a/src/account.h
+++ b/src/account.h
@@ -1,5 +1,5 @@
-/* An account of requests by cause, from the event logs of any number of hosts:
-   what was not served or came late, grouped by the fields that decided.  */
+/* Summary of failed and late requests from the event logs of one or more
+   hosts, grouped by cause or other log fields.  */
 #ifndef MARJORAM_ACCOUNT_H
 #define MARJORAM_ACCOUNT_H
 
@@ -9,18 +9,18 @@
 
 typedef struct marjoram_account marjoram_account;
 
-/* BY: names of fields of a request's line, separated by commas; "second" is
-   the one in which the request came, "cause" the outcome ("late" for an answer
-   after the objective) with its reason and limit.  Null if a name is empty. */
+/* BY is a comma-separated list of log field names.  Two names are computed:
+   "second" is the arrival time in seconds, "cause" the outcome with its reason
+   and limit, or "late" for a response after the objective.  Returns null if
+   BY has no names or too many.  */
 marjoram_account *marjoram_account_create (const char *by);
 void marjoram_account_destroy (marjoram_account *account);
-/* Counts LINE, if it tells the end of a caller's request.  What another host
-   forwarded is counted there.  */
+/* Counts LINE if it reports the end of a request.  Forwarded requests are
+   counted only on the host that received them from the caller.  */
 void marjoram_account_add (marjoram_account *account,
                            const struct marjoram_log_line *line);
-/* Requests that were counted.  */
 size_t marjoram_account_requests (const marjoram_account *account);
-/* The table, the largest group first.  */
+/* Prints the groups as a table, largest first.  */
 void marjoram_account_print (marjoram_account *account, FILE *out);
 
 #endif
