--- a/src/log.c
+++ b/src/log.c
@@ -24,11 +24,11 @@
 int
 marjoram_log_level_parse (const char *word)
 {
-  static const char *const words[]
+  static const char *const names[]
       = { "error", "warning", "notice", "info", "debug" };
 
   for (int i = 0; i < 5; i++)
-    if (strcmp (word, words[i]) == 0)
+    if (strcmp (word, names[i]) == 0)
       return MARJORAM_LOG_ERROR + i;
   return -1;
 }
@@ -37,7 +37,7 @@
 marjoram_log (enum marjoram_log_level level, const char *format, ...)
 {
   char text[1024];
-  char stamp[32];
+  char timestamp[32];
   struct timespec ts;
   struct tm tm;
   va_list args;
@@ -49,7 +49,7 @@
   va_end (args);
   clock_gettime (CLOCK_REALTIME, &ts);
   gmtime_r (&ts.tv_sec, &tm);
-  strftime (stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &tm);
-  fprintf (stderr, "<%d>%s.%03ldZ %s: %s\n", (int)level, stamp,
+  strftime (timestamp, sizeof timestamp, "%Y-%m-%dT%H:%M:%S", &tm);
+  fprintf (stderr, "<%d>%s.%03ldZ %s: %s\n", (int)level, timestamp,
            ts.tv_nsec / 1000000, log_name, text);
 }
--- a/src/log.h
+++ b/src/log.h
@@ -1,5 +1,5 @@
-/* Log lines to standard error, in the manner of syslog: a priority prefix
-   ("<6>"), the program and slot, then the text.  */
+/* Log to standard error.  Each line has a syslog priority prefix ("<6>"), a
+   timestamp, the program and slot, and the message.  */
 #ifndef MARJORAM_LOG_H
 #define MARJORAM_LOG_H
 
@@ -13,10 +13,10 @@
   MARJORAM_LOG_DEBUG = 7
 };
 
-/* NAME stands in front of each line, for example "marjoramd ba-1".  */
+/* NAME identifies the process in each line, for example "marjoramd ba-1".  */
 void marjoram_log_open (const char *name, enum marjoram_log_level level);
 void marjoram_log_set_level (enum marjoram_log_level level);
-/* Returns -1 for an unknown word.  */
+/* Returns -1 for an unknown level.  */
 int marjoram_log_level_parse (const char *word);
 void marjoram_log (enum marjoram_log_level level, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
