--- a/src/log_line.c
+++ b/src/log_line.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static char *
-find_start (char *text)
+find_line_start (char *text)
 {
   char *start = text;
 
@@ -17,9 +17,10 @@
   return NULL;
 }
 
-/* The end of a value: a space, or the quote that closes it.  */
+/* Returns the end of a value, at a space or closing quote.  Moves VALUE past
+   an opening quote.  */
 static char *
-end_of (char **value)
+find_value_end (char **value)
 {
   char *end;
 
@@ -33,20 +34,20 @@
 bool
 marjoram_log_line_read (char *text, struct marjoram_log_line *line)
 {
-  char *at = find_start (text);
+  char *cursor = find_line_start (text);
 
   line->count = 0;
-  while (at && *at && line->count < MARJORAM_LOG_FIELDS_MAX)
+  while (cursor && *cursor && line->count < MARJORAM_LOG_FIELDS_MAX)
     {
-      char *key = at + strspn (at, " \r\n");
+      char *key = cursor + strspn (cursor, " \r\n");
       char *value = key + strcspn (key, "= ");
       char *end;
 
       if (*value != '=')
         break;
       *value++ = '\0';
-      end = end_of (&value);
-      at = *end ? end + 1 : end;
+      end = find_value_end (&value);
+      cursor = *end ? end + 1 : end;
       *end = '\0';
       line->fields[line->count++] = (struct marjoram_log_field){ key, value };
     }
--- a/src/log_line.h
+++ b/src/log_line.h
@@ -1,4 +1,4 @@
-/* One line of the event log, read back.  */
+/* Parser for event log lines.  */
 #ifndef MARJORAM_LOG_LINE_H
 #define MARJORAM_LOG_LINE_H
 
@@ -17,7 +17,7 @@
   const char *value;
 };
 
-/* Borrows the text that it was read from.  */
+/* Keys and values point into the parsed text.  */
 struct marjoram_log_line
 {
   struct marjoram_log_field fields[MARJORAM_LOG_FIELDS_MAX];
@@ -25,14 +25,13 @@
   double at; /* s since the epoch */
 };
 
-/* Takes TEXT, which is changed, apart; false if it is no line of the log. What
-   stands before "t=" (another program may have put it there) is passed over.
- */
+/* Parses TEXT in place.  Returns false if it is not an event log line.  A
+   prefix before "t=", as log collectors add, is skipped.  */
 bool marjoram_log_line_read (char *text, struct marjoram_log_line *line);
-/* Null if the line has no such field.  */
+/* Returns null if the line has no such field.  */
 const char *marjoram_log_line_get (const struct marjoram_log_line *line,
                                    const char *key);
-/* FALLBACK if the field is missing or no number.  */
+/* Returns FALLBACK if the field is missing or not a number.  */
 int64_t marjoram_log_line_number (const struct marjoram_log_line *line,
                                   const char *key, int64_t fallback);
 
