--- a/src/event_log.c
+++ b/src/event_log.c
@@ -9,35 +9,34 @@
 
 enum
 {
-  LINE_MAX_BYTES = 640,
+  TEXT_MAX_BYTES = 640,
   BUFFER_BYTES = 64 * 1024,
-  /* Lines of one kind in a second, and at once after a quiet time.  A host of
-     a quarter of a core serves some hundred requests a second at most, each
-     with a line.  */
+  /* Rate limit of each kind of event.  */
   RATE_PER_S = 200,
   BURST = 400,
   MSEC_PER_SEC = 1000
 };
 
-struct allowance
+/* Rate limiter of one kind of event.  */
+struct token_bucket
 {
-  double lines;
+  double tokens;
   int64_t at;
   uint64_t dropped;
 };
 
-static const char *const names[MARJORAM_EVENT_COUNT]
+static const char *const kind_names[MARJORAM_EVENT_COUNT]
     = { "process", "link",    "host",    "upstream", "config",
         "keeper",  "request", "attempt", "reject" };
 
-/* One process has one standard output.  */
+/* Global, since a process has only one standard output.  */
 static struct
 {
   char host[64];
   struct marjoram_clock *clock;
   char buffer[BUFFER_BYTES];
   size_t size;
-  struct allowance allowances[MARJORAM_EVENT_COUNT];
+  struct token_bucket buckets[MARJORAM_EVENT_COUNT];
 } event_log;
 
 void
@@ -48,74 +47,73 @@
   snprintf (event_log.host, sizeof event_log.host, "%s", name);
   event_log.clock = clock;
   for (int i = 0; i < MARJORAM_EVENT_COUNT; i++)
-    event_log.allowances[i].lines = BURST;
-  /* A reader that has stopped must not stop this host.  */
+    event_log.buckets[i].tokens = BURST;
+  /* A stalled reader must not block the daemon.  */
   if (flags >= 0)
     fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
 static bool
-allowed (enum marjoram_event_kind kind, int64_t now)
+take_token (enum marjoram_event_kind kind, int64_t now)
 {
-  struct allowance *allowance = &event_log.allowances[kind];
-
-  allowance->lines
-      += (double)(now - allowance->at) * RATE_PER_S / MSEC_PER_SEC;
-  allowance->at = now;
-  if (allowance->lines > BURST)
-    allowance->lines = BURST;
-  if (allowance->lines < 1)
+  struct token_bucket *bucket = &event_log.buckets[kind];
+
+  bucket->tokens += (double)(now - bucket->at) * RATE_PER_S / MSEC_PER_SEC;
+  bucket->at = now;
+  if (bucket->tokens > BURST)
+    bucket->tokens = BURST;
+  if (bucket->tokens < 1)
     {
-      allowance->dropped++;
+      bucket->dropped++;
       return false;
     }
-  allowance->lines--;
+  bucket->tokens--;
   return true;
 }
 
 static void
-put (enum marjoram_event_kind kind, const char *text)
+append_line (enum marjoram_event_kind kind, const char *text)
 {
   int64_t wall = marjoram_clock_wall (event_log.clock);
-  size_t room = BUFFER_BYTES - event_log.size;
-  int size = snprintf (event_log.buffer + event_log.size, room,
+  size_t available = BUFFER_BYTES - event_log.size;
+  int size = snprintf (event_log.buffer + event_log.size, available,
                        "t=%" PRId64 ".%03d host=%s event=%s %s\n",
                        wall / MSEC_PER_SEC, (int)(wall % MSEC_PER_SEC),
-                       event_log.host, names[kind], text);
+                       event_log.host, kind_names[kind], text);
 
-  if (size > 0 && (size_t)size < room)
+  if (size > 0 && (size_t)size < available)
     event_log.size += (size_t)size;
   else
-    event_log.allowances[kind].dropped++;
+    event_log.buckets[kind].dropped++;
 }
 
 static void
-put_dropped (enum marjoram_event_kind kind)
+report_dropped (enum marjoram_event_kind kind)
 {
-  struct allowance *allowance = &event_log.allowances[kind];
+  struct token_bucket *bucket = &event_log.buckets[kind];
   char text[64];
 
-  if (allowance->dropped == 0)
+  if (bucket->dropped == 0)
     return;
-  snprintf (text, sizeof text, "lines_dropped=%" PRIu64, allowance->dropped);
-  allowance->dropped = 0;
-  put (kind, text);
+  snprintf (text, sizeof text, "lines_dropped=%" PRIu64, bucket->dropped);
+  bucket->dropped = 0;
+  append_line (kind, text);
 }
 
 void
 marjoram_event (enum marjoram_event_kind kind, const char *format, ...)
 {
-  char text[LINE_MAX_BYTES];
+  char text[TEXT_MAX_BYTES];
   va_list args;
 
   if (!event_log.clock
-      || !allowed (kind, marjoram_clock_now (event_log.clock)))
+      || !take_token (kind, marjoram_clock_now (event_log.clock)))
     return;
-  put_dropped (kind);
+  report_dropped (kind);
   va_start (args, format);
   vsnprintf (text, sizeof text, format, args);
   va_end (args);
-  put (kind, text);
+  append_line (kind, text);
 }
 
 void
@@ -128,7 +126,7 @@
   written = write (STDOUT_FILENO, event_log.buffer, event_log.size);
   if (written <= 0)
     {
-      /* The reader is behind: what gathers past the buffer is counted.  */
+      /* The output would block; lines are dropped once the buffer is full.  */
       return;
     }
   memmove (event_log.buffer, event_log.buffer + written,
--- a/src/event_log.h
+++ b/src/event_log.h
@@ -1,7 +1,6 @@
-/* Structured log lines to standard output: one event a line, key=value in a
-   fixed order, to explain a decision afterwards.  Lines of each kind are
-   limited in rate; what was left out is counted and said.  Writing never
-   waits: what the reader doesn't take is dropped and counted too.  */
+/* Structured event log on standard output: one event per line as key=value
+   pairs in a fixed order.  Each kind of event is rate limited.  Writes never
+   block.  Dropped lines are counted and reported in the log.  */
 #ifndef MARJORAM_EVENT_LOG_H
 #define MARJORAM_EVENT_LOG_H
 
@@ -12,22 +11,22 @@
 enum marjoram_event_kind
 {
   MARJORAM_EVENT_PROCESS,  /* start, stop, reload */
-  MARJORAM_EVENT_LINK,     /* a host was reached or lost */
-  MARJORAM_EVENT_HOST,     /* belief in a host changed */
-  MARJORAM_EVENT_UPSTREAM, /* belief in an upstream changed */
-  MARJORAM_EVENT_CONFIG,   /* a configuration or evacuation */
-  MARJORAM_EVENT_KEEPER,   /* members of the keepers */
+  MARJORAM_EVENT_LINK,     /* a link to a host went up or down */
+  MARJORAM_EVENT_HOST,     /* the state of a host changed */
+  MARJORAM_EVENT_UPSTREAM, /* the state of an upstream changed */
+  MARJORAM_EVENT_CONFIG,   /* a configuration or evacuation changed */
+  MARJORAM_EVENT_KEEPER,   /* the keeper membership changed */
   MARJORAM_EVENT_REQUEST,  /* a request ended */
-  MARJORAM_EVENT_ATTEMPT,  /* a request was sent again, or elsewhere */
-  MARJORAM_EVENT_REJECT,   /* input that could not be read */
+  MARJORAM_EVENT_ATTEMPT,  /* a request was retried or redirected */
+  MARJORAM_EVENT_REJECT,   /* malformed input was rejected */
   MARJORAM_EVENT_COUNT
 };
 
-/* NAME is this host's.  CLOCK stays in use.  */
+/* NAME is the name of this host.  CLOCK must remain valid.  */
 void marjoram_event_log_open (const char *name, struct marjoram_clock *clock);
 void marjoram_event (enum marjoram_event_kind kind, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/* Writes what has gathered; some times a second.  */
+/* Writes the buffered lines.  Must be called periodically.  */
 void marjoram_event_log_flush (void);
 
 #endif
