--- a/src/metrics.c
+++ b/src/metrics.c
@@ -6,26 +6,25 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-/* Upper limits of the buckets, ms: a factor of about 1.5 apart from below the
-   shortest objective in use to above the longest deadline.  */
-static const double limits[]
+/* Bounds of the histogram buckets in milliseconds.  */
+static const double bucket_bounds[]
     = { 0,   1,   2,    5,    10,   20,   50,   75,   100,   150,   200, 300,
         500, 750, 1000, 1500, 2000, 3000, 5000, 7500, 10000, 15000, 1e9 };
 
 enum
 {
-  LIMITS = sizeof limits / sizeof *limits
+  BOUND_COUNT = sizeof bucket_bounds / sizeof *bucket_bounds
 };
 
 struct marjoram_metrics
 {
   uint64_t values[MARJORAM_METRIC_COUNT];
   uint64_t refused[MARJORAM_REASON_COUNT];
-  gsl_histogram *times[MARJORAM_TIMING_COUNT];
+  gsl_histogram *histograms[MARJORAM_TIMING_COUNT];
   double sums[MARJORAM_TIMING_COUNT];
 };
 
-static const char *const names[MARJORAM_METRIC_COUNT] = {
+static const char *const metric_names[MARJORAM_METRIC_COUNT] = {
   [MARJORAM_METRIC_REQUESTS] = "gateway_requests",
   [MARJORAM_METRIC_ANSWERED] = "gateway_answered",
   [MARJORAM_METRIC_NOT_RUN] = "gateway_not_run",
@@ -60,8 +59,9 @@
 
   for (int i = 0; i < MARJORAM_TIMING_COUNT; i++)
     {
-      metrics->times[i] = gsl_histogram_alloc (LIMITS - 1);
-      gsl_histogram_set_ranges (metrics->times[i], limits, LIMITS);
+      metrics->histograms[i] = gsl_histogram_alloc (BOUND_COUNT - 1);
+      gsl_histogram_set_ranges (metrics->histograms[i], bucket_bounds,
+                                BOUND_COUNT);
     }
   return metrics;
 }
@@ -72,7 +72,7 @@
   if (!metrics)
     return;
   for (int i = 0; i < MARJORAM_TIMING_COUNT; i++)
-    gsl_histogram_free (metrics->times[i]);
+    gsl_histogram_free (metrics->histograms[i]);
   free (metrics);
 }
 
@@ -94,7 +94,7 @@
 marjoram_metrics_time (marjoram_metrics *metrics, enum marjoram_timing timing,
                        int64_t msec)
 {
-  gsl_histogram_increment (metrics->times[timing], (double)msec);
+  gsl_histogram_increment (metrics->histograms[timing], (double)msec);
   metrics->sums[timing] += (double)msec;
 }
 
@@ -106,24 +106,25 @@
 }
 
 static void
-print_timing (FILE *out, const marjoram_metrics *metrics, int timing)
+print_histogram (FILE *out, const marjoram_metrics *metrics, int timing)
 {
-  const gsl_histogram *times = metrics->times[timing];
+  const gsl_histogram *histogram = metrics->histograms[timing];
   const char *name = timing_names[timing];
-  double sum = 0;
+  double cumulative = 0;
 
   fprintf (out, "# TYPE marjoram_%s histogram\n", name);
-  for (int i = 0; i < LIMITS - 1; i++)
+  for (int i = 0; i < BOUND_COUNT - 1; i++)
     {
-      sum += gsl_histogram_get (times, (size_t)i);
-      if (i < LIMITS - 2)
+      cumulative += gsl_histogram_get (histogram, (size_t)i);
+      if (i < BOUND_COUNT - 2)
         fprintf (out, "marjoram_%s_bucket{le=\"%.0f\"} %.0f\n", name,
-                 limits[i + 1], sum);
+                 bucket_bounds[i + 1], cumulative);
       else
-        fprintf (out, "marjoram_%s_bucket{le=\"+Inf\"} %.0f\n", name, sum);
+        fprintf (out, "marjoram_%s_bucket{le=\"+Inf\"} %.0f\n", name,
+                 cumulative);
     }
   fprintf (out, "marjoram_%s_sum %.0f\nmarjoram_%s_count %.0f\n", name,
-           metrics->sums[timing], name, sum);
+           metrics->sums[timing], name, cumulative);
 }
 
 char *
@@ -139,14 +140,14 @@
     fprintf (out,
              "# TYPE marjoram_%s_total counter\nmarjoram_%s_total %" PRIu64
              "\n",
-             names[i], names[i], metrics->values[i]);
+             metric_names[i], metric_names[i], metrics->values[i]);
   fprintf (out, "# TYPE marjoram_gateway_refused_total counter\n");
   for (int i = 1; i < MARJORAM_REASON_COUNT; i++)
     fprintf (
         out, "marjoram_gateway_refused_total{reason=\"%s\"} %" PRIu64 "\n",
         marjoram_reason_name ((enum marjoram_reason)i), metrics->refused[i]);
   for (int i = 0; i < MARJORAM_TIMING_COUNT; i++)
-    print_timing (out, metrics, i);
+    print_histogram (out, metrics, i);
   fclose (out);
   return text;
 }
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,5 +1,5 @@
-/* Counters and latency histograms of an entry host or a keeper, as the usual
-   text of metrics pages.  */
+/* Counters and latency histograms of an entry host or a keeper, exported in
+   the Prometheus text format.  */
 #ifndef MARJORAM_METRICS_H
 #define MARJORAM_METRICS_H
 
@@ -35,9 +35,9 @@
 
 enum marjoram_timing
 {
-  MARJORAM_TIMING_FIRST,    /* to the first event or the answer, ms */
-  MARJORAM_TIMING_WHOLE,    /* to the end, ms */
-  MARJORAM_TIMING_ESTIMATE, /* size of the error of the estimated wait, ms */
+  MARJORAM_TIMING_FIRST,    /* time to the first event or the response */
+  MARJORAM_TIMING_WHOLE,    /* time to the end of the response */
+  MARJORAM_TIMING_ESTIMATE, /* absolute error of the estimated wait */
   MARJORAM_TIMING_COUNT
 };
 
@@ -45,14 +45,14 @@
 void marjoram_metrics_destroy (marjoram_metrics *metrics);
 void marjoram_metrics_add (marjoram_metrics *metrics,
                            enum marjoram_metric metric, uint64_t amount);
-/* A request got no answer, for REASON.  */
+/* Counts a request refused for REASON.  */
 void marjoram_metrics_refused (marjoram_metrics *metrics,
                                enum marjoram_reason reason);
 void marjoram_metrics_time (marjoram_metrics *metrics,
                             enum marjoram_timing timing, int64_t msec);
 uint64_t marjoram_metrics_get (const marjoram_metrics *metrics,
                                enum marjoram_metric metric);
-/* malloc'd.  */
+/* Returns malloc'd text.  */
 char *marjoram_metrics_text (const marjoram_metrics *metrics);
 
 #endif
