--- a/src/counter.c
+++ b/src/counter.c
@@ -12,7 +12,7 @@
   uint64_t retried[MARJORAM_REASON_COUNT];
 };
 
-static const char *const names[MARJORAM_COUNTER_COUNT] = {
+static const char *const counter_names[MARJORAM_COUNTER_COUNT] = {
   [MARJORAM_COUNTER_REQUESTS] = "requests",
   [MARJORAM_COUNTER_DONE] = "done",
   [MARJORAM_COUNTER_NOT_RUN] = "not_run",
@@ -75,11 +75,11 @@
 }
 
 static void
-print_reasons (FILE *out, const char *family, const uint64_t *values)
+print_by_reason (FILE *out, const char *name, const uint64_t *values)
 {
-  fprintf (out, "# TYPE marjoram_%s_total counter\n", family);
+  fprintf (out, "# TYPE marjoram_%s_total counter\n", name);
   for (int i = 1; i < MARJORAM_REASON_COUNT; i++)
-    fprintf (out, "marjoram_%s_total{reason=\"%s\"} %" PRIu64 "\n", family,
+    fprintf (out, "marjoram_%s_total{reason=\"%s\"} %" PRIu64 "\n", name,
              marjoram_reason_name ((enum marjoram_reason)i), values[i]);
 }
 
@@ -96,9 +96,9 @@
     fprintf (out,
              "# TYPE marjoram_%s_total counter\n"
              "marjoram_%s_total %" PRIu64 "\n",
-             names[i], names[i], counters->values[i]);
-  print_reasons (out, "refused", counters->refused);
-  print_reasons (out, "retried", counters->retried);
+             counter_names[i], counter_names[i], counters->values[i]);
+  print_by_reason (out, "refused", counters->refused);
+  print_by_reason (out, "retried", counters->retried);
   fclose (out);
   return text;
 }
--- a/src/counter.h
+++ b/src/counter.h
@@ -1,5 +1,5 @@
-/* Counters: one for each thing counted, one for each refusal and retry reason.
-   All are listed in counter.c with the text that the metrics page shows.  */
+/* Counters of a zone host: events, and refusals and retries by reason.  Their
+   exported names are in counter.c.  */
 #ifndef MARJORAM_COUNTER_H
 #define MARJORAM_COUNTER_H
 
@@ -38,14 +38,14 @@
 void marjoram_counters_destroy (marjoram_counters *counters);
 void marjoram_counters_add (marjoram_counters *counters,
                             enum marjoram_counter which, uint64_t amount);
-/* A request was refused, or an attempt was retried, for REASON.  */
+/* Count a refused request and a retried attempt by REASON.  */
 void marjoram_counters_refused (marjoram_counters *counters,
                                 enum marjoram_reason reason);
 void marjoram_counters_retried (marjoram_counters *counters,
                                 enum marjoram_reason reason);
 uint64_t marjoram_counters_get (const marjoram_counters *counters,
                                 enum marjoram_counter which);
-/* The usual text format of metrics pages, as malloc'd text.  */
+/* Returns the counters in the Prometheus text format, malloc'd.  */
 char *marjoram_counters_text (const marjoram_counters *counters);
 
 #endif
