--- a/src/error.h
+++ b/src/error.h
@@ -1,5 +1,5 @@
-/* Errors: a struct passed down by the caller, with a kind for programs and a
-   message for people that names the remedy.  */
+/* Errors, reported in a struct that the caller provides: a kind, and a message
+   that names the remedy.  */
 #ifndef MARJORAM_ERROR_H
 #define MARJORAM_ERROR_H
 
@@ -8,13 +8,13 @@
 enum marjoram_error_kind
 {
   MARJORAM_ERROR_NONE,
-  MARJORAM_ERROR_INVALID,  /* bad input: mend it and try again */
-  MARJORAM_ERROR_CONFLICT, /* a newer or different value holds */
+  MARJORAM_ERROR_INVALID,  /* invalid input */
+  MARJORAM_ERROR_CONFLICT, /* a newer or different value is in force */
   MARJORAM_ERROR_IO,       /* a file or socket operation failed */
-  MARJORAM_ERROR_CORRUPT,  /* stored data is damaged: repair needed */
+  MARJORAM_ERROR_CORRUPT,  /* stored data is damaged */
   MARJORAM_ERROR_REFUSED,  /* not allowed */
-  MARJORAM_ERROR_TIMEOUT,  /* no answer in time; the outcome may be open */
-  MARJORAM_ERROR_LIMIT     /* a size or count limit was passed */
+  MARJORAM_ERROR_TIMEOUT,  /* no response in time; outcome may be unknown */
+  MARJORAM_ERROR_LIMIT     /* a size or count limit was exceeded */
 };
 
 #define MARJORAM_ERROR_MESSAGE_MAX 512
@@ -25,7 +25,7 @@
   char message[MARJORAM_ERROR_MESSAGE_MAX];
 };
 
-/* Fill ERR (which may be null) and return false, so that a failing function
+/* Sets ERR, which may be null, and returns false, so that a failing function
    can end with "return marjoram_error_set (...)".  */
 bool marjoram_error_set (struct marjoram_error *err,
                          enum marjoram_error_kind kind, const char *format,
