--- a/src/fault.c
+++ b/src/fault.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  FAULTS_SHOWN_MAX = 200,
+  FAULTS_LISTED_MAX = 200,
   LINE_MAX_BYTES = 2 * MARJORAM_ERROR_MESSAGE_MAX
 };
 
@@ -52,22 +52,23 @@
 marjoram_faults_add (marjoram_faults *faults, const char *file, int line,
                      const char *format, ...)
 {
-  char what[MARJORAM_ERROR_MESSAGE_MAX];
-  char whole[LINE_MAX_BYTES];
+  char message[MARJORAM_ERROR_MESSAGE_MAX];
+  char text_line[LINE_MAX_BYTES];
   va_list args;
 
   va_start (args, format);
-  vsnprintf (what, sizeof what, format, args);
+  vsnprintf (message, sizeof message, format, args);
   va_end (args);
   if (line > 0)
-    snprintf (whole, sizeof whole, "%.400s:%d: %s", file, line, what);
+    snprintf (text_line, sizeof text_line, "%.400s:%d: %s", file, line,
+              message);
   else
-    snprintf (whole, sizeof whole, "%.400s: %s", file, what);
+    snprintf (text_line, sizeof text_line, "%.400s: %s", file, message);
   if (faults->count == 0)
-    memcpy (faults->first, whole, sizeof whole);
+    memcpy (faults->first, text_line, sizeof text_line);
   faults->count++;
-  if (faults->count <= FAULTS_SHOWN_MAX)
-    fprintf (faults->out, "%s\n", whole);
+  if (faults->count <= FAULTS_LISTED_MAX)
+    fprintf (faults->out, "%s\n", text_line);
 }
 
 size_t
@@ -82,10 +83,10 @@
   char *text = NULL;
 
   fflush (faults->out);
-  if (faults->count <= FAULTS_SHOWN_MAX)
+  if (faults->count <= FAULTS_LISTED_MAX)
     return marjoram_strdup (faults->text);
-  if (asprintf (&text, "%sand %zu more; mend these first\n", faults->text,
-                faults->count - FAULTS_SHOWN_MAX)
+  if (asprintf (&text, "%sand %zu more; correct these first\n", faults->text,
+                faults->count - FAULTS_LISTED_MAX)
       < 0)
     abort ();
   return text;
