--- a/src/cleanup.h
+++ b/src/cleanup.h
@@ -1,5 +1,5 @@
-/* Clean-up attributes: a variable declared with marjoram_auto (FN) has FN
-   called with its address when it goes out of scope.  */
+/* Scope-based cleanup and allocation.  When a variable declared with
+   marjoram_auto (FN) goes out of scope, FN is called with its address.  */
 #ifndef MARJORAM_CLEANUP_H
 #define MARJORAM_CLEANUP_H
 
@@ -16,8 +16,7 @@
   free (*(void **)address);
 }
 
-/* Allocation that does not return on failure: a gateway that cannot get a few
-   bytes is restarted rather than run on with a half-made record.  */
+/* Allocate zeroed memory and copy a string; abort if out of memory.  */
 void *marjoram_alloc (size_t size);
 char *marjoram_strdup (const char *text);
 
