--- a/src/marjoram.h
+++ b/src/marjoram.h
@@ -1,5 +1,5 @@
-/* The library's one public header: what the two programs and their tests need.
-   Everything else is internal and may change with each release.  */
+/* Public header of the library, as used by the two programs and their tests.
+   All other interfaces are internal and may change in any release.  */
 #ifndef MARJORAM_H
 #define MARJORAM_H
 
@@ -12,7 +12,7 @@
 
 #define MARJORAM_VERSION "0.1.0"
 
-/* The version of the linked library, as MARJORAM_VERSION.  */
+/* Returns the version of the linked library.  */
 const char *marjoram_version (void);
 
 #endif
