--- a/src/main_marjoramctl.c
+++ b/src/main_marjoramctl.c
@@ -1,4 +1,4 @@
-/* The operators' tool: reads the options and runs one command.  */
+/* marjoramctl: parses the options and runs one command.  */
 #include "marjoram.h"
 
 #include "ini_key.h"
@@ -51,38 +51,38 @@
   printf ("usage: marjoramctl [OPTION]... COMMAND [OPERAND]...\n\n"
           "Commands:\n");
   marjoram_ctl_help (stdout);
-  printf ("\nWhich host:\n"
-          "  --settings FILE       a daemon's settings: its address and "
-          "secret\n"
-          "  --host IP:PORT        control address; several are tried in "
+  printf ("\nHost selection:\n"
+          "  --settings FILE       daemon settings to read address and "
+          "secret from\n"
+          "  --host IP:PORT        control address; repeat to try several in "
           "turn\n"
           "  --secret-file FILE    the owner's secret\n"
           "\nOther options:\n"
           "  --json                print JSON\n"
-          "  --change-id ID        of apply and replace-keeper: resend a "
+          "  --change-id ID        for apply and replace-keeper: resend a "
           "change\n"
-          "  --timeout-ms N        wait so long for an answer (20000)\n"
+          "  --timeout-ms N        response timeout (20000)\n"
           "  --caller NAME --work NAME [--class interactive|overnight]\n"
           "  [--deadline-ms N] [--prompt-tokens N]\n"
           "                        the request to explain\n"
-          "  --by FIELD,...        of account: what to group by "
+          "  --by FIELD,...        for account: fields to group by "
           "(cause,route)\n"
-          "  --id ID               of account: show all lines of one "
+          "  --id ID               for account: show all lines of one "
           "request\n"
           "  --help, --version\n"
-          "\nExit status: 0 done, 1 refused, 2 usage, 3 no host reached, "
+          "\nExit status: 0 done, 1 refused, 2 usage, 3 host unreachable, "
           "4 outcome unknown,\n5 not run.  See marjoramctl(1).\n");
 }
 
 static int
-usage (const char *what)
+usage_error (const char *what)
 {
   fprintf (stderr, "marjoramctl: %s; see --help\n", what);
   return MARJORAM_CTL_USAGE;
 }
 
 static bool
-read_timeout (const char *text, int64_t *timeout)
+parse_timeout (const char *text, int64_t *timeout)
 {
   char *end;
 
@@ -92,9 +92,9 @@
          && *timeout <= INT32_MAX;
 }
 
-/* Returns -1 to go on, or the exit status.  */
+/* Returns the exit status, or -1 to continue.  */
 static int
-take_option (struct marjoram_ctl_options *options, int option)
+parse_option (struct marjoram_ctl_options *options, int option)
 {
   switch (option)
     {
@@ -103,7 +103,7 @@
       return -1;
     case OPTION_HOST:
       if (options->host_count == MARJORAM_CTL_HOSTS_MAX)
-        return usage ("too many --host");
+        return usage_error ("too many --host options");
       options->hosts[options->host_count++] = optarg;
       return -1;
     case OPTION_SECRET_FILE:
@@ -116,12 +116,12 @@
       options->change_id = optarg;
       return marjoram_name_valid (optarg, true)
                  ? -1
-                 : usage ("--change-id takes letters, digits and ._-, at "
-                          "most 48");
+                 : usage_error ("--change-id takes at most 48 letters, digits "
+                                "and ._-");
     case OPTION_TIMEOUT_MS:
-      return read_timeout (optarg, &options->timeout_ms)
+      return parse_timeout (optarg, &options->timeout_ms)
                  ? -1
-                 : usage ("--timeout-ms takes a whole number");
+                 : usage_error ("--timeout-ms takes a positive integer");
     case OPTION_CALLER:
       options->caller = optarg;
       return -1;
@@ -150,7 +150,7 @@
       printf ("marjoramctl %s\n", marjoram_version ());
       return MARJORAM_CTL_DONE;
     default:
-      return usage ("unknown option or missing value");
+      return usage_error ("unknown option or missing value");
     }
 }
 
@@ -166,7 +166,7 @@
 
   while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1)
     {
-      int status = take_option (&options, option);
+      int status = parse_option (&options, option);
 
       if (status >= 0)
         return status;
--- a/src/main_marjoramd.c
+++ b/src/main_marjoramd.c
@@ -1,4 +1,4 @@
-/* marjoramd: options only; the work is the library's.  */
+/* marjoramd: parses the options and runs the daemon.  */
 #include "daemon.h"
 #include "gateway_daemon.h"
 #include "own_dialect.h"
@@ -16,9 +16,9 @@
 enum exit_status
 {
   EXIT_DONE = 0,
-  EXIT_REFUSED = 1, /* faulty settings, or an address in use */
+  EXIT_REFUSED = 1, /* invalid settings or address in use */
   EXIT_USAGE = 2,
-  EXIT_CUT = 3 /* stopped with requests unfinished */
+  EXIT_UNFINISHED = 3 /* stopped with unfinished requests */
 };
 
 static const char usage[]
@@ -46,7 +46,7 @@
     }
   finished = marjoram_daemon_run (daemon);
   marjoram_daemon_destroy (daemon);
-  return finished ? EXIT_DONE : EXIT_CUT;
+  return finished ? EXIT_DONE : EXIT_UNFINISHED;
 }
 
 static int
@@ -65,12 +65,12 @@
     }
   finished = marjoram_gateway_daemon_run (daemon);
   marjoram_gateway_daemon_destroy (daemon);
-  return finished ? EXIT_DONE : EXIT_CUT;
+  return finished ? EXIT_DONE : EXIT_UNFINISHED;
 }
 
-/* The roles entry and keeper of the gateway have settings of their own.  */
+/* Loads the settings of a host in the role entry or keeper.  */
 static int
-load_gateway (const char *path, bool check_only)
+load_and_run_gateway (const char *path, bool check_only)
 {
   struct marjoram_error err = { 0 };
   char *faults = NULL;
@@ -151,6 +151,6 @@
       return EXIT_USAGE;
     }
   if (marjoram_gateway_settings_is (path))
-    return load_gateway (path, check_only);
+    return load_and_run_gateway (path, check_only);
   return load_and_run (path, check_only);
 }
