--- a/test/test_control.c
+++ b/test/test_control.c
@@ -1,5 +1,5 @@
-/* The operators' interface: the tool's commands against a daemon's control
-   task whose host is a fake, and calls that have to be refused.  */
+/* Tests for the control interface: marjoramctl commands against a control
+   server with a fake host, and calls that must be rejected.  */
 #include "suite.h"
 
 #include "cleanup.h"
@@ -20,8 +20,8 @@
 
 #define SECRET "0123456789abcdef0123456789abcdef"
 
-/* The host's control address, another for each process: tests of several
-   checkouts may run at once on one machine.  */
+/* Control address of the fake host.  It depends on the process id so that test
+   runs on the same machine don't conflict.  */
 static char ip[32];
 static char address[48];
 
@@ -31,11 +31,11 @@
   START_WALL = 1000000
 };
 
-/* The host behind the control task.  */
+/* Fake host that runs the control server.  */
 static struct
 {
   struct marjoram_clock clock;
-  int64_t wall;
+  int64_t wall_ms;
   struct event_base *base;
   marjoram_control *control;
   pthread_t thread;
@@ -43,16 +43,16 @@
   int applies;
   int drains;
   int unproved;
-  uint64_t silent; /* the request that is not answered yet */
-  char seen[256];  /* what the last operation got */
+  uint64_t unanswered;      /* request without an answer yet */
+  char last_arguments[256]; /* arguments of the last operation */
 } host;
 
 static struct timespec
 fake_time (struct marjoram_clock *clock)
 {
   (void)clock;
-  return (struct timespec){ .tv_sec = host.wall / 1000,
-                            .tv_nsec = host.wall % 1000 * 1000000 };
+  return (struct timespec){ .tv_sec = host.wall_ms / 1000,
+                            .tv_nsec = host.wall_ms % 1000 * 1000000 };
 }
 
 static json_t *
@@ -76,10 +76,10 @@
 fake_explain (void *context, const struct marjoram_explain_query *query)
 {
   (void)context;
-  snprintf (host.seen, sizeof host.seen, "%s %s %s %" PRId64 " %" PRIu64,
-            query->caller, query->work, query->class, query->deadline_ms,
-            query->prompt_tokens);
-  return json_pack ("{ss}", "choice", host.seen);
+  snprintf (host.last_arguments, sizeof host.last_arguments,
+            "%s %s %s %" PRId64 " %" PRIu64, query->caller, query->work,
+            query->class, query->deadline_ms, query->prompt_tokens);
+  return json_pack ("{ss}", "choice", host.last_arguments);
 }
 
 static const struct marjoram_state *
@@ -96,25 +96,26 @@
   return marjoram_strdup ("marjoram_requests_total 5\n");
 }
 
-/* The change's id says how it ends.  */
+/* Answers a change with the outcome named by its id.  */
 static void
-end_change (uint64_t request, const char *id)
+answer_change (uint64_t request, const char *id)
 {
-  static const char *const words[]
+  static const char *const names[]
       = { "accepted", "same", "conflict", "stale", "invalid" };
-  struct marjoram_apply_answer answer
-      = { .number = 8, .version = 3, .digest = "d1", .message = "as told" };
+  struct marjoram_apply_answer answer = {
+    .number = 8, .version = 3, .digest = "d1", .message = "test message"
+  };
 
   if (strcmp (id, "silent") == 0)
     {
-      host.silent = request;
+      host.unanswered = request;
       return;
     }
   answer.outcome = strcmp (id, "unknown") == 0   ? MARJORAM_APPLY_UNKNOWN
                    : strcmp (id, "not-run") == 0 ? MARJORAM_APPLY_NOT_RUN
                                                  : MARJORAM_APPLY_DECIDED;
   for (int i = 0; i < 5; i++)
-    if (strcmp (id, words[i]) == 0)
+    if (strcmp (id, names[i]) == 0)
       answer.result = (enum marjoram_change_result)i;
   marjoram_control_answer (host.control, request, &answer);
 }
@@ -125,9 +126,10 @@
 {
   (void)context;
   host.applies++;
-  snprintf (host.seen, sizeof host.seen, "%s %s %" PRIu64 " %s", change_id,
-            file->name, file->version, file->digest);
-  end_change (request, change_id);
+  snprintf (host.last_arguments, sizeof host.last_arguments,
+            "%s %s %" PRIu64 " %s", change_id, file->name, file->version,
+            file->digest);
+  answer_change (request, change_id);
 }
 
 static void
@@ -135,8 +137,9 @@
               const char *old, const char *new)
 {
   (void)context;
-  snprintf (host.seen, sizeof host.seen, "%s %s %s", change_id, old, new);
-  end_change (request, change_id);
+  snprintf (host.last_arguments, sizeof host.last_arguments, "%s %s %s",
+            change_id, old, new);
+  answer_change (request, change_id);
 }
 
 static void
@@ -158,14 +161,14 @@
         fake_apply,  fake_replace,   fake_drain,   fake_unproved };
 
 static void *
-run_host (void *base)
+run_event_loop (void *base)
 {
   event_base_loop (base, EVLOOP_NO_EXIT_ON_EMPTY);
   return NULL;
 }
 
 static void
-choose_address (void)
+set_address (void)
 {
   unsigned pid = (unsigned)getpid ();
 
@@ -188,7 +191,7 @@
   host.control = marjoram_control_create (host.base, &host.clock, &settings,
                                           &ops, NULL, &err);
   ck_assert_msg (host.control != NULL, "%s", err.message);
-  pthread_create (&host.thread, NULL, run_host, host.base);
+  pthread_create (&host.thread, NULL, run_event_loop, host.base);
 }
 
 static void
@@ -200,23 +203,23 @@
   event_base_free (host.base);
 }
 
-#define SITES                                                                 \
+#define SITES_FILE                                                            \
   "[file]\nname = sites\nversion = 2\n[cluster t]\n[region r]\n[zone z]\n"    \
   "region = r\n[slot z-a]\nzone = z\npeer = 127.4.0.1:1\n"                    \
   "entry = 127.4.0.1:2\n"
 
-static char folder[64];
+static char directory[64];
 static char secret_path[96];
-static char other_secret[96];
-static char good_path[96];
-static char bad_path[96];
+static char wrong_secret_path[96];
+static char valid_path[96];
+static char invalid_path[96];
 
 static void
 write_file (char path[96], const char *name, const char *text)
 {
   FILE *out;
 
-  snprintf (path, 96, "%s/%s", folder, name);
+  snprintf (path, 96, "%s/%s", directory, name);
   out = fopen (path, "w");
   ck_assert_ptr_nonnull (out);
   fputs (text, out);
@@ -231,22 +234,23 @@
   evthread_use_pthreads ();
   marjoram_log_set_level (MARJORAM_LOG_ERROR);
   memset (&host, 0, sizeof host);
-  host.wall = START_WALL;
+  host.wall_ms = START_WALL;
   host.state = marjoram_state_copy (NULL);
-  ck_assert (
-      marjoram_config_file_parse ("", SITES, strlen (SITES), &file, NULL));
+  ck_assert (marjoram_config_file_parse ("", SITES_FILE, strlen (SITES_FILE),
+                                         &file, NULL));
   marjoram_state_set_file (host.state, &file);
   marjoram_wire_clear (&marjoram_file_layout, &file);
-  snprintf (folder, sizeof folder, "/tmp/marjoram-control-XXXXXX");
-  ck_assert_ptr_nonnull (mkdtemp (folder));
+  snprintf (directory, sizeof directory, "/tmp/marjoram-control-XXXXXX");
+  ck_assert_ptr_nonnull (mkdtemp (directory));
   umask (077);
-  choose_address ();
+  set_address ();
   write_file (secret_path, "secret", SECRET "\n");
-  write_file (other_secret, "other", "another secret of thirty-two bytes\n");
-  write_file (good_path, "callers.ini",
+  write_file (wrong_secret_path, "other",
+              "another secret of thirty-two bytes\n");
+  write_file (valid_path, "callers.ini",
               "[file]\nname = callers\nversion = 3\n[caller x]\n"
               "token = 0123456789abcdef\nhome = r\nrate = 1\n");
-  write_file (bad_path, "bad.ini",
+  write_file (invalid_path, "bad.ini",
               "[file]\nname = callers\nversion = 4\n[caller x]\n"
               "token = 0123456789abcdef\nhome = nowhere\nrate = 1\n");
   start_host ();
@@ -256,13 +260,13 @@
 teardown (void)
 {
   const char *const paths[]
-      = { secret_path, other_secret, good_path, bad_path };
+      = { secret_path, wrong_secret_path, valid_path, invalid_path };
 
   stop_host ();
   marjoram_state_destroy (host.state);
   for (size_t i = 0; i < sizeof paths / sizeof *paths; i++)
     unlink (paths[i]);
-  rmdir (folder);
+  rmdir (directory);
 }
 
 static struct marjoram_ctl_options
@@ -279,7 +283,7 @@
                                         .work = "chat" };
 }
 
-/* Runs one command of at most two operands; TEXT gets what it printed.  */
+/* Runs a command with up to two operands and captures its output in TEXT.  */
 static enum marjoram_ctl_status
 run_command (const struct marjoram_ctl_options *options, const char *command,
              const char *first, const char *second, char **text)
@@ -297,13 +301,13 @@
 static const struct
 {
   const char *command;
-  const char *operand; /* "good" and "bad" stand for the files */
+  const char *operand; /* "good" and "bad" select the files */
   const char *second;
   const char *change_id;
   enum marjoram_ctl_status status;
-  const char *words;
-  const char *seen;
-} runs[] = {
+  const char *expected_text;
+  const char *last_arguments;
+} command_cases[] = {
   { "status", 0, 0, 0, 0, "hosts:\n  slot    alive\n  ba-1-b  yes\n", 0 },
   { "upstreams", 0, 0, 0, 0, "lm-1  chat,sum", 0 },
   { "counters", 0, 0, 0, 0, "marjoram_requests_total 5\n", 0 },
@@ -331,29 +335,32 @@
   { "check", "none", 0, 0, MARJORAM_CTL_REFUSED, "can't open none", 0 },
   { "apply", "none", 0, 0, MARJORAM_CTL_REFUSED, "can't open none", 0 },
   { "apply", 0, 0, 0, MARJORAM_CTL_USAGE, "usage: marjoramctl", 0 },
-  { "dance", 0, 0, 0, MARJORAM_CTL_USAGE, "no such command", 0 },
+  { "nonexistent", 0, 0, 0, MARJORAM_CTL_USAGE, "no such command", 0 },
 };
 
 START_TEST (runs_commands)
 {
   struct marjoram_ctl_options options = default_options ();
-  const char *operand = runs[_i].operand;
+  const char *operand = command_cases[_i].operand;
   marjoram_auto_free char *text = NULL;
   enum marjoram_ctl_status status;
 
   if (operand && strcmp (operand, "good") == 0)
-    operand = good_path;
+    operand = valid_path;
   else if (operand && strcmp (operand, "bad") == 0)
-    operand = bad_path;
-  options.change_id = runs[_i].change_id;
-  status = run_command (&options, runs[_i].command, operand, runs[_i].second,
-                        &text);
-  ck_assert_msg (status == runs[_i].status, "status %d: %s", (int)status,
-                 text);
-  ck_assert_msg (strstr (text, runs[_i].words) != NULL, "got %s", text);
-  if (runs[_i].seen)
-    ck_assert_int_eq (
-        strncmp (host.seen, runs[_i].seen, strlen (runs[_i].seen)), 0);
+    operand = invalid_path;
+  options.change_id = command_cases[_i].change_id;
+  status = run_command (&options, command_cases[_i].command, operand,
+                        command_cases[_i].second, &text);
+  ck_assert_msg (status == command_cases[_i].status, "status %d: %s",
+                 (int)status, text);
+  ck_assert_msg (strstr (text, command_cases[_i].expected_text) != NULL,
+                 "got %s", text);
+  if (command_cases[_i].last_arguments)
+    ck_assert_int_eq (strncmp (host.last_arguments,
+                               command_cases[_i].last_arguments,
+                               strlen (command_cases[_i].last_arguments)),
+                      0);
 }
 END_TEST
 
@@ -361,7 +368,7 @@
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
-  marjoram_auto_free char *again = NULL;
+  marjoram_auto_free char *apply_text = NULL;
   json_t *object;
 
   options.json = true;
@@ -370,40 +377,42 @@
   ck_assert_int_eq (
       json_integer_value (json_object_get (object, "config_number")), 7);
   json_decref (object);
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &again),
-                    0);
-  ck_assert_int_eq (strncmp (again, "change id: ", 11), 0);
-  ck_assert_int_eq (strncmp (again + 11, host.seen, MARJORAM_NONCE_TEXT), 0);
+  ck_assert_int_eq (
+      run_command (&options, "apply", valid_path, NULL, &apply_text), 0);
+  ck_assert_int_eq (strncmp (apply_text, "change id: ", 11), 0);
+  ck_assert_int_eq (
+      strncmp (apply_text + 11, host.last_arguments, MARJORAM_NONCE_TEXT), 0);
 }
 END_TEST
 
-/* Only a host that was surely not asked may be followed by the next: a second
-   host asked after a lost answer could run the command twice.  */
+/* A command must not run twice: after a lost response no other host may be
+   tried.  */
 START_TEST (tries_next_host_only_if_none_was_asked)
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
-  marjoram_auto_free char *lost = NULL;
+  marjoram_auto_free char *first_text = NULL;
   marjoram_auto_free char *none = NULL;
 
   options.host_count = 2;
   options.hosts[0] = "127.4.0.9:7999";
   options.hosts[1] = address;
   options.change_id = "accepted";
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &text),
+  ck_assert_int_eq (run_command (&options, "apply", valid_path, NULL, &text),
                     MARJORAM_CTL_DONE);
   ck_assert_ptr_nonnull (strstr (text, "no answer from 127.4.0.9:7999"));
   options.hosts[0] = address;
   options.change_id = "silent";
   options.timeout_ms = 300;
   host.applies = 0;
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &lost),
-                    MARJORAM_CTL_UNKNOWN);
-  ck_assert_ptr_nonnull (strstr (lost, "again with --change-id silent"));
+  ck_assert_int_eq (
+      run_command (&options, "apply", valid_path, NULL, &first_text),
+      MARJORAM_CTL_UNKNOWN);
+  ck_assert_ptr_nonnull (strstr (first_text, "again with --change-id silent"));
   ck_assert_int_eq (host.applies, 1);
   options.host_count = 1;
   options.hosts[0] = "127.4.0.9:7999";
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &none),
+  ck_assert_int_eq (run_command (&options, "apply", valid_path, NULL, &none),
                     MARJORAM_CTL_UNREACHABLE);
 }
 END_TEST
@@ -413,7 +422,7 @@
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
 
-  options.secret_file = other_secret;
+  options.secret_file = wrong_secret_path;
   ck_assert_int_eq (run_command (&options, "drain", NULL, NULL, &text),
                     MARJORAM_CTL_UNREACHABLE);
   ck_assert_ptr_nonnull (strstr (text, "doesn't prove"));
@@ -421,18 +430,19 @@
 }
 END_TEST
 
-/* Sends TEXT as it is and returns the status of the answer, 0 if none.  */
+/* Sends TEXT and returns the status code of the response, 0 if none.  */
 static int
-send_raw (const char *text, bool wait)
+send_raw_request (const char *text, bool wait)
 {
-  struct sockaddr_in place = { .sin_family = AF_INET,
-                               .sin_port = htons (PORT),
-                               .sin_addr = { .s_addr = inet_addr (ip) } };
+  struct sockaddr_in server = { .sin_family = AF_INET,
+                                .sin_port = htons (PORT),
+                                .sin_addr = { .s_addr = inet_addr (ip) } };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   char answer[512] = "";
   int status = 0;
 
-  ck_assert_int_eq (connect (fd, (struct sockaddr *)&place, sizeof place), 0);
+  ck_assert_int_eq (connect (fd, (struct sockaddr *)&server, sizeof server),
+                    0);
   ck_assert_int_eq (send (fd, text, strlen (text), 0), (ssize_t)strlen (text));
   if (wait && recv (fd, answer, sizeof answer - 1, 0) > 0)
     sscanf (answer, "HTTP/1.1 %d", &status);
@@ -440,9 +450,10 @@
   return status;
 }
 
-/* A drain signed for SLOT at TIME, as it goes over the wire.  */
+/* Formats a signed drain request for SLOT at TIME.  */
 static void
-sign_drain (char text[512], const char *slot, int64_t time, const char *nonce)
+format_signed_drain (char text[512], const char *slot, int64_t time,
+                     const char *nonce)
 {
   struct marjoram_control_call call = { .method = "POST",
                                         .target = "/control/drain",
@@ -450,45 +461,45 @@
                                         .sent = time,
                                         .nonce = nonce,
                                         .body = "" };
-  char proof[MARJORAM_PROOF_TEXT + 1];
+  char signature[MARJORAM_PROOF_TEXT + 1];
 
-  marjoram_control_call_prove (SECRET, &call, proof);
+  marjoram_control_call_prove (SECRET, &call, signature);
   snprintf (text, 512,
             "POST /control/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n"
             "Marjoram-Time: %" PRId64 "\r\nMarjoram-Nonce: %s\r\n"
             "Marjoram-Proof: %s\r\n\r\n",
-            time, nonce, proof);
+            time, nonce, signature);
 }
 
 #define NONCE "00112233445566778899aabbccddee0"
 
-/* Someone on the path records a drain and sends it again, at once, to another
-   host, or after the host was restarted: it would be stopped again, and again.
-   Without a proof at all, anyone who reaches the port would stop it.  */
+/* A recorded drain must not be replayable on the same host, on another host or
+   after a restart, and unsigned calls must be rejected.  */
 START_TEST (runs_no_recorded_or_unsigned_call)
 {
   char text[512];
 
-  ck_assert_int_eq (send_raw ("POST /control/drain HTTP/1.1\r\nHost: x\r\n"
-                              "Content-Length: 0\r\nMarjoram-Nonce: " NONCE
-                              "0\r\nMarjoram-Time: 1000000\r\n\r\n",
-                              true),
-                    401);
+  ck_assert_int_eq (
+      send_raw_request ("POST /control/drain HTTP/1.1\r\nHost: x\r\n"
+                        "Content-Length: 0\r\nMarjoram-Nonce: " NONCE
+                        "0\r\nMarjoram-Time: 1000000\r\n\r\n",
+                        true),
+      401);
   ck_assert_int_eq (host.unproved, 1);
-  sign_drain (text, "ba-1-b", START_WALL, NONCE "1");
-  ck_assert_int_eq (send_raw (text, true), 401);
-  sign_drain (text, "ba-1-a", START_WALL, NONCE "2");
+  format_signed_drain (text, "ba-1-b", START_WALL, NONCE "1");
+  ck_assert_int_eq (send_raw_request (text, true), 401);
+  format_signed_drain (text, "ba-1-a", START_WALL, NONCE "2");
   ck_assert_int_eq (host.drains, 0);
-  ck_assert_int_eq (send_raw (text, true), 200);
-  ck_assert_int_eq (send_raw (text, true), 401);
+  ck_assert_int_eq (send_raw_request (text, true), 200);
+  ck_assert_int_eq (send_raw_request (text, true), 401);
   ck_assert_int_eq (host.drains, 1);
   stop_host ();
-  host.wall += 1;
+  host.wall_ms += 1;
   start_host ();
-  ck_assert_int_eq (send_raw (text, true), 401);
-  sign_drain (text, "ba-1-a", host.wall, NONCE "3");
-  host.wall += MARJORAM_REPLAY_WINDOW_MS + 1;
-  ck_assert_int_eq (send_raw (text, true), 401);
+  ck_assert_int_eq (send_raw_request (text, true), 401);
+  format_signed_drain (text, "ba-1-a", host.wall_ms, NONCE "3");
+  host.wall_ms += MARJORAM_REPLAY_WINDOW_MS + 1;
+  ck_assert_int_eq (send_raw_request (text, true), 401);
   ck_assert_int_eq (host.drains, 1);
 }
 END_TEST
@@ -514,7 +525,7 @@
 
   for (size_t i = 0; i < sizeof calls / sizeof *calls; i++)
     {
-      int status = send_raw (calls[i].text, true);
+      int status = send_raw_request (calls[i].text, true);
 
       ck_assert_msg (status == calls[i].status, "%s got %d", calls[i].text,
                      status);
@@ -522,28 +533,28 @@
 }
 END_TEST
 
-/* An operator gives up on an apply (the terminal is closed) and the answer
-   comes afterwards: the daemon may not answer into a connection that is gone.
- */
+/* The outcome of an apply must not be written to a connection that the client
+   has closed.  */
 START_TEST (survives_a_caller_that_went_away)
 {
   struct marjoram_ctl_options options = default_options ();
-  marjoram_auto_free char *lost = NULL;
+  marjoram_auto_free char *first_text = NULL;
   marjoram_auto_free char *text = NULL;
 
   options.change_id = "silent";
   options.timeout_ms = 200;
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &lost),
-                    MARJORAM_CTL_UNKNOWN);
+  ck_assert_int_eq (
+      run_command (&options, "apply", valid_path, NULL, &first_text),
+      MARJORAM_CTL_UNKNOWN);
   stop_host ();
   start_host ();
-  ck_assert_int_eq (run_command (&options, "apply", good_path, NULL, &text),
+  ck_assert_int_eq (run_command (&options, "apply", valid_path, NULL, &text),
                     MARJORAM_CTL_UNKNOWN);
   event_base_loopexit (host.base, NULL);
   pthread_join (host.thread, NULL);
-  end_change (host.silent, "accepted");
-  end_change (host.silent, "accepted");
-  pthread_create (&host.thread, NULL, run_host, host.base);
+  answer_change (host.unanswered, "accepted");
+  answer_change (host.unanswered, "accepted");
+  pthread_create (&host.thread, NULL, run_event_loop, host.base);
   free (text);
   options.timeout_ms = 20000;
   ck_assert_int_eq (run_command (&options, "status", NULL, NULL, &text), 0);
@@ -556,7 +567,7 @@
   const int64_t window = MARJORAM_REPLAY_WINDOW_MS;
   const struct
   {
-    int64_t wall;
+    int64_t wall_ms;
     int64_t sent;
     const char *nonce;
     enum marjoram_replay_verdict verdict;
@@ -568,16 +579,16 @@
     { 2 * window, window, NONCE "0", MARJORAM_REPLAY_REUSED },
     { 2 * window + 1, window, NONCE "0", MARJORAM_REPLAY_EXPIRED },
     { 2 * window + 1, window + 1, NONCE "1", MARJORAM_REPLAY_FRESH },
-    /* The clock is set back: what was forgotten must not be fresh again.  */
+    /* Expired nonces stay invalid after the clock is set back.  */
     { 0, window, NONCE "0", MARJORAM_REPLAY_EXPIRED },
   };
 
   for (size_t i = 0; i < sizeof calls / sizeof *calls; i++)
-    ck_assert_msg (marjoram_replays_take (replays, START_WALL + calls[i].wall,
-                                          START_WALL + calls[i].sent,
-                                          calls[i].nonce)
-                       == calls[i].verdict,
-                   "call %zu", i);
+    ck_assert_msg (
+        marjoram_replays_take (replays, START_WALL + calls[i].wall_ms,
+                               START_WALL + calls[i].sent, calls[i].nonce)
+            == calls[i].verdict,
+        "call %zu", i);
   ck_assert_uint_eq (marjoram_replays_count (replays), 1);
   marjoram_replays_destroy (replays);
 }
@@ -603,7 +614,8 @@
   TCase *c = tcase_create ("control");
 
   tcase_add_checked_fixture (c, setup, teardown);
-  tcase_add_loop_test (c, runs_commands, 0, sizeof runs / sizeof *runs);
+  tcase_add_loop_test (c, runs_commands, 0,
+                       sizeof command_cases / sizeof *command_cases);
   tcase_add_test (c, prints_json_and_makes_ids);
   tcase_add_test (c, tries_next_host_only_if_none_was_asked);
   tcase_add_test (c, refuses_another_secret);
