--- a/api_test/api_test_marjoram.c
+++ b/api_test/api_test_marjoram.c
@@ -1,5 +1,5 @@
-/* The public header, through the deployments in examples/: their settings and
-   files load, and have the sizes that they are meant to have.  */
+/* Tests of the public header with the deployments in examples/: their settings
+   and files load and have the expected sizes.  */
 #include "suite.h"
 
 #include "marjoram.h"
@@ -11,15 +11,15 @@
 
 static const struct
 {
-  const char *folder;
+  const char *directory;
   const char *host;
   const char *model;
-  int copies; /* of the model in each of three zones */
+  int copies; /* of the model in each zone */
   const char *service;
   int service_copies;
-  const char *bound_caller;
-  const char *bound_work;
-  const char *forbidden;
+  const char *restricted_caller;
+  const char *restricted_work;
+  const char *forbidden_region;
 } deployments[] = {
   { "examples/tatranska", "ba-1-a", "izba-lm", 3, "board", 1, "board-kosice",
     "board", "bratislava" },
@@ -35,7 +35,7 @@
 };
 
 static struct marjoram_state *
-load_state (const char *folder)
+load_state (const char *directory)
 {
   struct marjoram_state *state = marjoram_state_copy (NULL);
 
@@ -45,7 +45,7 @@
       struct marjoram_file file = { 0 };
       struct marjoram_error err = { 0 };
 
-      snprintf (path, sizeof path, "%s/%s.ini", folder, file_names[i]);
+      snprintf (path, sizeof path, "%s/%s.ini", directory, file_names[i]);
       ck_assert_msg (marjoram_config_file_load (path, &file, &err), "%s",
                      err.message);
       ck_assert_str_eq (file.name, file_names[i]);
@@ -57,7 +57,7 @@
 
 START_TEST (example_files_have_their_sizes)
 {
-  struct marjoram_state *state = load_state (deployments[_i].folder);
+  struct marjoram_state *state = load_state (deployments[_i].directory);
   struct marjoram_error err = { 0 };
   marjoram_config *config = marjoram_config_create (state, NULL, &err);
   int keepers = 0;
@@ -80,11 +80,11 @@
   ck_assert_uint_eq (
       marjoram_config_allowed (
           config,
-          marjoram_config_find_caller_by_name (config,
-                                               deployments[_i].bound_caller),
-          marjoram_config_find_work (config, deployments[_i].bound_work))
+          marjoram_config_find_caller_by_name (
+              config, deployments[_i].restricted_caller),
+          marjoram_config_find_work (config, deployments[_i].restricted_work))
               >> marjoram_config_find_region (config,
-                                              deployments[_i].forbidden)
+                                              deployments[_i].forbidden_region)
           & 1,
       0);
   marjoram_config_release (config);
@@ -103,8 +103,8 @@
 
   for (int i = 0; i < FILE_COUNT; i++)
     {
-      snprintf (paths[i], sizeof paths[i], "%s/%s.ini", deployments[_i].folder,
-                file_names[i]);
+      snprintf (paths[i], sizeof paths[i], "%s/%s.ini",
+                deployments[_i].directory, file_names[i]);
       args[i + 1] = paths[i];
     }
   ck_assert_int_eq (
@@ -117,8 +117,7 @@
 }
 END_TEST
 
-/* Copies PATH to COPY with the secret's place changed, as each installation
-   does.  */
+/* Copies PATH to COPY with the path of the secret file replaced.  */
 static void
 install_settings (const char *path, const char *copy, const char *secret)
 {
@@ -139,7 +138,7 @@
 
 START_TEST (example_settings_load)
 {
-  char folder[64] = "/tmp/marjoram-api-XXXXXX";
+  char directory[64] = "/tmp/marjoram-api-XXXXXX";
   char path[128];
   char copy[128];
   char secret[128];
@@ -149,11 +148,11 @@
   struct marjoram_settings *settings;
   FILE *out = fopen ("/dev/null", "w");
 
-  ck_assert_ptr_nonnull (mkdtemp (folder));
-  snprintf (path, sizeof path, "%s/%s.ini", deployments[_i].folder,
+  ck_assert_ptr_nonnull (mkdtemp (directory));
+  snprintf (path, sizeof path, "%s/%s.ini", deployments[_i].directory,
             deployments[_i].host);
-  snprintf (copy, sizeof copy, "%s/host.ini", folder);
-  snprintf (secret, sizeof secret, "%s/secret", folder);
+  snprintf (copy, sizeof copy, "%s/host.ini", directory);
+  snprintf (secret, sizeof secret, "%s/secret", directory);
   ck_assert_int_eq (marjoram_ctl_run (&options, 2, args, out, out), 0);
   fclose (out);
   install_settings (path, copy, secret);
@@ -165,7 +164,7 @@
   marjoram_settings_destroy (settings);
   unlink (copy);
   unlink (secret);
-  rmdir (folder);
+  rmdir (directory);
 }
 END_TEST
 
