--- a/src/ctl.c
+++ b/src/ctl.c
@@ -20,8 +20,8 @@
 };
 
 enum marjoram_ctl_status
-marjoram_ctl_complain (struct marjoram_ctl_call *call,
-                       enum marjoram_ctl_status status, const char *text)
+marjoram_ctl_error (struct marjoram_ctl_call *call,
+                    enum marjoram_ctl_status status, const char *text)
 {
   fprintf (call->errors, "marjoramctl: %s\n", text);
   return status;
@@ -163,7 +163,7 @@
   struct marjoram_error err;
 
   if (!marjoram_secret_create (call->args[0], &err))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+    return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED, err.message);
   marjoram_ctl_print_object (call,
                              json_pack ("{ss}", "secret_file", call->args[0]));
   return MARJORAM_CTL_DONE;
@@ -222,8 +222,7 @@
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status
-        = marjoram_ctl_complain (call, MARJORAM_CTL_UNREACHABLE, err.message);
+    status = marjoram_ctl_error (call, MARJORAM_CTL_UNREACHABLE, err.message);
   else if (answer.status != STATUS_OK)
     status = report_refusal (call, &answer);
   else
@@ -267,9 +266,8 @@
   char path[PATH_MAX_BYTES] = "/control/explain";
 
   if (!o->caller || !o->work)
-    return marjoram_ctl_complain (
-        call, MARJORAM_CTL_USAGE,
-        "explain needs --caller NAME and --work NAME");
+    return marjoram_ctl_error (call, MARJORAM_CTL_USAGE,
+                               "explain needs --caller NAME and --work NAME");
   for (size_t i = 0; i < sizeof names / sizeof *names; i++)
     {
       marjoram_auto_free char *value = evhttp_encode_uri (values[i]);
@@ -292,15 +290,14 @@
   json_t *object;
 
   if (!load_operand (call, 0, &file, &err))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+    return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED, err.message);
   result = call_first_reachable_host (call, "POST", "/control/diff", file.text,
                                       &answer, &err);
   marjoram_wire_clear (&marjoram_file_layout, &file);
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status
-        = marjoram_ctl_complain (call, MARJORAM_CTL_UNREACHABLE, err.message);
+    status = marjoram_ctl_error (call, MARJORAM_CTL_UNREACHABLE, err.message);
   else if (answer.status != STATUS_OK)
     status = report_refusal (call, &answer);
   else
@@ -373,7 +370,7 @@
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status = marjoram_ctl_complain (call, MARJORAM_CTL_UNKNOWN, err.message);
+    status = marjoram_ctl_error (call, MARJORAM_CTL_UNKNOWN, err.message);
   else if (answer.status != STATUS_OK)
     report_refusal (call, &answer);
   else
@@ -397,7 +394,7 @@
   enum marjoram_ctl_status status;
 
   if (!load_operand (call, 0, &file, &err))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+    return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED, err.message);
   status = send_change (call, "/control/apply", file.text);
   marjoram_wire_clear (&marjoram_file_layout, &file);
   return status;
@@ -410,7 +407,7 @@
 
   if (!marjoram_name_valid (call->args[0], false)
       || !marjoram_name_valid (call->args[1], false))
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_USAGE,
         "replace-keeper needs the names of two slots; give the same "
         "name twice to replace a keeper that lost its disk");
@@ -428,7 +425,7 @@
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
 
   if (call->host_count > 1)
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_USAGE,
         "drain needs exactly one --host: the host to drain");
   result = call_first_reachable_host (call, "POST", "/control/drain", NULL,
@@ -436,7 +433,7 @@
   if (result == MARJORAM_CONTROL_UNREACHED)
     return MARJORAM_CTL_UNREACHABLE;
   if (result == MARJORAM_CONTROL_UNKNOWN)
-    status = marjoram_ctl_complain (call, MARJORAM_CTL_UNKNOWN, err.message);
+    status = marjoram_ctl_error (call, MARJORAM_CTL_UNKNOWN, err.message);
   else if (answer.status != STATUS_OK)
     status = report_refusal (call, &answer);
   else
@@ -541,7 +538,7 @@
           = marjoram_address_parse (call->options->hosts[i]);
 
       if (!address)
-        return marjoram_ctl_complain (
+        return marjoram_ctl_error (
             call, MARJORAM_CTL_USAGE,
             "--host needs an IP address and a port, for example "
             "10.0.0.1:7001");
@@ -563,12 +560,12 @@
     {
       secret = marjoram_secret_read (call->options->secret_file, &err);
       if (!secret)
-        return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+        return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED, err.message);
     }
   if (call->options->settings)
     status = load_target_settings (call, &secret);
   else if (!secret || call->host_count == 0)
-    status = marjoram_ctl_complain (
+    status = marjoram_ctl_error (
         call, MARJORAM_CTL_USAGE,
         "no host given; use --settings FILE, or --host IP:PORT and "
         "--secret-file FILE");
@@ -592,12 +589,12 @@
   enum marjoram_ctl_status status;
 
   if (arg_count < 1)
-    return marjoram_ctl_complain (&call, MARJORAM_CTL_USAGE,
-                                  "missing command; see --help");
+    return marjoram_ctl_error (&call, MARJORAM_CTL_USAGE,
+                               "missing command; see --help");
   command = find_command (args[0]);
   if (!command)
-    return marjoram_ctl_complain (&call, MARJORAM_CTL_USAGE,
-                                  "no such command; see --help");
+    return marjoram_ctl_error (&call, MARJORAM_CTL_USAGE,
+                               "no such command; see --help");
   if (call.arg_count < command->min_operands
       || call.arg_count > command->max_operands)
     {
--- a/src/ctl_account.c
+++ b/src/ctl_account.c
@@ -64,7 +64,7 @@
 
       free (copy);
       copy = marjoram_strdup (text);
-      if (!marjoram_log_line_read (text, &line))
+      if (!marjoram_log_line_parse (text, &line))
         continue;
       count++;
       if (!id)
@@ -132,7 +132,7 @@
   enum marjoram_ctl_status status = MARJORAM_CTL_DONE;
 
   if (!account)
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_USAGE,
         "--by takes one to six field names, for example cause,route or "
         "second,upstream");
--- a/src/ctl_gateway.c
+++ b/src/ctl_gateway.c
@@ -29,16 +29,16 @@
   int status;
 
   if (!marjoram_plain_call (&request, &status, body))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_USAGE, invalid_address);
+    return marjoram_ctl_error (call, MARJORAM_CTL_USAGE, invalid_address);
   if (status == 0)
-    return marjoram_ctl_complain (call, MARJORAM_CTL_UNREACHABLE,
-                                  "cannot reach the host; check its address");
+    return marjoram_ctl_error (call, MARJORAM_CTL_UNREACHABLE,
+                               "cannot reach the host; check its address");
   if (status == STATUS_OK)
     return MARJORAM_CTL_DONE;
   if (status == STATUS_BAD_REQUEST)
-    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED,
-                                  *body && **body ? *body : "refused");
-  return marjoram_ctl_complain (
+    return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED,
+                               *body && **body ? *body : "refused");
+  return marjoram_ctl_error (
       call, MARJORAM_CTL_UNKNOWN,
       "the keepers did not decide in time and the change may still take "
       "effect; repeat it at any keeper");
@@ -55,19 +55,19 @@
   int status;
 
   if (!marjoram_plain_call (&request, &status, &body))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_USAGE, invalid_address);
+    return marjoram_ctl_error (call, MARJORAM_CTL_USAGE, invalid_address);
   report = body ? json_loads (body, 0, NULL) : NULL;
   if (status == 0)
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_UNREACHABLE,
         "cannot reach the host; check its metrics address");
   if (status != STATUS_OK || !report)
     {
       json_decref (report);
-      return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED,
-                                    "the address serves no status; give "
-                                    "[listen] metrics of a host in the "
-                                    "role entry or keeper");
+      return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED,
+                                 "the address serves no status; give "
+                                 "[listen] metrics of a host in the "
+                                 "role entry or keeper");
     }
   marjoram_ctl_print_object (call, report);
   return MARJORAM_CTL_DONE;
@@ -95,7 +95,7 @@
       call, EVHTTP_REQ_GET, MARJORAM_PATH_ROUTES, NULL, &current);
 
   if (status == MARJORAM_CTL_DONE && strcmp (current, text) != 0)
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_REFUSED,
         "different routes are in force with this or a higher version; show "
         "them with \"marjoramctl routes ADDRESS\" and use a higher version");
@@ -121,7 +121,7 @@
     }
   text = marjoram_file_read (call->args[1], ROUTES_MAX_BYTES, &size, &err);
   if (!text || !check_routes (text, size, &err))
-    return marjoram_ctl_complain (call, MARJORAM_CTL_REFUSED, err.message);
+    return marjoram_ctl_error (call, MARJORAM_CTL_REFUSED, err.message);
   status
       = send_request (call, EVHTTP_REQ_PUT, MARJORAM_PATH_ROUTES, text, &body);
   return status == MARJORAM_CTL_DONE ? check_in_force (call, text) : status;
@@ -134,7 +134,7 @@
   char path[PATH_MAX_BYTES];
 
   if (!marjoram_name_valid (call->args[1], true))
-    return marjoram_ctl_complain (
+    return marjoram_ctl_error (
         call, MARJORAM_CTL_USAGE,
         "the second operand must be the name of a zone");
   snprintf (path, sizeof path, "%s%s", MARJORAM_PATH_EVACUATIONS,
--- a/src/ctl_private.h
+++ b/src/ctl_private.h
@@ -32,9 +32,9 @@
 };
 
 /* Prints TEXT to the error stream and returns STATUS.  */
-enum marjoram_ctl_status
-marjoram_ctl_complain (struct marjoram_ctl_call *call,
-                       enum marjoram_ctl_status status, const char *text);
+enum marjoram_ctl_status marjoram_ctl_error (struct marjoram_ctl_call *call,
+                                             enum marjoram_ctl_status status,
+                                             const char *text);
 /* Takes ownership of OBJECT.  */
 void marjoram_ctl_print_object (struct marjoram_ctl_call *call,
                                 json_t *object);
--- a/src/log_line.c
+++ b/src/log_line.c
@@ -32,7 +32,7 @@
 }
 
 bool
-marjoram_log_line_read (char *text, struct marjoram_log_line *line)
+marjoram_log_line_parse (char *text, struct marjoram_log_line *line)
 {
   char *cursor = find_line_start (text);
 
--- a/src/log_line.h
+++ b/src/log_line.h
@@ -27,7 +27,7 @@
 
 /* Parses TEXT in place.  Returns false if it is not an event log line.  A
    prefix before "t=", as log collectors add, is skipped.  */
-bool marjoram_log_line_read (char *text, struct marjoram_log_line *line);
+bool marjoram_log_line_parse (char *text, struct marjoram_log_line *line);
 /* Returns null if the line has no such field.  */
 const char *marjoram_log_line_get (const struct marjoram_log_line *line,
                                    const char *key);
--- a/test/test_account.c
+++ b/test/test_account.c
@@ -127,7 +127,7 @@
   char text[] = "t=1.5 host=h event=config why=\"two words\" number=7\n";
   struct marjoram_log_line line;
 
-  ck_assert (marjoram_log_line_read (text, &line));
+  ck_assert (marjoram_log_line_parse (text, &line));
   ck_assert_str_eq (marjoram_log_line_get (&line, "why"), "two words");
   ck_assert_int_eq (marjoram_log_line_number (&line, "number", 0), 7);
   ck_assert_int_eq (marjoram_log_line_number (&line, "why", -1), -1);
