--- a/src/log_line.h
+++ b/src/log_line.h
@@ -22,7 +22,7 @@
 {
   struct marjoram_log_field fields[MARJORAM_LOG_FIELDS_MAX];
   size_t count;
-  double at; /* s since the epoch */
+  double at; /* seconds since the epoch */
 };
 
 /* Parses TEXT in place.  Returns false if it is not an event log line.  A
--- a/src/main_marjoramd.c
+++ b/src/main_marjoramd.c
@@ -68,7 +68,7 @@
   return finished ? EXIT_DONE : EXIT_UNFINISHED;
 }
 
-/* Loads the settings of a host in the role entry or keeper.  */
+/* Loads the settings of a host in the role entry or keeper and runs it.  */
 static int
 load_and_run_gateway (const char *path, bool check_only)
 {
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -33,6 +33,7 @@
   MARJORAM_METRIC_COUNT
 };
 
+/* Histograms of durations in milliseconds.  */
 enum marjoram_timing
 {
   MARJORAM_TIMING_FIRST,    /* time to the first event or the response */
--- a/src/reason.h
+++ b/src/reason.h
@@ -44,13 +44,13 @@
   MARJORAM_OUTCOME_UNKNOWN
 };
 
-/* For example "no-quorum".  */
+/* Returns the name of REASON, for example "claim-no-quorum".  */
 const char *marjoram_reason_name (enum marjoram_reason reason);
 /* Returns a hint for the caller.  */
 const char *marjoram_reason_remedy (enum marjoram_reason reason);
 /* Returns the HTTP status code of a request that was not run.  */
 int marjoram_reason_status (enum marjoram_reason reason);
-/* "done", "not-run" or "unknown".  */
+/* Returns "done", "not-run" or "unknown".  */
 const char *marjoram_outcome_name (enum marjoram_outcome outcome);
 
 #endif
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -150,15 +150,16 @@
 }
 
 static void
-fake_unproved (void *context)
+fake_authentication_failed (void *context)
 {
   (void)context;
   host.unproved++;
 }
 
 static const struct marjoram_control_ops ops
-    = { fake_status, fake_upstreams, fake_explain, fake_state,   fake_counters,
-        fake_apply,  fake_replace,   fake_drain,   fake_unproved };
+    = { fake_status,  fake_upstreams, fake_explain,
+        fake_state,   fake_counters,  fake_apply,
+        fake_replace, fake_drain,     fake_authentication_failed };
 
 static void *
 run_event_loop (void *base)
