--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -18,7 +18,7 @@
 
 /* ---- Headers.  ---- */
 
-START_TEST (call_is_read)
+START_TEST (request_headers_are_parsed)
 {
   struct marjoram_header_list headers = { 0 };
   struct marjoram_call_facts facts;
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST (malformed_call_headers_say_nothing)
+START_TEST (malformed_request_headers_are_ignored)
 {
   static const char *const prompts[] = { "", ":", "x:1", "1:", "1:-5", "1;2" };
   static const char *const usages[] = { "", "a,b", "5", ",", "5," };
@@ -70,7 +70,7 @@
 
 /* A caller sets internal headers to reserve engine memory or to read another
    request's cache.  They must not reach an upstream.  */
-START_TEST (callers_cannot_set_what_is_ours)
+START_TEST (internal_headers_are_not_forwarded_to_upstreams)
 {
   ck_assert (!dialect->passes_to_upstream ("Marjoramproxy-Hold"));
   ck_assert (!dialect->passes_to_upstream ("marjoramproxy-pin-ms"));
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST (run_is_written)
+START_TEST (upstream_headers_are_written)
 {
   const struct marjoram_run_facts facts = { .patience_ms = 1500,
                                             .upstream = "i-7",
@@ -112,7 +112,7 @@
 }
 END_TEST
 
-START_TEST (answer_is_read)
+START_TEST (response_headers_are_parsed)
 {
   struct marjoram_header_list headers = { 0 };
   struct marjoram_answer_facts facts;
@@ -151,7 +151,7 @@
   "\"state\":\"%s\",\"slots\":64,\"cold_remaining_ms\":250,\"seq\":4,"        \
   "\"born\":1700000000123,\"version\":\"v1\",\"new\":[1]}"
 
-START_TEST (heartbeat_is_read)
+START_TEST (heartbeat_is_parsed)
 {
   struct marjoram_ask call;
   char body[512];
@@ -176,7 +176,7 @@
 
 /* Heartbeats with missing or mistyped fields, unknown states or invalid bytes
    must not register an upstream.  */
-START_TEST (malformed_heartbeats_are_refused)
+START_TEST (invalid_heartbeats_are_rejected)
 {
   static const char *const bodies[] = {
     "",
@@ -212,7 +212,7 @@
 }
 END_TEST
 
-START_TEST (leave_needs_no_body)
+START_TEST (deregistration_body_is_optional)
 {
   struct marjoram_ask call;
 
@@ -226,7 +226,7 @@
 }
 END_TEST
 
-START_TEST (other_calls_are_read)
+START_TEST (other_api_calls_are_parsed)
 {
   struct marjoram_ask call;
 
@@ -256,7 +256,7 @@
 }
 END_TEST
 
-START_TEST (lookup_is_written)
+START_TEST (lookup_response_is_written)
 {
   static const char *const addresses[] = { "10.0.0.1:80", "10.0.0.2:80" };
   char *text = dialect->write_lookup (addresses, 2, 2);
@@ -300,7 +300,7 @@
   return table;
 }
 
-START_TEST (configuration_is_read)
+START_TEST (configuration_is_parsed)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table = read_config (
@@ -367,7 +367,7 @@
 }
 END_TEST
 
-START_TEST (weights_split_keys)
+START_TEST (keys_are_split_by_weight)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table
@@ -394,7 +394,7 @@
 }
 END_TEST
 
-START_TEST (faulty_configurations_are_refused)
+START_TEST (invalid_configurations_are_rejected)
 {
   static const char *const texts[] = {
     "",
@@ -444,20 +444,20 @@
   TCase *tcase = tcase_create ("platform");
 
   tcase_add_checked_fixture (tcase, setup, NULL);
-  tcase_add_test (tcase, call_is_read);
-  tcase_add_test (tcase, malformed_call_headers_say_nothing);
-  tcase_add_test (tcase, callers_cannot_set_what_is_ours);
-  tcase_add_test (tcase, run_is_written);
-  tcase_add_test (tcase, answer_is_read);
-  tcase_add_test (tcase, heartbeat_is_read);
-  tcase_add_test (tcase, malformed_heartbeats_are_refused);
-  tcase_add_test (tcase, leave_needs_no_body);
-  tcase_add_test (tcase, other_calls_are_read);
-  tcase_add_test (tcase, lookup_is_written);
-  tcase_add_test (tcase, configuration_is_read);
+  tcase_add_test (tcase, request_headers_are_parsed);
+  tcase_add_test (tcase, malformed_request_headers_are_ignored);
+  tcase_add_test (tcase, internal_headers_are_not_forwarded_to_upstreams);
+  tcase_add_test (tcase, upstream_headers_are_written);
+  tcase_add_test (tcase, response_headers_are_parsed);
+  tcase_add_test (tcase, heartbeat_is_parsed);
+  tcase_add_test (tcase, invalid_heartbeats_are_rejected);
+  tcase_add_test (tcase, deregistration_body_is_optional);
+  tcase_add_test (tcase, other_api_calls_are_parsed);
+  tcase_add_test (tcase, lookup_response_is_written);
+  tcase_add_test (tcase, configuration_is_parsed);
   tcase_add_test (tcase, longest_prefix_wins);
-  tcase_add_test (tcase, weights_split_keys);
-  tcase_add_test (tcase, faulty_configurations_are_refused);
+  tcase_add_test (tcase, keys_are_split_by_weight);
+  tcase_add_test (tcase, invalid_configurations_are_rejected);
   suite_add_tcase (s, tcase);
   return s;
 }
