--- a/api_test/api_test_marjoram.c
+++ b/api_test/api_test_marjoram.c
@@ -55,7 +55,7 @@
   return state;
 }
 
-START_TEST (example_files_have_their_sizes)
+START_TEST (example_files_have_expected_sizes)
 {
   struct marjoram_state *state = load_state (deployments[_i].directory);
   struct marjoram_error err = { 0 };
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-START_TEST (example_files_pass_the_tool)
+START_TEST (example_files_pass_check)
 {
   const struct marjoram_ctl_options options = { 0 };
   char paths[FILE_COUNT][128];
@@ -168,7 +168,7 @@
 }
 END_TEST
 
-START_TEST (tells_its_version)
+START_TEST (reports_its_version)
 {
   ck_assert_str_eq (marjoram_version (), MARJORAM_VERSION);
 }
@@ -180,10 +180,10 @@
   Suite *s = suite_create ("marjoram");
   TCase *c = tcase_create ("marjoram");
 
-  tcase_add_loop_test (c, example_files_have_their_sizes, 0, 2);
-  tcase_add_loop_test (c, example_files_pass_the_tool, 0, 2);
+  tcase_add_loop_test (c, example_files_have_expected_sizes, 0, 2);
+  tcase_add_loop_test (c, example_files_pass_check, 0, 2);
   tcase_add_loop_test (c, example_settings_load, 0, 2);
-  tcase_add_test (c, tells_its_version);
+  tcase_add_test (c, reports_its_version);
   suite_add_tcase (s, c);
   return s;
 }
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -291,7 +291,7 @@
     request->may_have_run = true;
   if (!final && may_retry (host, now, request, outcome))
     {
-      marjoram_counters_retried (host->counters, reason);
+      marjoram_counters_add_retry (host->counters, reason);
       marjoram_log (MARJORAM_LOG_INFO, "%s: retrying after %s", request->id,
                     marjoram_reason_name (reason));
       request->reason = reason;
--- a/src/control.c
+++ b/src/control.c
@@ -73,7 +73,7 @@
       = { control->slot, nonce, status, text, strlen (text) };
   char proof[MARJORAM_PROOF_TEXT + 1];
 
-  marjoram_control_reply_prove (control->secret, &reply, proof);
+  marjoram_control_reply_sign (control->secret, &reply, proof);
   evhttp_add_header (headers, MARJORAM_CONTROL_PROOF, proof);
   evhttp_add_header (headers, "Content-Type", type);
   evhttp_add_header (headers, "Connection", "close");
@@ -411,7 +411,7 @@
 
   if (time && parse_non_negative (time, &signed_call.sent))
     {
-      marjoram_control_call_prove (control->secret, &signed_call, expected);
+      marjoram_control_call_sign (control->secret, &signed_call, expected);
       if (marjoram_control_proof_equal (
               evhttp_find_header (headers, MARJORAM_CONTROL_PROOF), expected))
         {
@@ -425,8 +425,8 @@
           return false;
         }
     }
-  if (control->ops->unproved)
-    control->ops->unproved (control->context);
+  if (control->ops->authentication_failed)
+    control->ops->authentication_failed (control->context);
   send_error (control, call->req, call->nonce, STATUS_UNAUTHORIZED, "refused",
               "invalid signature; check --secret-file and --host");
   return false;
--- a/src/control.h
+++ b/src/control.h
@@ -43,7 +43,7 @@
                    const char *old, const char *new);
   void (*drain) (void *context);
   /* Called when a call fails authentication; may be null.  */
-  void (*unproved) (void *context);
+  void (*authentication_failed) (void *context);
 };
 
 /* Listens on the control address of SETTINGS.  Returns null and sets ERR on
--- a/src/control_client.c
+++ b/src/control_client.c
@@ -123,7 +123,7 @@
       = { slot, nonce, exchange->status, exchange->body, exchange->size };
   char expected[MARJORAM_PROOF_TEXT + 1];
 
-  marjoram_control_reply_prove (target->secret, &reply, expected);
+  marjoram_control_reply_sign (target->secret, &reply, expected);
   return marjoram_control_proof_equal (exchange->proof, expected);
 }
 
@@ -164,7 +164,7 @@
   struct exchange exchange = { 0 };
   bool valid;
 
-  marjoram_control_nonce_make (nonce);
+  marjoram_control_nonce_generate (nonce);
   run_exchange (&exchange, target, &call, NULL);
   if (exchange.status)
     valid = parse_hello (&exchange, target, nonce, slot, time, err);
@@ -179,10 +179,11 @@
 }
 
 enum marjoram_control_result
-marjoram_control_ask (const struct marjoram_control_target *target,
-                      const char *method, const char *path, const char *body,
-                      struct marjoram_control_answer *answer,
-                      struct marjoram_error *err)
+marjoram_control_request (const struct marjoram_control_target *target,
+                          const char *method, const char *path,
+                          const char *body,
+                          struct marjoram_control_answer *answer,
+                          struct marjoram_error *err)
 {
   char nonce[MARJORAM_NONCE_TEXT + 1];
   char proof[MARJORAM_PROOF_TEXT + 1];
@@ -197,8 +198,8 @@
   if (!fetch_hello (target, &answer->slot, &call.sent, err))
     return MARJORAM_CONTROL_UNREACHED;
   call.slot = answer->slot;
-  marjoram_control_nonce_make (nonce);
-  marjoram_control_call_prove (target->secret, &call, proof);
+  marjoram_control_nonce_generate (nonce);
+  marjoram_control_call_sign (target->secret, &call, proof);
   run_exchange (&exchange, target, &call, proof);
   answer->status = exchange.status;
   answer->body = exchange.body;
--- a/src/control_client.h
+++ b/src/control_client.h
@@ -32,11 +32,10 @@
 
 /* PATH may include a query string.  ANSWER must always be cleared by the
    caller.  */
-enum marjoram_control_result
-marjoram_control_ask (const struct marjoram_control_target *target,
-                      const char *method, const char *path, const char *body,
-                      struct marjoram_control_answer *answer,
-                      struct marjoram_error *err);
+enum marjoram_control_result marjoram_control_request (
+    const struct marjoram_control_target *target, const char *method,
+    const char *path, const char *body, struct marjoram_control_answer *answer,
+    struct marjoram_error *err);
 void marjoram_control_answer_clear (struct marjoram_control_answer *answer);
 
 #endif
--- a/src/control_proof.c
+++ b/src/control_proof.c
@@ -22,9 +22,9 @@
 }
 
 void
-marjoram_control_call_prove (const char *secret,
-                             const struct marjoram_control_call *call,
-                             char proof[MARJORAM_PROOF_TEXT + 1])
+marjoram_control_call_sign (const char *secret,
+                            const struct marjoram_control_call *call,
+                            char proof[MARJORAM_PROOF_TEXT + 1])
 {
   marjoram_auto_free char *digest = marjoram_digest (call->body, call->size);
   char *text;
@@ -38,9 +38,9 @@
 }
 
 void
-marjoram_control_reply_prove (const char *secret,
-                              const struct marjoram_control_reply *reply,
-                              char proof[MARJORAM_PROOF_TEXT + 1])
+marjoram_control_reply_sign (const char *secret,
+                             const struct marjoram_control_reply *reply,
+                             char proof[MARJORAM_PROOF_TEXT + 1])
 {
   marjoram_auto_free char *digest = marjoram_digest (reply->body, reply->size);
   char *text;
@@ -67,7 +67,7 @@
 }
 
 void
-marjoram_control_nonce_make (char nonce[MARJORAM_NONCE_TEXT + 1])
+marjoram_control_nonce_generate (char nonce[MARJORAM_NONCE_TEXT + 1])
 {
   uint8_t bytes[MARJORAM_NONCE_TEXT / 2];
 
--- a/src/control_proof.h
+++ b/src/control_proof.h
@@ -39,15 +39,15 @@
 };
 
 /* Store MARJORAM_PROOF_TEXT hex digits and a NUL in PROOF.  */
-void marjoram_control_call_prove (const char *secret,
-                                  const struct marjoram_control_call *call,
+void marjoram_control_call_sign (const char *secret,
+                                 const struct marjoram_control_call *call,
+                                 char proof[MARJORAM_PROOF_TEXT + 1]);
+void marjoram_control_reply_sign (const char *secret,
+                                  const struct marjoram_control_reply *reply,
                                   char proof[MARJORAM_PROOF_TEXT + 1]);
-void marjoram_control_reply_prove (const char *secret,
-                                   const struct marjoram_control_reply *reply,
-                                   char proof[MARJORAM_PROOF_TEXT + 1]);
 /* Compares in constant time.  GIVEN may be null or malformed.  */
 bool marjoram_control_proof_equal (const char *given, const char *expected);
 bool marjoram_control_nonce_valid (const char *nonce);
-void marjoram_control_nonce_make (char nonce[MARJORAM_NONCE_TEXT + 1]);
+void marjoram_control_nonce_generate (char nonce[MARJORAM_NONCE_TEXT + 1]);
 
 #endif
--- a/src/counter.c
+++ b/src/counter.c
@@ -54,15 +54,15 @@
 }
 
 void
-marjoram_counters_refused (marjoram_counters *counters,
-                           enum marjoram_reason reason)
+marjoram_counters_add_refusal (marjoram_counters *counters,
+                               enum marjoram_reason reason)
 {
   counters->refused[reason]++;
 }
 
 void
-marjoram_counters_retried (marjoram_counters *counters,
-                           enum marjoram_reason reason)
+marjoram_counters_add_retry (marjoram_counters *counters,
+                             enum marjoram_reason reason)
 {
   counters->retried[reason]++;
 }
--- a/src/counter.h
+++ b/src/counter.h
@@ -39,10 +39,10 @@
 void marjoram_counters_add (marjoram_counters *counters,
                             enum marjoram_counter which, uint64_t amount);
 /* Count a refused request and a retried attempt by REASON.  */
-void marjoram_counters_refused (marjoram_counters *counters,
-                                enum marjoram_reason reason);
-void marjoram_counters_retried (marjoram_counters *counters,
-                                enum marjoram_reason reason);
+void marjoram_counters_add_refusal (marjoram_counters *counters,
+                                    enum marjoram_reason reason);
+void marjoram_counters_add_retry (marjoram_counters *counters,
+                                  enum marjoram_reason reason);
 uint64_t marjoram_counters_get (const marjoram_counters *counters,
                                 enum marjoram_counter which);
 /* Returns the counters in the Prometheus text format, malloc'd.  */
--- a/src/ctl.c
+++ b/src/ctl.c
@@ -182,8 +182,8 @@
   for (size_t i = 0; i < call->host_count; i++)
     {
       call->target.address = call->hosts[i];
-      result = marjoram_control_ask (&call->target, method, path, body, answer,
-                                     err);
+      result = marjoram_control_request (&call->target, method, path, body,
+                                         answer, err);
       if (result != MARJORAM_CONTROL_UNREACHED)
         break;
       marjoram_control_answer_clear (answer);
@@ -356,7 +356,7 @@
 
   if (!id)
     {
-      marjoram_control_nonce_make (generated_id);
+      marjoram_control_nonce_generate (generated_id);
       id = generated_id;
     }
   fprintf (call->errors, "change id: %s\n", id);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -317,7 +317,7 @@
   .apply = control_apply,
   .replace = control_replace,
   .drain = control_drain,
-  .unproved = control_unproved,
+  .authentication_failed = control_unproved,
 };
 
 /* ---- Timer and signals.  ---- */
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -54,7 +54,8 @@
     }
   /* Taken now, a long answer would be cut when the drain reaches its limit. */
   marjoram_http_request_destroy (request);
-  marjoram_metrics_refused (self->parts->metrics, MARJORAM_REASON_DRAINING);
+  marjoram_metrics_add_refusal (self->parts->metrics,
+                                MARJORAM_REASON_DRAINING);
   marjoram_entry_refuse_call (self, call, &why);
 }
 
--- a/src/front.c
+++ b/src/front.c
@@ -161,7 +161,7 @@
       = { NULL, MARJORAM_OUTCOME_NOT_RUN, reason, 0 };
 
   marjoram_counters_add (front->counters, MARJORAM_COUNTER_BAD_HTTP, 1);
-  marjoram_counters_refused (front->counters, reason);
+  marjoram_counters_add_refusal (front->counters, reason);
   say_close (request);
   reply_refusal (request, &refusal, message);
 }
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -202,7 +202,7 @@
                             ? MARJORAM_METRIC_NOT_RUN
                             : MARJORAM_METRIC_UNKNOWN,
                         1);
-  marjoram_metrics_refused (metrics, why->reason);
+  marjoram_metrics_add_refusal (metrics, why->reason);
   log_end (exchange, now, marjoram_outcome_name (why->outcome), why->reason,
            why->status);
   if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
@@ -224,8 +224,8 @@
   if (whole)
     marjoram_crash_list_add_answer (gateway->crashes,
                                     marjoram_exchange_digest (exchange));
-  marjoram_metrics_time (metrics, MARJORAM_TIMING_WHOLE,
-                         now - exchange->received_at);
+  marjoram_metrics_observe (metrics, MARJORAM_TIMING_TOTAL,
+                            now - exchange->received_at);
   log_end (exchange, now, whole ? "done" : "cut", MARJORAM_REASON_NONE,
            exchange->status);
   destroy (gateway, exchange);
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -176,10 +176,10 @@
     return;
   exchange->first_event_at = now;
   error = now - exchange->received_at - exchange->estimated_wait_ms;
-  marjoram_metrics_time (gateway->options.metrics, MARJORAM_TIMING_FIRST,
-                         now - exchange->received_at);
-  marjoram_metrics_time (gateway->options.metrics, MARJORAM_TIMING_ESTIMATE,
-                         error < 0 ? -error : error);
+  marjoram_metrics_observe (gateway->options.metrics, MARJORAM_TIMING_FIRST,
+                            now - exchange->received_at);
+  marjoram_metrics_observe (gateway->options.metrics, MARJORAM_TIMING_ESTIMATE,
+                            error < 0 ? -error : error);
 }
 
 bool
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -48,7 +48,7 @@
 
 static const char *const timing_names[MARJORAM_TIMING_COUNT] = {
   [MARJORAM_TIMING_FIRST] = "first_answer_ms",
-  [MARJORAM_TIMING_WHOLE] = "whole_answer_ms",
+  [MARJORAM_TIMING_TOTAL] = "whole_answer_ms",
   [MARJORAM_TIMING_ESTIMATE] = "estimate_error_ms",
 };
 
@@ -84,15 +84,15 @@
 }
 
 void
-marjoram_metrics_refused (marjoram_metrics *metrics,
-                          enum marjoram_reason reason)
+marjoram_metrics_add_refusal (marjoram_metrics *metrics,
+                              enum marjoram_reason reason)
 {
   metrics->refused[reason]++;
 }
 
 void
-marjoram_metrics_time (marjoram_metrics *metrics, enum marjoram_timing timing,
-                       int64_t msec)
+marjoram_metrics_observe (marjoram_metrics *metrics,
+                          enum marjoram_timing timing, int64_t msec)
 {
   gsl_histogram_increment (metrics->histograms[timing], (double)msec);
   metrics->sums[timing] += (double)msec;
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -37,7 +37,7 @@
 enum marjoram_timing
 {
   MARJORAM_TIMING_FIRST,    /* time to the first event or the response */
-  MARJORAM_TIMING_WHOLE,    /* time to the end of the response */
+  MARJORAM_TIMING_TOTAL,    /* time to the end of the response */
   MARJORAM_TIMING_ESTIMATE, /* absolute error of the estimated wait */
   MARJORAM_TIMING_COUNT
 };
@@ -47,10 +47,10 @@
 void marjoram_metrics_add (marjoram_metrics *metrics,
                            enum marjoram_metric metric, uint64_t amount);
 /* Counts a request refused for REASON.  */
-void marjoram_metrics_refused (marjoram_metrics *metrics,
-                               enum marjoram_reason reason);
-void marjoram_metrics_time (marjoram_metrics *metrics,
-                            enum marjoram_timing timing, int64_t msec);
+void marjoram_metrics_add_refusal (marjoram_metrics *metrics,
+                                   enum marjoram_reason reason);
+void marjoram_metrics_observe (marjoram_metrics *metrics,
+                               enum marjoram_timing timing, int64_t msec);
 uint64_t marjoram_metrics_get (const marjoram_metrics *metrics,
                                enum marjoram_metric metric);
 /* Returns malloc'd text.  */
--- a/src/relay.c
+++ b/src/relay.c
@@ -119,7 +119,7 @@
   struct marjoram_end end = { number, MARJORAM_OUTCOME_NOT_RUN, reason,
                               0,      MARJORAM_RETRY_AFTER_MS,  0 };
 
-  marjoram_counters_refused (host->counters, reason);
+  marjoram_counters_add_refusal (host->counters, reason);
   host->ops->reply (host->context, slot, session, MARJORAM_FRAME_END, &end);
 }
 
--- a/src/request.c
+++ b/src/request.c
@@ -100,7 +100,7 @@
 
   marjoram_counters_add (host->counters, counters[outcome], 1);
   if (outcome != MARJORAM_OUTCOME_DONE)
-    marjoram_counters_refused (host->counters, request->reason);
+    marjoram_counters_add_refusal (host->counters, request->reason);
 }
 
 void
--- a/test/test_account.c
+++ b/test/test_account.c
@@ -77,7 +77,7 @@
   return status;
 }
 
-START_TEST (causes_are_counted)
+START_TEST (requests_are_grouped_by_cause)
 {
   ck_assert_int_eq (run (NULL, NULL, true), MARJORAM_CTL_DONE);
   ck_assert (strstr (output, "5 requests, 1 served in time"));
@@ -89,7 +89,7 @@
 }
 END_TEST
 
-START_TEST (other_fields_group_too)
+START_TEST (requests_are_grouped_by_other_fields)
 {
   ck_assert_int_eq (run ("upstream", NULL, true), MARJORAM_CTL_DONE);
   ck_assert (strstr (output, "  u1\n"));
@@ -100,7 +100,7 @@
 END_TEST
 
 /* Lines of a forwarded request are merged from two logs in order of time.  */
-START_TEST (one_request_is_followed_over_all_hosts)
+START_TEST (request_is_traced_across_hosts)
 {
   const char *failed;
   const char *refused;
@@ -115,14 +115,14 @@
 }
 END_TEST
 
-START_TEST (file_of_something_else_is_told)
+START_TEST (file_without_event_lines_is_rejected)
 {
   ck_assert_int_eq (run (NULL, NULL, false), MARJORAM_CTL_REFUSED);
   ck_assert (strstr (error_output, "no line of the event log"));
 }
 END_TEST
 
-START_TEST (quoted_values_are_whole)
+START_TEST (quoted_values_may_contain_spaces)
 {
   char text[] = "t=1.5 host=h event=config why=\"two words\" number=7\n";
   struct marjoram_log_line line;
@@ -140,11 +140,11 @@
   Suite *s = suite_create ("account");
   TCase *c = tcase_create ("account");
 
-  tcase_add_test (c, causes_are_counted);
-  tcase_add_test (c, other_fields_group_too);
-  tcase_add_test (c, one_request_is_followed_over_all_hosts);
-  tcase_add_test (c, file_of_something_else_is_told);
-  tcase_add_test (c, quoted_values_are_whole);
+  tcase_add_test (c, requests_are_grouped_by_cause);
+  tcase_add_test (c, requests_are_grouped_by_other_fields);
+  tcase_add_test (c, request_is_traced_across_hosts);
+  tcase_add_test (c, file_without_event_lines_is_rejected);
+  tcase_add_test (c, quoted_values_may_contain_spaces);
   suite_add_tcase (s, c);
   return s;
 }
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -42,7 +42,7 @@
   struct marjoram_state *state;
   int applies;
   int drains;
-  int unproved;
+  int authentication_failed;
   uint64_t unanswered;      /* request without an answer yet */
   char last_arguments[256]; /* arguments of the last operation */
 } host;
@@ -153,7 +153,7 @@
 fake_authentication_failed (void *context)
 {
   (void)context;
-  host.unproved++;
+  host.authentication_failed++;
 }
 
 static const struct marjoram_control_ops ops
@@ -365,7 +365,7 @@
 }
 END_TEST
 
-START_TEST (prints_json_and_makes_ids)
+START_TEST (prints_json_and_generates_change_ids)
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
@@ -388,7 +388,7 @@
 
 /* A command must not run twice: after a lost response no other host may be
    tried.  */
-START_TEST (tries_next_host_only_if_none_was_asked)
+START_TEST (tries_next_host_only_if_unreachable)
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
@@ -418,7 +418,7 @@
 }
 END_TEST
 
-START_TEST (refuses_another_secret)
+START_TEST (rejects_wrong_secret)
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *text = NULL;
@@ -464,7 +464,7 @@
                                         .body = "" };
   char signature[MARJORAM_PROOF_TEXT + 1];
 
-  marjoram_control_call_prove (SECRET, &call, signature);
+  marjoram_control_call_sign (SECRET, &call, signature);
   snprintf (text, 512,
             "POST /control/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n"
             "Marjoram-Time: %" PRId64 "\r\nMarjoram-Nonce: %s\r\n"
@@ -476,7 +476,7 @@
 
 /* A recorded drain must not be replayable on the same host, on another host or
    after a restart, and unsigned calls must be rejected.  */
-START_TEST (runs_no_recorded_or_unsigned_call)
+START_TEST (rejects_replayed_and_unsigned_calls)
 {
   char text[512];
 
@@ -486,7 +486,7 @@
                         "0\r\nMarjoram-Time: 1000000\r\n\r\n",
                         true),
       401);
-  ck_assert_int_eq (host.unproved, 1);
+  ck_assert_int_eq (host.authentication_failed, 1);
   format_signed_drain (text, "ba-1-b", START_WALL, NONCE "1");
   ck_assert_int_eq (send_raw_request (text, true), 401);
   format_signed_drain (text, "ba-1-a", START_WALL, NONCE "2");
@@ -505,7 +505,7 @@
 }
 END_TEST
 
-START_TEST (answers_bad_calls)
+START_TEST (rejects_malformed_calls)
 {
   static const struct
   {
@@ -536,7 +536,7 @@
 
 /* The outcome of an apply must not be written to a connection that the client
    has closed.  */
-START_TEST (survives_a_caller_that_went_away)
+START_TEST (survives_disconnected_client)
 {
   struct marjoram_ctl_options options = default_options ();
   marjoram_auto_free char *first_text = NULL;
@@ -562,7 +562,7 @@
 }
 END_TEST
 
-START_TEST (takes_each_call_once)
+START_TEST (accepts_each_call_once)
 {
   marjoram_replays *replays = marjoram_replays_create (START_WALL);
   const int64_t window = MARJORAM_REPLAY_WINDOW_MS;
@@ -617,13 +617,13 @@
   tcase_add_checked_fixture (c, setup, teardown);
   tcase_add_loop_test (c, runs_commands, 0,
                        sizeof command_cases / sizeof *command_cases);
-  tcase_add_test (c, prints_json_and_makes_ids);
-  tcase_add_test (c, tries_next_host_only_if_none_was_asked);
-  tcase_add_test (c, refuses_another_secret);
-  tcase_add_test (c, runs_no_recorded_or_unsigned_call);
-  tcase_add_test (c, answers_bad_calls);
-  tcase_add_test (c, survives_a_caller_that_went_away);
-  tcase_add_test (c, takes_each_call_once);
+  tcase_add_test (c, prints_json_and_generates_change_ids);
+  tcase_add_test (c, tries_next_host_only_if_unreachable);
+  tcase_add_test (c, rejects_wrong_secret);
+  tcase_add_test (c, rejects_replayed_and_unsigned_calls);
+  tcase_add_test (c, rejects_malformed_calls);
+  tcase_add_test (c, survives_disconnected_client);
+  tcase_add_test (c, accepts_each_call_once);
   tcase_add_test (c, shows_differences_without_tokens);
   suite_add_tcase (s, c);
   return s;
