--- a/src/entry_answer.c
+++ b/src/entry_answer.c
@@ -11,7 +11,7 @@
   NUMBER_TEXT_MAX = 32
 };
 
-/* ---- Answers to callers and to other hosts.  ---- */
+/* ---- Responses to callers and to other hosts.  ---- */
 
 static struct marjoram_inbound *
 find_inbound (struct marjoram_entry *self, uint64_t call)
@@ -26,7 +26,7 @@
 marjoram_entry_forget_inbound (struct marjoram_entry *self,
                                struct marjoram_inbound *inbound)
 {
-  /* The list macros mislead it.  NOLINTNEXTLINE(clang-analyzer-*) */
+  /* False positive in uthash macros.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, self->inbound, inbound);
   free (inbound->host);
   free (inbound);
