--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -9,14 +9,14 @@
 enum
 {
   STATUS_UNAVAILABLE = 503,
-  /* Far above what a piece of the state takes on a full link; then the next
-     keeper that offers it is asked.  */
+  /* Time without a piece before the state is requested from the next keeper
+     that announced it.  */
   STALLED_MS = 2000,
-  /* On a link that is full for long a piece takes longer yet.  */
+  /* Upper bound of the backoff, for congested links.  */
   STALLED_MAX_MS = 8000
 };
 
-/* ---- The agreed state.  ---- */
+/* ---- Replicated state.  ---- */
 
 static void
 op_ask (void *context, const char *keeper,
