--- a/src/entry_loads.c
+++ b/src/entry_loads.c
@@ -7,20 +7,20 @@
 
 enum
 {
-  REPORT_MS = 100, /* loads to the other hosts of the region */
-  /* In large fleets, what changes is told to the collectors, and their sums to
-     all hosts; together they are about as old as reports are.  */
+  REPORT_MS = 100, /* load reports to the other hosts of the region */
+  /* With collectors: hosts send load changes to the collectors, which send
+     totals to all hosts.  Both delays together are close to REPORT_MS.  */
   CHANGES_MS = 50,
   SUMS_MS = 100,
-  WHOLE_MS = 1000, /* all that runs, to a collector that has missed some */
-  /* Hosts of a region, this one included, that report to all others; more of
-     them report to collectors, until they are so few again.  */
+  WHOLE_MS = 1000, /* full reports, in case a collector missed changes */
+  /* Hosts of a region, including this one.  Above DIRECT_MAX they report to
+     collectors; below DIRECT_AGAIN they report to each other again.  */
   DIRECT_MAX = 48,
   DIRECT_AGAIN = 40,
   GROUP_KEY_MAX = 16
 };
 
-/* Hosts of this region hear it at once; keepers pass it on to the others.  */
+/* Sent directly to hosts of this region; keepers relay to other regions.  */
 static void
 report_crashes (struct marjoram_entry *self)
 {
@@ -48,10 +48,10 @@
   marjoram_wire_clear (&marjoram_load_report_layout, &loads);
 }
 
-/* ---- By collectors.  ---- */
+/* ---- Reports through collectors.  ---- */
 
-/* The collector of GROUP, by rendezvous hashing over the hosts that serve;
-   null if there is none.  */
+/* The collector of GROUP, by rendezvous hashing over the serving hosts; null
+   if there is none.  */
 static const char *
 collector_of (const struct marjoram_entry *self, int64_t now, int group)
 {
@@ -83,7 +83,8 @@
                               MARJORAM_FRAME_LOAD_CHANGES, report);
 }
 
-/* A collector that is new to the group knows nothing.  */
+/* Returns whether the group's collector changed: a new one needs a full
+   report.  */
 static bool
 note_collector (struct marjoram_entry *self, int group, const char *host)
 {
@@ -154,7 +155,7 @@
                                    now, groups, sums);
 }
 
-/* ---- Which of them.  ---- */
+/* ---- Choice of the reporting mode.  ---- */
 
 static bool
 uses_collectors (struct marjoram_entry *self, int64_t now)
