--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -1,7 +1,7 @@
-/* The parts of the role entry: entry_role.c (tasks, configuration, course),
-   entry_loads.c (what runs, to the hosts of the region), entry_answer.c (what
-   the gateway does to callers, upstreams and other hosts) and entry_frame.c
-   (what other hosts tell).  */
+/* Internals of the entry role: entry_role.c (tasks, configuration,
+   life cycle), entry_loads.c (load reports to the hosts of the region),
+   entry_answer.c (the gateway's operations on callers, upstreams and other
+   hosts) and entry_frame.c (frames received from other hosts).  */
 #ifndef MARJORAM_ENTRY_PRIVATE_H
 #define MARJORAM_ENTRY_PRIVATE_H
 
@@ -16,7 +16,8 @@
 
 #include <uthash.h>
 
-/* Calls that come from other hosts have numbers apart from callers'.  */
+/* Set in the numbers of calls forwarded by other hosts, to keep them distinct
+   from those of local callers.  */
 #define MARJORAM_FORWARDED_CALL (UINT64_C (1) << 63)
 
 /* A request that another host forwarded here.  */
@@ -25,8 +26,8 @@
   uint64_t call;
   char *host;
   uint64_t session;
-  uint64_t request; /* the other host's number */
-  uint64_t offset;  /* bytes of the answer's body that were sent */
+  uint64_t request; /* id assigned by the forwarding host */
+  uint64_t offset;  /* response body bytes sent so far */
   UT_hash_handle hh;
 };
 
@@ -42,18 +43,19 @@
   marjoram_state_fetch *fetch;
   int64_t created_at;
   struct marjoram_route_table *table;
-  struct marjoram_route_table *former; /* the gateway's */
+  struct marjoram_route_table *former; /* still used by the gateway */
   struct marjoram_names evacuated;
-  struct marjoram_leaving_zones leaving; /* of these, the newest */
-  bool knows_evacuations; /* a state was heard since the start */
+  struct marjoram_leaving_zones leaving; /* evacuated most recently */
+  bool knows_evacuations; /* a state was received since startup */
   uint64_t config_number;
   struct marjoram_inbound *inbound;
   uint64_t next_call;
   int64_t reported_at;
-  /* Of loads by collectors.  */
+  /* Load reports through collectors.  */
   marjoram_load_collector *collector;
   bool collects;
-  char collectors[MARJORAM_LOAD_GROUPS][MARJORAM_IP_MAX]; /* as last told */
+  /* Addresses to which each group was last reported.  */
+  char collectors[MARJORAM_LOAD_GROUPS][MARJORAM_IP_MAX];
   int64_t whole_at;
   int64_t summed_at;
   int64_t client_ticked_at;
@@ -70,30 +72,30 @@
 extern const struct marjoram_gateway_ops marjoram_entry_gateway_ops;
 void marjoram_entry_forget_inbound (struct marjoram_entry *self,
                                     struct marjoram_inbound *inbound);
-/* Answers a caller that its request did not run, or that this is not known. */
+/* Sends an error response to a caller; WHY tells whether its request ran.  */
 void marjoram_entry_refuse_call (struct marjoram_entry *self, uint64_t call,
                                  const struct marjoram_request_failure *why);
 
 /* entry_frame.c */
 extern const struct marjoram_state_fetch_options marjoram_entry_fetch_options;
 extern const struct marjoram_state_fetch_ops marjoram_entry_fetch_ops;
-/* Takes MESSAGE.  */
+/* Takes ownership of MESSAGE.  */
 void marjoram_entry_take_frame (struct marjoram_entry *self, const char *host,
                                 uint64_t session,
                                 enum marjoram_frame_type type, void *message);
-/* The host gives up its REQUEST, or, if 0, all that came on SESSION.  */
+/* Cancels HOST's REQUEST, or all of its requests on SESSION if 0.  */
 void marjoram_entry_take_cancel (struct marjoram_entry *self, const char *host,
                                  uint64_t session, uint64_t request);
 
 /* entry_loads.c */
-/* Tells other hosts of the region what runs from here.  */
+/* Sends this host's load to the other hosts of the region when due.  */
 void marjoram_entry_report_loads (struct marjoram_entry *self, int64_t now);
-/* The sums that HOST collected.  */
+/* Applies the totals collected by HOST.  */
 void marjoram_entry_take_sums (struct marjoram_entry *self, const char *host,
                                const struct marjoram_load_report *sums);
 
 /* entry_role.c */
-/* Whether it takes callers' requests, as its beats say.  */
+/* Whether this host accepts callers' requests, as announced in heartbeats. */
 bool marjoram_entry_is_ready (const struct marjoram_entry *self);
 void marjoram_entry_take_state (struct marjoram_entry *self,
                                 const struct marjoram_state *state);
