--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -1,5 +1,5 @@
-/* The role of an entry host: takes callers' requests and brings them to
-   upstreams of its region, or to an entry host of another one.  */
+/* The role of an entry host: accepts callers' requests and routes them to
+   upstreams of its region, or to an entry host of another region.  */
 #include "entry_private.h"
 
 #include "cleanup.h"
@@ -12,17 +12,18 @@
 
 enum
 {
-  OFFER_MS = 100, /* for how long one count of what is offered holds */
-  /* How long requests are still taken after the signal to stop: callers keep
-     an address for two seconds, and what is taken must end before the limit
-     of the drain.  */
+  OFFER_MS = 100, /* update interval of the offers in heartbeats */
+  /* How long requests are still accepted after the signal to stop.  Callers
+     cache addresses for two seconds, and accepted requests must complete
+     within the drain timeout.  */
   CLOSE_AFTER_MS = 2000,
-  /* When a refused caller may come again: at once, to another host.  */
+  /* Retry-After of a draining host: another host can serve the request at
+     once.  */
   DRAINING_RETRY_MS = 20,
   CLIENT_TICK_MS = 100,
-  /* How long after its start a host asks the engines that it hears of what
-     they keep; what comes later starts empty, or other hosts tell of it.  All
-     upstreams send heartbeats within a second or two.  */
+  /* How long after startup newly discovered engines are queried for cached
+     prompts.  All upstreams send heartbeats within two seconds; those that
+     appear later have empty caches or are reported by other hosts.  */
   SURVEY_MS = 4000,
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
@@ -35,7 +36,7 @@
   return marjoram_clock_now (self->parts->clock);
 }
 
-/* ---- What the tasks tell.  ---- */
+/* ---- Callbacks of the HTTP server and client.  ---- */
 
 static void
 server_request (void *context, uint64_t call,
@@ -52,7 +53,7 @@
                                 request, NULL);
       return;
     }
-  /* Taken now, a long answer would be cut when the drain reaches its limit. */
+  /* A long response would be aborted by the drain timeout.  */
   marjoram_http_request_destroy (request);
   marjoram_metrics_refused (self->parts->metrics, MARJORAM_REASON_DRAINING);
   marjoram_entry_refuse_call (self, call, &why);
@@ -137,6 +138,7 @@
         .end = client_end,
         .lost = client_lost,
         .connected = client_connected };
+
 /* ---- Configuration.  ---- */
 
 static void
@@ -150,8 +152,8 @@
   marjoram_http_server_set_limits (self->server, &limits);
 }
 
-/* How long those of the first state that is heard have been evacuated is not
-   known.  */
+/* Zones in the first state received after startup are not recorded: the time
+   of their evacuation is unknown.  */
 static void
 note_leaving (struct marjoram_entry *self, const struct marjoram_names *before)
 {
@@ -162,7 +164,7 @@
   self->knows_evacuations = true;
 }
 
-/* Zones whose evacuation has ended may have cold upstreams.  */
+/* Upstreams may be cold in zones whose evacuation has ended.  */
 static void
 set_evacuated (struct marjoram_entry *self, struct marjoram_names zones)
 {
@@ -192,8 +194,7 @@
   set_limits (self);
 }
 
-/* Numbers only grow, so that a late copy of an older state changes
-   nothing.  */
+/* State numbers are monotonic: delayed copies of older states are ignored.  */
 void
 marjoram_entry_take_state (struct marjoram_entry *self,
                            const struct marjoram_state *state)
@@ -205,8 +206,8 @@
     return;
   table = marjoram_agreed_routes (state, self->parts->dialect, &err);
   self->config_number = state->number;
-  /* A state may be new in other things; the routes that it repeats must not
-     take the place of the former ones, whose timeouts still count.  */
+  /* A new state may repeat the same routes.  They must not replace the
+     previous table, whose timeouts still apply.  */
   if (table && self->table && table->version == self->table->version)
     marjoram_route_table_destroy (table);
   else if (table)
@@ -237,7 +238,7 @@
   marjoram_entry_take_frame (self_of (role), host, session, type, message);
 }
 
-/* ---- The role's other operations.  ---- */
+/* ---- Role operations.  ---- */
 
 static void
 role_beat (struct marjoram_role *role, const char *host, uint64_t session,
@@ -272,7 +273,7 @@
   return self->table && !self->stopped_at;
 }
 
-/* Texts of the offers are borrowed from the table.  */
+/* The offers borrow their strings from the route table.  */
 static void
 renew_offers (struct marjoram_entry *self)
 {
@@ -394,7 +395,7 @@
          && strcmp (region, self->parts->settings->region) == 0;
 }
 
-/* Once all hosts were lost, nobody knows what the engines keep.  */
+/* After a restart of all hosts, no host knows the engines' caches.  */
 static void
 survey_engines (struct marjoram_entry *self, int64_t now)
 {
