--- a/src/front.c
+++ b/src/front.c
@@ -20,22 +20,22 @@
 
 enum
 {
-  /* How often held requests are checked for callers that went away: evhttp
-     does not tell, as it reads nothing meanwhile.  */
+  /* How often pending requests are checked for disconnected callers.  evhttp
+     does not report them, since it stops reading during a request.  */
   WATCH_MSEC = 250,
-  CLOSING_MSEC = 1, /* between looks at the listener that is to be closed */
-  /* What may wait for a caller that reads nothing.  */
+  CLOSING_MSEC = 1, /* poll interval of a listener to be closed */
+  /* Bytes buffered for a slow reader before its response is aborted.  */
   OUTPUT_MAX = 32 * 1024 * 1024,
   MSEC_PER_SEC = 1000
 };
 
-/* A request whose answer is not complete yet.  */
+/* A request whose response is incomplete.  */
 struct pending
 {
   marjoram_front *front;
   uint64_t number;
   struct evhttp_request *request;
-  bool started; /* the head has gone out */
+  bool started; /* the head was sent */
   UT_hash_handle hh;
 };
 
@@ -52,7 +52,7 @@
   struct pending *pending;
   uint64_t next_number;
   bool draining;
-  struct event *closing; /* looks whether the listener may be closed */
+  struct event *closing; /* polls the listener to be closed */
 };
 
 static struct pending *
@@ -108,8 +108,8 @@
     evhttp_add_header (headers, "Connection", "close");
 }
 
-/* A caller that keeps its connection sends on it until the host ends, and the
-   last request is cut without an answer.  */
+/* Otherwise callers reuse the connection until the host exits, and the last
+   request is lost.  */
 static void
 close_if_draining (const marjoram_front *front, struct evhttp_request *request)
 {
@@ -132,7 +132,7 @@
   json_decref (body);
 }
 
-/* A refusal with MESSAGE in place of the reason's usual remedy.  */
+/* Sends a refusal with MESSAGE instead of the reason's default remedy.  */
 static void
 reply_refusal (struct evhttp_request *request,
                const struct marjoram_refusal *refusal, const char *message)
@@ -151,8 +151,8 @@
                          "message", message, "outcome", outcome));
 }
 
-/* Refuses what can't be read, and closes the connection: what follows on it
-   may be a part of the same request.  */
+/* Refuses a malformed request and closes the connection: the following bytes
+   may belong to the same request.  */
 static void
 refuse_input (marjoram_front *front, struct evhttp_request *request,
               enum marjoram_reason reason, const char *message)
@@ -166,7 +166,7 @@
   reply_refusal (request, &refusal, message);
 }
 
-/* ---- Requests for work.  ---- */
+/* ---- Calls.  ---- */
 
 static void
 on_connection_closed (struct evhttp_connection *connection, void *context)
@@ -195,10 +195,11 @@
   struct marjoram_call *call;
   struct pending *pending;
 
-  /* A HTTP/1.0 caller could not tell a cut answer from a whole one.  */
+  /* HTTP/1.0 callers cannot detect truncated responses.  */
   if (!is_http_1_1 (request))
     {
-      refuse_input (front, request, reason, "use HTTP/1.1");
+      refuse_input (front, request, reason,
+                    "HTTP version not supported; use HTTP/1.1");
       return;
     }
   call = marjoram_intake_call (request, &reason, &err);
@@ -225,7 +226,7 @@
   front->ops->call (front->context, call);
 }
 
-/* ---- Answers.  ---- */
+/* ---- Responses.  ---- */
 
 static void
 add_answer_headers (struct pending *pending, const struct marjoram_head *head,
@@ -263,8 +264,8 @@
   evhttp_send_reply_start (pending->request, (int)head->status, NULL);
 }
 
-/* Ends the connection in the middle of an answer, without the final chunk, so
-   that the caller sees that it is not whole.  */
+/* Closes the connection without the final chunk, so that the caller detects
+   the truncated response.  */
 static void
 cut (struct pending *pending)
 {
@@ -374,8 +375,7 @@
 announce_message (enum marjoram_announce_result result)
 {
   static const char *const messages[]
-      = { "", "",
-          "a newer incarnation or sequence is known; take a higher one",
+      = { "", "", "a newer incarnation or sequence is known; use a higher one",
           "announce to an entry host of your own availability zone" };
 
   return messages[result];
@@ -396,7 +396,8 @@
       refuse_input (front, request, MARJORAM_REASON_BAD_REQUEST, err.message);
       return;
     }
-  /* A draining host still hears upstreams: its neighbours learn of them.  */
+  /* A draining host still accepts announcements and relays them to its
+     peers.  */
   if (front->ops->config_number (front->context) == 0)
     {
       marjoram_wire_destroy (&marjoram_announcement_layout, a);
@@ -415,7 +416,7 @@
   reply_json (request, announce_status (result), body);
 }
 
-/* ---- Pages.  ---- */
+/* ---- Health checks, metrics and dispatch.  ---- */
 
 static void
 reply_word (struct evhttp_request *request, bool good, const char *yes,
@@ -497,7 +498,7 @@
                   "no such path; see docs/CALLERS.md");
 }
 
-/* ---- The listener's end.  ---- */
+/* ---- Closing the listener.  ---- */
 
 static bool
 has_waiting (const marjoram_front *front)
@@ -508,9 +509,9 @@
   return poll (&listener, 1, 0) > 0;
 }
 
-/* Closing a listener resets the connections that wait there, which their
-   callers take for accepted and may have sent a request on: evhttp accepts
-   them first, in the next turn of the loop.  */
+/* Closing a listener resets the connections in its backlog, on which callers
+   may already have sent requests.  Let evhttp accept them first, in the next
+   iteration of the event loop.  */
 static void
 close_listener (marjoram_front *front)
 {
@@ -535,7 +536,7 @@
   close_listener (context);
 }
 
-/* ---- Callers that went away.  ---- */
+/* ---- Disconnected callers.  ---- */
 
 static bool
 is_closed (const struct pending *pending)
@@ -568,7 +569,7 @@
   }
 }
 
-/* ---- The task.  ---- */
+/* ---- Creation and destruction.  ---- */
 
 static bool
 listen_on (marjoram_front *front, const char *address)
--- a/src/front.h
+++ b/src/front.h
@@ -1,5 +1,5 @@
-/* The task that callers and upstreams talk to: an HTTP server by evhttp.  It
-   checks what comes in, hands it to the host and writes the answers.  */
+/* HTTP server for callers and upstreams, based on evhttp.  It validates
+   requests, passes them to the host and writes the responses.  */
 #ifndef MARJORAM_FRONT_H
 #define MARJORAM_FRONT_H
 
@@ -12,15 +12,16 @@
 
 struct marjoram_front_ops
 {
-  /* Takes CALL.  */
+  /* Takes ownership of CALL.  */
   void (*call) (void *context, struct marjoram_call *call);
+  /* The caller disconnected.  */
   void (*gone) (void *context, uint64_t call);
   enum marjoram_announce_result (*announce) (
       void *context, const struct marjoram_announcement *announcement);
   /* Queries.  */
   json_t *(*entries) (void *context);
   bool (*ready) (void *context);
-  /* Of the configuration in force; 0 if none.  */
+  /* Number of the active configuration; 0 if none.  */
   uint64_t (*config_number) (void *context);
 };
 
@@ -30,7 +31,7 @@
     void *context, struct marjoram_error *err);
 void marjoram_front_destroy (marjoram_front *front);
 
-/* Answers, as in struct marjoram_host_ops.  */
+/* Responses, as in struct marjoram_host_ops.  */
 void marjoram_front_head (marjoram_front *front, uint64_t call,
                           const struct marjoram_head *head,
                           const struct marjoram_answer_info *info,
@@ -41,11 +42,11 @@
 void marjoram_front_cut (marjoram_front *front, uint64_t call);
 void marjoram_front_refuse (marjoram_front *front, uint64_t call,
                             const struct marjoram_refusal *refusal);
-/* Each further answer closes its connection.  */
+/* Closes each connection after its next response.  */
 void marjoram_front_drain (marjoram_front *front);
-/* Takes no new connections, once those that wait to be accepted are.  */
+/* Closes the listener once the pending connections have been accepted.  */
 void marjoram_front_stop_listening (marjoram_front *front);
-/* Answers that are still being written out.  */
+/* Number of requests whose response is incomplete.  */
 size_t marjoram_front_pending (const marjoram_front *front);
 
 #endif
