--- a/src/intake.c
+++ b/src/intake.c
@@ -18,7 +18,7 @@
   PATH_LENGTH_MAX = 2048,
   DEADLINE_MAX_MS = 24 * 3600 * 1000,
   PREFIX_BYTES = 256,
-  BYTES_PER_TOKEN = 4, /* of prompt text, for estimates */
+  BYTES_PER_TOKEN = 4, /* estimate for prompt text */
   DEFAULT_ANSWER_TOKENS = 128,
   SLOTS_MAX = 100000
 };
@@ -53,7 +53,7 @@
   const char *coding = find (request, "Transfer-Encoding");
   const char *length = find (request, "Content-Length");
 
-  /* evhttp takes the first of two lengths and runs a cut body.  */
+  /* evhttp uses the first of two lengths and accepts a truncated body.  */
   if (lengths + codings > 1)
     return bad (err, "more than one Content-Length or Transfer-Encoding; "
                      "send exactly one");
@@ -61,9 +61,10 @@
     return bad (err, "Transfer-Encoding is not chunked; send chunked or a "
                      "Content-Length");
   if (length && strspn (length, "0123456789") != strlen (length))
-    return bad (err, "Content-Length is not a plain number; send digits only");
+    return bad (err,
+                "Content-Length is not a decimal number; send digits only");
   if (count (request, "Host") != 1)
-    return bad (err, "no Host header, or more than one; send exactly one");
+    return bad (err, "missing or repeated Host header; send exactly one");
   return true;
 }
 
@@ -78,8 +79,9 @@
 
   call->headers.items = items;
   if (!marjoram_header_fits (headers))
-    return bad (err, "too many headers, or one too long; send at most 64, "
-                     "names up to 64 and values up to 8192 characters");
+    return bad (err,
+                "too many headers, or a header too long; send at most 64, "
+                "names up to 64 and values up to 8192 characters");
   TAILQ_FOREACH (header, headers, next)
   {
     if (!marjoram_header_is_passed_on (header->key))
@@ -124,7 +126,7 @@
                 == length;
 }
 
-/* A word that must be YES or NO; FALLBACK if the header is not there.  */
+/* Parses a "yes" or "no" header; FALLBACK if it is missing.  */
 static bool
 take_yes_no (struct evhttp_request *request, const char *name, bool fallback,
              bool *value, struct marjoram_error *err)
@@ -180,8 +182,9 @@
   bool resend;
 
   if (count (request, "Idempotency-Key") > 1 || (key && !is_key (key)))
-    return bad (err, "Idempotency-Key is not one key of at most 128 of "
-                     "A-Za-z0-9._-; take its prefix from GET /v1/entries");
+    return bad (err, "Idempotency-Key must be a single key of 1 to 128 "
+                     "characters A-Za-z0-9._-; get its prefix from "
+                     "GET /v1/entries");
   if (key)
     call->key = marjoram_strdup (key);
   if (!take_yes_no (request, "Marjoram-Idempotent", true, &call->idempotent,
@@ -207,8 +210,8 @@
 
 /* ---- Model requests.  ---- */
 
-/* The prompt's start, and its whole size: of a text, or of the contents of
-   messages.  */
+/* Prefix and total size of a prompt, from "prompt" or from the contents of
+   "messages".  */
 struct prompt
 {
   char start[PREFIX_BYTES];
@@ -262,7 +265,8 @@
                         "object",
                         fault.text, fault.line);
   else if (!ok)
-    bad (err, "the body names no model; send {\"model\": \"NAME\", ...}");
+    bad (err,
+         "the body has no valid \"model\"; send {\"model\": \"NAME\", ...}");
   if (ok)
     {
       call->work = marjoram_strdup (json_string_value (model));
@@ -289,7 +293,8 @@
   size_t length = strcspn (name, "/?");
 
   if (length == 0 || length > MARJORAM_NAME_MAX)
-    return bad (err, "the path names no service; use /v1/services/NAME/...");
+    return bad (
+        err, "the path has no valid service name; use /v1/services/NAME/...");
   call->work = strndup (name, length);
   if (name[length] == '/')
     call->path = marjoram_strdup (name + length);
@@ -358,7 +363,7 @@
   if (!json_is_string (value) || json_string_length (value) == 0
       || json_string_length (value) > MARJORAM_NAME_MAX)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "\"%s\" is missing or no text of 1 to 64 "
+                               "\"%s\" is missing or not a string of 1 to 64 "
                                "characters; see docs/UPSTREAMS.md",
                                name);
   *text = marjoram_strdup (json_string_value (value));
@@ -374,14 +379,15 @@
 
   if (!json_is_integer (value) || n < least || n > most)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "\"%s\" is missing or no whole number from "
+                               "\"%s\" is missing or not an integer from "
                                "%lld to %lld; see docs/UPSTREAMS.md",
                                name, (long long)least, (long long)most);
   *number = (uint64_t)n;
   return true;
 }
 
-/* A list of names under MEMBER; an empty or missing one only if OPTIONAL.  */
+/* Parses the list of names in MEMBER, which may be empty or missing only if
+   OPTIONAL.  */
 static bool
 take_names (json_t *root, const char *member, bool optional,
             struct marjoram_array *names, struct marjoram_error *err)
@@ -406,7 +412,7 @@
     if (!json_is_string (name)
         || json_string_length (name) > MARJORAM_NAME_MAX)
       return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                                 "\"%s\" holds something that is no name; "
+                                 "\"%s\" contains an invalid name; "
                                  "see docs/UPSTREAMS.md",
                                  member);
     items[i].name = marjoram_strdup (json_string_value (name));
@@ -415,7 +421,7 @@
   return true;
 }
 
-/* An engine that has nothing loaded yet may have no works.  */
+/* "works" may be empty for an engine with loadable models only.  */
 static bool
 take_works (json_t *root, struct marjoram_announcement *a,
             struct marjoram_error *err)
@@ -452,7 +458,7 @@
           == 0
       && strchr (a->address, ':'))
     return true;
-  return bad (err, "\"address\" is no IP:port; names are not looked up");
+  return bad (err, "\"address\" is not IP:port; host names are not resolved");
 }
 
 static bool
--- a/src/intake.h
+++ b/src/intake.h
@@ -1,6 +1,5 @@
-/* Reading of HTTP requests: from a caller's request to a call, from an
-   upstream's words to an announcement.  What can be read in two ways is
-   refused before it runs.  */
+/* Parsing of HTTP requests: callers' requests into calls, upstreams'
+   announcements.  Ambiguous requests are refused.  */
 #ifndef MARJORAM_INTAKE_H
 #define MARJORAM_INTAKE_H
 
@@ -8,7 +7,7 @@
 
 #include <event2/http.h>
 
-/* Whether the request's framing is unambiguous and its Host is there.  */
+/* Checks that the framing is unambiguous and the Host header is present.  */
 bool marjoram_intake_framing (struct evhttp_request *request,
                               struct marjoram_error *err);
 /* A new call without a number, or null with REASON and ERR set.  */
