--- a/src/daemon.c
+++ b/src/daemon.c
@@ -15,10 +15,10 @@
 enum
 {
   TICK_MSEC = 50,
-  /* After the last request, for answers to leave the sockets.  */
+  /* Delay after the last request, to flush responses to the sockets.  */
   LINGER_MSEC = 300,
-  /* At the end, for requests that have come to be read, refused and written:
-     one each for the socket, the inbox and the answer, and some more.  */
+  /* Final event loop iterations in which received requests are read, refused
+     and answered.  */
   LAST_TURNS = 8
 };
 
@@ -46,7 +46,7 @@
   bool cut;
 };
 
-/* ---- The host's operations.  ---- */
+/* ---- Host operations.  ---- */
 
 static void
 op_reply_head (void *context, uint64_t call, const struct marjoram_head *head,
@@ -222,7 +222,7 @@
   .drained = op_drained,
 };
 
-/* ---- The operators' task.  ---- */
+/* ---- Control operations.  ---- */
 
 static json_t *
 control_status (void *context)
@@ -344,13 +344,13 @@
     {
       daemon->cut = marjoram_host_request_count (daemon->host) > 0;
       marjoram_log (MARJORAM_LOG_WARNING,
-                    "second signal, %zu requests are cut",
+                    "second signal received; aborting %zu requests",
                     marjoram_host_request_count (daemon->host));
       event_base_loopbreak (daemon->base);
       return;
     }
   daemon->stopping = true;
-  /* An operator may have drained it before.  */
+  /* It may have been drained already through the control interface.  */
   if (daemon->drained)
     stop_later (daemon);
   drain (daemon);
@@ -368,12 +368,12 @@
   (void)what;
   if (!settings)
     {
-      marjoram_log (MARJORAM_LOG_ERROR, "settings not read again: %s",
+      marjoram_log (MARJORAM_LOG_ERROR, "cannot reload settings: %s",
                     err.message);
       return;
     }
   marjoram_log_set_level (settings->log_level);
-  marjoram_log (MARJORAM_LOG_NOTICE, "log level read again");
+  marjoram_log (MARJORAM_LOG_NOTICE, "log level reloaded");
   marjoram_settings_destroy (settings);
 }
 
@@ -386,11 +386,11 @@
   return event;
 }
 
-/* ---- Life.  ---- */
+/* ---- Creation, destruction and main loop.  ---- */
 
-/* Grows with each start, also on hosts without a disk: the wall clock at the
-   start.  A clock set back between two starts makes the host's peers refuse
-   it until the time has passed again, which their log lines say.  */
+/* The wall clock at startup, which increases on each start even on hosts
+   without a disk.  If the clock is set back between two starts, peers refuse
+   the host until the former time is reached, and log so.  */
 static uint64_t
 new_incarnation (struct marjoram_clock *clock)
 {
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -6,14 +6,14 @@
 
 typedef struct marjoram_daemon marjoram_daemon;
 
-/* SETTINGS must outlive the daemon; SETTINGS_PATH is read again on SIGHUP, for
-   the log level.  Null with ERR set on failure.  */
+/* SETTINGS must outlive the daemon.  SIGHUP reloads the log level from
+   SETTINGS_PATH.  Null with ERR set on failure.  */
 marjoram_daemon *
 marjoram_daemon_create (const struct marjoram_settings *settings,
                         const char *settings_path, struct marjoram_error *err);
 void marjoram_daemon_destroy (marjoram_daemon *daemon);
-/* Until it is drained after SIGTERM or SIGINT, or on the second of them.
-   Returns whether all requests in progress were finished.  */
+/* Runs until drained after SIGTERM or SIGINT, or until the second signal.
+   Returns whether all requests in progress completed.  */
 bool marjoram_daemon_run (marjoram_daemon *daemon);
 
 #endif
