--- a/src/pool.c
+++ b/src/pool.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  RING_POINTS = 16 /* of each upstream */
+  RING_POINTS = 16 /* per upstream */
 };
 
 #define SERVICE_MS 20.0
@@ -116,8 +116,8 @@
   return false;
 }
 
-/* Upstreams come and go under new names; what was measured of those that are
-   gone must not pile up.  */
+/* Removes the measurements of departed upstreams, which would accumulate since
+   new upstreams have new names.  */
 static void
 forget_speeds (marjoram_pools *pools)
 {
--- a/src/pool.h
+++ b/src/pool.h
@@ -1,6 +1,6 @@
-/* The upstreams of each model or service in this zone, in an order that all
-   hosts share, with what was measured of them.  Built anew when members
-   change, so that a choice looks at a few and not at all of them.  */
+/* The upstreams of each model or service in this zone, with their measured
+   latency, in the same order on all hosts.  Rebuilt when members change, so
+   that a selection need not scan all upstreams.  */
 #ifndef MARJORAM_POOL_H
 #define MARJORAM_POOL_H
 
@@ -9,11 +9,11 @@
 
 #include <uthash.h>
 
-/* What was measured of one upstream.  */
+/* Measured latency of one upstream.  */
 struct marjoram_speed
 {
   char *name;
-  double factor; /* measured time by estimated time */
+  double factor; /* measured time / estimated time */
   unsigned samples;
   UT_hash_handle hh;
 };
@@ -22,7 +22,7 @@
 {
   const struct marjoram_upstream *upstream;
   struct marjoram_speed *speed;
-  uint64_t key; /* of its name; the pool is sorted by it */
+  uint64_t key; /* hash of its name; sort key of the pool */
 };
 
 struct marjoram_ring_point
@@ -31,15 +31,15 @@
   int candidate;
 };
 
-/* All upstreams of one work together.  */
+/* Aggregate over all upstreams of one model or service.  */
 struct marjoram_room
 {
-  unsigned upstreams; /* that may be used */
+  unsigned upstreams; /* usable upstreams */
   double slots;
-  double load;    /* requests there */
-  double free;    /* requests that would start at once */
-  double factor;  /* mean of measured by estimated time */
-  double wait_ms; /* at the least loaded one */
+  double load;    /* running requests */
+  double free;    /* requests that could start at once */
+  double factor;  /* mean of measured / estimated time */
+  double wait_ms; /* at the least loaded upstream */
 };
 
 struct marjoram_pool
@@ -48,8 +48,8 @@
   int count;
   struct marjoram_ring_point *ring;
   int ring_count;
-  double mean_ms;    /* time of a request without load */
-  double service_ms; /* of a plain service's request */
+  double mean_ms;    /* request time without load */
+  double service_ms; /* request time of a plain service */
   struct marjoram_room room;
   int64_t room_at;
 };
@@ -58,19 +58,19 @@
 
 marjoram_pools *marjoram_pools_create (marjoram_members *members);
 void marjoram_pools_destroy (marjoram_pools *pools);
-/* Retains CONFIG; what was measured is kept by name.  */
+/* Retains CONFIG.  Measurements are carried over by name.  */
 void marjoram_pools_configure (marjoram_pools *pools, marjoram_config *config);
 /* Valid until members or the configuration change.  */
 struct marjoram_pool *marjoram_pools_get (marjoram_pools *pools, int work);
-/* Null if no such upstream is known.  */
+/* Null if the upstream is unknown.  */
 struct marjoram_speed *marjoram_pools_speed (marjoram_pools *pools,
                                              const char *upstream);
 
 uint64_t marjoram_pool_key (const char *upstream);
 /* Index of the candidate with KEY, or -1.  */
 int marjoram_pool_find (const struct marjoram_pool *pool, uint64_t key);
-/* Index of the candidate that HASH falls to on a ring of hashes: the same at
-   all hosts that know the same upstreams.  The pool isn't empty.  */
+/* Index of the candidate that owns HASH by consistent hashing: the same on all
+   hosts that know the same upstreams.  The pool must not be empty.  */
 int marjoram_pool_nearest (const struct marjoram_pool *pool, uint64_t hash);
 
 #endif
