--- a/src/inbox.c
+++ b/src/inbox.c
@@ -14,7 +14,7 @@
   marjoram_host *host;
 };
 
-/* What any event may carry.  */
+/* Fields of all event types.  */
 struct event_message
 {
   struct marjoram_message base;
@@ -89,7 +89,8 @@
   free (event);
 }
 
-/* A new event, already posted: it is delivered after the caller returns.  */
+/* Posts a new event, which the caller fills in: it is delivered only after the
+   caller returns to the event loop.  */
 static struct event_message *
 post (void *context, const struct marjoram_message_ops *ops)
 {
