--- a/src/clock.h
+++ b/src/clock.h
@@ -1,5 +1,5 @@
-/* The clock as an interface.  Decision modules never read it: their callers
-   pass the time in, as int64_t milliseconds.  */
+/* Clock interface.  Decision modules never read the clock: callers pass in the
+   time, as int64_t milliseconds.  */
 #ifndef MARJORAM_CLOCK_H
 #define MARJORAM_CLOCK_H
 
@@ -20,19 +20,18 @@
   const struct marjoram_clock_ops *ops;
 };
 
-/* The machine's clock; not to be freed.  */
+/* CLOCK_MONOTONIC and CLOCK_REALTIME; must not be freed.  */
 struct marjoram_clock *marjoram_clock_system (void);
 
-/* The machine's clock, whose monotonic time goes on while the machine is
-   suspended, so that what was believed before is known to be old after; not to
-   be freed.  */
+/* CLOCK_BOOTTIME and CLOCK_REALTIME: monotonic time includes suspension, so
+   that cached information expires meanwhile.  Must not be freed.  */
 struct marjoram_clock *marjoram_clock_boot (void);
 
-/* For timers.  */
+/* Converts milliseconds for libevent timers.  */
 struct timeval marjoram_clock_timeval (int64_t msec);
-/* Milliseconds of the monotonic clock: for timeouts and leases.  */
+/* Monotonic time in ms, for timeouts and leases.  */
 int64_t marjoram_clock_now (struct marjoram_clock *clock);
-/* Milliseconds since the epoch: for the age of request keys only.  */
+/* Wall clock time in ms since the epoch, not for timeouts.  */
 int64_t marjoram_clock_wall (struct marjoram_clock *clock);
 
 #endif
