--- a/src/role.h
+++ b/src/role.h
@@ -1,5 +1,4 @@
-/* What a daemon does in one role, as an interface, and what all roles share.
- */
+/* Interface of a gateway daemon's roles, and the resources they share.  */
 #ifndef MARJORAM_ROLE_H
 #define MARJORAM_ROLE_H
 
@@ -25,14 +24,14 @@
   void (*link_lost) (struct marjoram_role *role, const char *host);
   void (*fill_beat) (struct marjoram_role *role,
                      struct marjoram_host_beat *beat);
-  /* A call to the host's own interface, other than for metrics.  */
+  /* A request to the host's HTTP API, other than for metrics.  */
   void (*ask) (struct marjoram_role *role, uint64_t ask, const char *method,
                const char *target, const char *body, size_t size);
-  /* What operators see of the role; a new object.  */
+  /* Status report for operators; a new reference.  */
   json_t *(*report) (struct marjoram_role *role, int64_t now);
   void (*reload) (struct marjoram_role *role);
   void (*tick) (struct marjoram_role *role, int64_t now);
-  /* The first signal to stop: no new work.  */
+  /* On the first signal to stop: starts draining.  */
   void (*stop) (struct marjoram_role *role, int64_t now);
   bool (*finished) (struct marjoram_role *role, int64_t now);
   void (*destroy) (struct marjoram_role *role);
