--- a/src/own_dialect.c
+++ b/src/own_dialect.c
@@ -20,7 +20,8 @@
     return true;
   if (!*zone || strlen (zone) >= sizeof ask->zone)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                               "no zone; end the path with a zone's name");
+                               "the path has no valid zone name; "
+                               "use " MARJORAM_PATH_EVACUATIONS "ZONE");
   snprintf (ask->zone, sizeof ask->zone, "%s", zone);
   return true;
 }
--- a/src/own_dialect.h
+++ b/src/own_dialect.h
@@ -1,11 +1,11 @@
-/* The product's own way to be asked, beside that of a platform: operators'
-   calls under /gateway/, and routes in their INI form (route_file.h).  All
-   else is left to the other dialect.
+/* Built-in operator API under /gateway/, with routes in INI format
+   (route_file.h).  Wraps a platform's dialect, which handles all other
+   requests.
 
-     GET  /gateway/routes                 the routes in force
-     PUT  /gateway/routes                 puts routes in force
-     PUT  /gateway/evacuations/ZONE       nothing more is sent to ZONE
-     DELETE /gateway/evacuations/ZONE     ends that  */
+     GET    /gateway/routes               returns the active routes
+     PUT    /gateway/routes               replaces the active routes
+     PUT    /gateway/evacuations/ZONE     stops sending requests to ZONE
+     DELETE /gateway/evacuations/ZONE     ends the evacuation of ZONE  */
 #ifndef MARJORAM_OWN_DIALECT_H
 #define MARJORAM_OWN_DIALECT_H
 
@@ -14,7 +14,8 @@
 #define MARJORAM_PATH_ROUTES "/gateway/routes"
 #define MARJORAM_PATH_EVACUATIONS "/gateway/evacuations/"
 
-/* There is one in a process; OTHER stays in use.  */
+/* Returns a process-wide instance that delegates to OTHER, which must outlive
+   it.  */
 const struct marjoram_dialect *
 marjoram_own_dialect (const struct marjoram_dialect *other);
 
