--- a/src/query.h
+++ b/src/query.h
@@ -1,4 +1,4 @@
-/* What the routing decisions need to know of one request.  */
+/* Input of the routing decisions for one request.  */
 #ifndef MARJORAM_QUERY_H
 #define MARJORAM_QUERY_H
 
@@ -16,21 +16,20 @@
   MARJORAM_TRIED_MAX = 8
 };
 
-/* One request, as far as its routing goes.  */
 struct marjoram_query
 {
   int caller; /* index in the configuration */
   int work;   /* index in the configuration */
   enum marjoram_class class;
-  int64_t deadline; /* by this host's clock */
+  int64_t deadline; /* on this host's clock */
   uint64_t prompt_tokens;
   uint64_t answer_tokens; /* expected */
-  uint64_t prefix_hash;   /* of the prompt's start; 0 if none */
-  const char *digest;     /* for suspects */
-  bool forwarded;         /* came from another zone: may not go on */
-  bool bound;             /* must run in this zone */
-  bool no_local_upstream; /* its first zone has no upstream for it at all */
-  int tried_count;        /* upstreams not to be tried again */
+  uint64_t prefix_hash;   /* hash of the prompt's prefix; 0 if none */
+  const char *digest;     /* request digest, to match crash suspects */
+  bool forwarded;         /* from another zone; must not be forwarded again */
+  bool bound;             /* must be served in this zone */
+  bool no_local_upstream; /* the first zone has no matching upstream */
+  int tried_count;        /* upstreams already tried */
   const char *tried[MARJORAM_TRIED_MAX];
   int zones_tried_count; /* zones that refused it */
   int zones_tried[MARJORAM_TRIED_MAX];
