--- a/src/entry_answer.c
+++ b/src/entry_answer.c
@@ -23,7 +23,7 @@
 }
 
 void
-marjoram_entry_forget_inbound (struct marjoram_entry *self,
+marjoram_entry_remove_inbound (struct marjoram_entry *self,
                                struct marjoram_inbound *inbound)
 {
   /* False positive in uthash macros.  NOLINTNEXTLINE(clang-analyzer-*) */
@@ -80,9 +80,9 @@
 }
 
 static void
-end_inbound (struct marjoram_entry *self, uint64_t call,
-             enum marjoram_outcome outcome, enum marjoram_reason reason,
-             int64_t retry_ms)
+finish_inbound (struct marjoram_entry *self, uint64_t call,
+                enum marjoram_outcome outcome, enum marjoram_reason reason,
+                int64_t retry_ms)
 {
   struct marjoram_inbound *inbound = find_inbound (self, call);
   struct marjoram_end end
@@ -93,7 +93,7 @@
   end.request = inbound->request;
   end.length = inbound->offset;
   reply (self, inbound, MARJORAM_FRAME_END, &end);
-  marjoram_entry_forget_inbound (self, inbound);
+  marjoram_entry_remove_inbound (self, inbound);
 }
 
 static void
@@ -102,25 +102,26 @@
   struct marjoram_entry *self = context;
 
   if (call & MARJORAM_FORWARDED_CALL)
-    end_inbound (self, call, MARJORAM_OUTCOME_DONE, MARJORAM_REASON_NONE, 0);
+    finish_inbound (self, call, MARJORAM_OUTCOME_DONE, MARJORAM_REASON_NONE,
+                    0);
   else
     marjoram_http_server_end (self->server, call);
 }
 
 static void
-op_reply_cut (void *context, uint64_t call)
+op_reply_abort (void *context, uint64_t call)
 {
   struct marjoram_entry *self = context;
 
   if (call & MARJORAM_FORWARDED_CALL)
-    end_inbound (self, call, MARJORAM_OUTCOME_UNKNOWN,
-                 MARJORAM_REASON_UPSTREAM_FAILED, 0);
+    finish_inbound (self, call, MARJORAM_OUTCOME_UNKNOWN,
+                    MARJORAM_REASON_UPSTREAM_FAILED, 0);
   else
     marjoram_http_server_cut (self->server, call);
 }
 
 void
-marjoram_entry_refuse_call (struct marjoram_entry *self, uint64_t call,
+marjoram_entry_reject_call (struct marjoram_entry *self, uint64_t call,
                             const struct marjoram_request_failure *why)
 {
   const char *reason = marjoram_reason_name (why->reason);
@@ -142,15 +143,15 @@
 }
 
 static void
-op_reply_none (void *context, uint64_t call,
-               const struct marjoram_request_failure *why)
+op_reply_failure (void *context, uint64_t call,
+                  const struct marjoram_request_failure *why)
 {
   struct marjoram_entry *self = context;
 
   if (call & MARJORAM_FORWARDED_CALL)
-    end_inbound (self, call, why->outcome, why->reason, why->retry_ms);
+    finish_inbound (self, call, why->outcome, why->reason, why->retry_ms);
   else
-    marjoram_entry_refuse_call (self, call, why);
+    marjoram_entry_reject_call (self, call, why);
 }
 
 /* ---- Requests to upstreams and to other hosts.  ---- */
@@ -211,8 +212,8 @@
   .reply_head = op_reply_head,
   .reply_data = op_reply_data,
   .reply_end = op_reply_end,
-  .reply_abort = op_reply_cut,
-  .reply_failure = op_reply_none,
+  .reply_abort = op_reply_abort,
+  .reply_failure = op_reply_failure,
   .send = op_send,
   .cancel = op_cancel,
   .reaches = op_reaches,
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -11,9 +11,9 @@
   STATUS_UNAVAILABLE = 503,
   /* Time without a piece before the state is requested from the next keeper
      that announced it.  */
-  STALLED_MS = 2000,
+  PIECE_TIMEOUT_MS = 2000,
   /* Upper bound of the backoff, for congested links.  */
-  STALLED_MAX_MS = 8000
+  PIECE_TIMEOUT_MAX_MS = 8000
 };
 
 /* ---- Replicated state.  ---- */
@@ -39,7 +39,7 @@
                   " bytes=%zu pieces=%d ms=%" PRId64 " keeper=%s",
                   state->number, facts->base, facts->bytes, facts->pieces,
                   facts->ms, facts->keeper);
-  marjoram_entry_take_state (self, state);
+  marjoram_entry_apply_state (self, state);
 }
 
 static void
@@ -54,14 +54,14 @@
 }
 
 const struct marjoram_state_fetch_options marjoram_entry_fetch_options
-    = { .piece_timeout_ms = STALLED_MS,
-        .piece_timeout_max_ms = STALLED_MAX_MS };
+    = { .piece_timeout_ms = PIECE_TIMEOUT_MS,
+        .piece_timeout_max_ms = PIECE_TIMEOUT_MAX_MS };
 
 const struct marjoram_state_fetch_ops marjoram_entry_fetch_ops
     = { .ask = op_ask, .fetched = op_fetched, .failed = op_failed };
 
 static bool
-is_near (struct marjoram_entry *self, const char *host)
+is_in_same_region (struct marjoram_entry *self, const char *host)
 {
   const struct marjoram_listed_host *listed
       = marjoram_host_list_find (self->parts->hosts, host);
@@ -71,18 +71,20 @@
 }
 
 static void
-take_state_news (struct marjoram_entry *self, const char *host,
-                 const struct marjoram_state_news *news)
+handle_state_announcement (struct marjoram_entry *self, const char *host,
+                           const struct marjoram_state_news *news)
 {
   marjoram_state_fetch_announced (self->fetch, marjoram_entry_now (self), host,
-                                  is_near (self, host), news->number);
+                                  is_in_same_region (self, host),
+                                  news->number);
 }
 
 /* ---- Upstreams and requests.  ---- */
 
 static void
-take_news (struct marjoram_entry *self, const char *host, uint64_t session,
-           const struct marjoram_news_batch *batch)
+handle_upstream_news (struct marjoram_entry *self, const char *host,
+                      uint64_t session,
+                      const struct marjoram_news_batch *batch)
 {
   const struct marjoram_news_item *items = batch->items.items;
   int64_t now = marjoram_entry_now (self);
@@ -90,13 +92,13 @@
   for (size_t i = 0; i < batch->items.count; i++)
     {
       struct marjoram_upstream_news news;
-      enum marjoram_registry_result hearing;
+      enum marjoram_registry_result result;
 
       if (!marjoram_registry_unpack (&items[i], &news))
         continue;
-      hearing = marjoram_registry_update (self->registry, now, &news,
-                                          items[i].age_ms);
-      if (hearing == MARJORAM_REGISTRY_CHANGED)
+      result = marjoram_registry_update (self->registry, now, &news,
+                                         items[i].age_ms);
+      if (result == MARJORAM_REGISTRY_CHANGED)
         marjoram_event (MARJORAM_EVENT_UPSTREAM,
                         "id=%s state=%d service=%s address=%s zone=%s "
                         "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64
@@ -132,10 +134,10 @@
 }
 
 static void
-take_forward (struct marjoram_entry *self, const char *host, uint64_t session,
-              const struct marjoram_forward *forward)
+handle_forward (struct marjoram_entry *self, const char *host,
+                uint64_t session, const struct marjoram_forward *forward)
 {
-  const struct marjoram_forwarded told
+  const struct marjoram_forwarded limits_from_peer
       = { forward->budget_ms, forward->useful_ms };
   struct marjoram_inbound *inbound;
 
@@ -148,12 +150,13 @@
   inbound->request = forward->request;
   HASH_ADD (hh, self->inbound, call, sizeof inbound->call, inbound);
   marjoram_gateway_receive (self->gateway, marjoram_entry_now (self),
-                            inbound->call, make_request (forward), &told);
+                            inbound->call, make_request (forward),
+                            &limits_from_peer);
 }
 
 void
-marjoram_entry_take_cancel (struct marjoram_entry *self, const char *host,
-                            uint64_t session, uint64_t request)
+marjoram_entry_handle_cancel (struct marjoram_entry *self, const char *host,
+                              uint64_t session, uint64_t request)
 {
   struct marjoram_inbound *inbound;
   struct marjoram_inbound *next;
@@ -165,14 +168,14 @@
     if (inbound->session != session || strcmp (inbound->host, host) != 0
         || (request != 0 && inbound->request != request))
       continue;
-    marjoram_entry_forget_inbound (self, inbound);
+    marjoram_entry_remove_inbound (self, inbound);
     marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
                                   call);
   }
 }
 
 static void
-take_head (struct marjoram_entry *self, const struct marjoram_head *head)
+handle_head (struct marjoram_entry *self, const struct marjoram_head *head)
 {
   struct marjoram_header_list headers
       = { head->headers.items, head->headers.count, head->headers.count };
@@ -182,7 +185,7 @@
 }
 
 static void
-take_end (struct marjoram_entry *self, const struct marjoram_end *end)
+handle_end (struct marjoram_entry *self, const struct marjoram_end *end)
 {
   const struct marjoram_request_failure why
       = { (enum marjoram_outcome)end->outcome,
@@ -200,9 +203,9 @@
 }
 
 void
-marjoram_entry_take_frame (struct marjoram_entry *self, const char *host,
-                           uint64_t session, enum marjoram_frame_type type,
-                           void *message)
+marjoram_entry_handle_frame (struct marjoram_entry *self, const char *host,
+                             uint64_t session, enum marjoram_frame_type type,
+                             void *message)
 {
   const struct marjoram_data *data = message;
   const struct marjoram_cancel *cancel = message;
@@ -210,14 +213,14 @@
   switch (type)
     {
     case MARJORAM_FRAME_STATE_NEWS:
-      take_state_news (self, host, message);
+      handle_state_announcement (self, host, message);
       break;
     case MARJORAM_FRAME_STATE_PIECE:
       marjoram_state_fetch_receive_piece (
           self->fetch, marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_NEWS:
-      take_news (self, host, session, message);
+      handle_upstream_news (self, host, session, message);
       break;
     case MARJORAM_FRAME_LOADS:
       marjoram_placement_apply_report (
@@ -234,20 +237,20 @@
           self->collector, marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_LOAD_SUMS:
-      marjoram_entry_take_sums (self, host, message);
+      marjoram_entry_apply_sums (self, host, message);
       break;
     case MARJORAM_FRAME_CRASHES:
       marjoram_crash_list_apply (marjoram_gateway_crash_list (self->gateway),
                                  marjoram_entry_now (self), message);
       break;
     case MARJORAM_FRAME_FORWARD:
-      take_forward (self, host, session, message);
+      handle_forward (self, host, session, message);
       break;
     case MARJORAM_FRAME_CANCEL:
-      marjoram_entry_take_cancel (self, host, session, cancel->request);
+      marjoram_entry_handle_cancel (self, host, session, cancel->request);
       break;
     case MARJORAM_FRAME_HEAD:
-      take_head (self, message);
+      handle_head (self, message);
       break;
     case MARJORAM_FRAME_DATA:
       marjoram_gateway_data (self->gateway, marjoram_entry_now (self),
@@ -255,7 +258,7 @@
                              marjoram_bytes_size (data->bytes));
       break;
     case MARJORAM_FRAME_END:
-      take_end (self, message);
+      handle_end (self, message);
       break;
     default:
       break;
--- a/src/entry_loads.c
+++ b/src/entry_loads.c
@@ -7,16 +7,19 @@
 
 enum
 {
-  REPORT_MS = 100, /* load reports to the other hosts of the region */
+  REPORT_INTERVAL_MS = 100, /* load reports to the other hosts of the region */
   /* With collectors: hosts send load changes to the collectors, which send
-     totals to all hosts.  Both delays together are close to REPORT_MS.  */
-  CHANGES_MS = 50,
-  SUMS_MS = 100,
-  WHOLE_MS = 1000, /* full reports, in case a collector missed changes */
-  /* Hosts of a region, including this one.  Above DIRECT_MAX they report to
-     collectors; below DIRECT_AGAIN they report to each other again.  */
-  DIRECT_MAX = 48,
-  DIRECT_AGAIN = 40,
+     totals to all hosts.  Both delays together are close to
+     REPORT_INTERVAL_MS.  */
+  CHANGES_INTERVAL_MS = 50,
+  SUMS_INTERVAL_MS = 100,
+  /* For full reports, in case a collector missed changes.  */
+  FULL_REPORT_INTERVAL_MS = 1000,
+  /* Hosts of a region, including this one.  Above DIRECT_REPORT_MAX_HOSTS they
+     report to collectors; below DIRECT_REPORT_RESUME_HOSTS they report to each
+     other again.  */
+  DIRECT_REPORT_MAX_HOSTS = 48,
+  DIRECT_REPORT_RESUME_HOSTS = 40,
   GROUP_KEY_MAX = 16
 };
 
@@ -37,7 +40,7 @@
 }
 
 static void
-report_to_all (struct marjoram_entry *self)
+broadcast_loads (struct marjoram_entry *self)
 {
   struct marjoram_load_report loads;
 
@@ -53,7 +56,7 @@
 /* The collector of GROUP, by rendezvous hashing over the serving hosts; null
    if there is none.  */
 static const char *
-collector_of (const struct marjoram_entry *self, int64_t now, int group)
+find_collector (const struct marjoram_entry *self, int64_t now, int group)
 {
   const struct marjoram_gateway_settings *settings = self->parts->settings;
   char key[GROUP_KEY_MAX];
@@ -67,16 +70,16 @@
 }
 
 static bool
-is_own_name (const struct marjoram_entry *self, const char *host)
+is_local_host (const struct marjoram_entry *self, const char *host)
 {
   return strcmp (host, self->parts->settings->ip) == 0;
 }
 
 static void
-tell_collector (struct marjoram_entry *self, int64_t now, const char *host,
-                const struct marjoram_load_report *report)
+send_to_collector (struct marjoram_entry *self, int64_t now, const char *host,
+                   const struct marjoram_load_report *report)
 {
-  if (is_own_name (self, host))
+  if (is_local_host (self, host))
     marjoram_load_collector_apply_report (self->collector, now, host, report);
   else
     marjoram_host_links_send (self->parts->links, host,
@@ -86,13 +89,13 @@
 /* Returns whether the group's collector changed: a new one needs a full
    report.  */
 static bool
-note_collector (struct marjoram_entry *self, int group, const char *host)
+update_collector (struct marjoram_entry *self, int group, const char *host)
 {
-  char *known = self->collectors[group];
+  char *current = self->collectors[group];
 
-  if (strcmp (known, host) == 0)
+  if (strcmp (current, host) == 0)
     return false;
-  snprintf (known, sizeof self->collectors[group], "%s", host);
+  snprintf (current, sizeof self->collectors[group], "%s", host);
   return true;
 }
 
@@ -101,53 +104,53 @@
 {
   struct marjoram_load_report reports[MARJORAM_LOAD_GROUPS];
   const char *hosts[MARJORAM_LOAD_GROUPS];
-  bool whole[MARJORAM_LOAD_GROUPS];
-  const bool due = now >= self->whole_at + WHOLE_MS;
+  bool full[MARJORAM_LOAD_GROUPS];
+  const bool full_due = now >= self->full_report_at + FULL_REPORT_INTERVAL_MS;
 
-  if (due)
-    self->whole_at = now;
+  if (full_due)
+    self->full_report_at = now;
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
-      hosts[i] = collector_of (self, now, i);
-      whole[i] = (hosts[i] && note_collector (self, i, hosts[i])) || due;
+      hosts[i] = find_collector (self, now, i);
+      full[i] = (hosts[i] && update_collector (self, i, hosts[i])) || full_due;
     }
   marjoram_placement_report_changes (
-      marjoram_gateway_placement (self->gateway), now, whole, reports);
+      marjoram_gateway_placement (self->gateway), now, full, reports);
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
-      if (hosts[i] && (reports[i].items.count > 0 || whole[i]))
-        tell_collector (self, now, hosts[i], &reports[i]);
+      if (hosts[i] && (reports[i].items.count > 0 || full[i]))
+        send_to_collector (self, now, hosts[i], &reports[i]);
       marjoram_wire_clear (&marjoram_load_report_layout, &reports[i]);
     }
 }
 
 static void
-tell_sums (struct marjoram_entry *self, int64_t now)
+send_sums (struct marjoram_entry *self, int64_t now)
 {
   struct marjoram_load_report sums;
 
-  if (now < self->summed_at + SUMS_MS)
+  if (now < self->sums_sent_at + SUMS_INTERVAL_MS)
     return;
-  self->summed_at = now;
+  self->sums_sent_at = now;
   if (marjoram_load_collector_take_report (self->collector, now, &sums))
     {
       marjoram_host_links_tell_region (self->parts->links,
                                        MARJORAM_FRAME_LOAD_SUMS, &sums);
-      marjoram_entry_take_sums (self, self->parts->settings->ip, &sums);
+      marjoram_entry_apply_sums (self, self->parts->settings->ip, &sums);
     }
   marjoram_wire_clear (&marjoram_load_report_layout, &sums);
 }
 
 void
-marjoram_entry_take_sums (struct marjoram_entry *self, const char *host,
-                          const struct marjoram_load_report *sums)
+marjoram_entry_apply_sums (struct marjoram_entry *self, const char *host,
+                           const struct marjoram_load_report *sums)
 {
   const int64_t now = marjoram_entry_now (self);
   bool groups[MARJORAM_LOAD_GROUPS];
 
   for (int i = 0; i < MARJORAM_LOAD_GROUPS; i++)
     {
-      const char *collector = collector_of (self, now, i);
+      const char *collector = find_collector (self, now, i);
 
       groups[i] = collector && strcmp (collector, host) == 0;
     }
@@ -158,30 +161,32 @@
 /* ---- Choice of the reporting mode.  ---- */
 
 static bool
-uses_collectors (struct marjoram_entry *self, int64_t now)
+update_reporting_mode (struct marjoram_entry *self, int64_t now)
 {
   const size_t hosts = marjoram_host_list_serving_count (
       self->parts->hosts, now, self->parts->settings->region);
 
-  if (hosts > DIRECT_MAX)
-    self->collects = true;
-  else if (hosts < DIRECT_AGAIN)
-    self->collects = false;
-  return self->collects;
+  if (hosts > DIRECT_REPORT_MAX_HOSTS)
+    self->using_collectors = true;
+  else if (hosts < DIRECT_REPORT_RESUME_HOSTS)
+    self->using_collectors = false;
+  return self->using_collectors;
 }
 
 void
 marjoram_entry_report_loads (struct marjoram_entry *self, int64_t now)
 {
-  const bool collects = uses_collectors (self, now);
+  const bool using_collectors = update_reporting_mode (self, now);
 
-  tell_sums (self, now);
-  if (now < self->reported_at + (collects ? CHANGES_MS : REPORT_MS))
+  send_sums (self, now);
+  if (now
+      < self->reported_at
+            + (using_collectors ? CHANGES_INTERVAL_MS : REPORT_INTERVAL_MS))
     return;
   self->reported_at = now;
-  if (collects)
+  if (using_collectors)
     report_changes (self, now);
   else
-    report_to_all (self);
+    broadcast_loads (self);
   report_crashes (self);
 }
--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -43,26 +43,26 @@
   marjoram_state_fetch *fetch;
   int64_t created_at;
   struct marjoram_route_table *table;
-  struct marjoram_route_table *former; /* still used by the gateway */
+  struct marjoram_route_table *previous_table; /* still used by the gateway */
   struct marjoram_names evacuated;
   struct marjoram_leaving_zones leaving; /* evacuated most recently */
-  bool knows_evacuations; /* a state was received since startup */
+  bool evacuations_known; /* a state was received since startup */
   uint64_t config_number;
   struct marjoram_inbound *inbound;
   uint64_t next_call;
   int64_t reported_at;
   /* Load reports through collectors.  */
   marjoram_load_collector *collector;
-  bool collects;
+  bool using_collectors;
   /* Addresses to which each group was last reported.  */
   char collectors[MARJORAM_LOAD_GROUPS][MARJORAM_IP_MAX];
-  int64_t whole_at;
-  int64_t summed_at;
+  int64_t full_report_at;
+  int64_t sums_sent_at;
   int64_t client_ticked_at;
   int64_t stopped_at;
   bool closed;
   struct marjoram_array offers; /* of struct marjoram_host_offer */
-  int64_t offered_at;
+  int64_t offers_updated_at;
   struct marjoram_repeat_use uses[MARJORAM_REPEAT_USES_MAX];
 };
 
@@ -70,34 +70,36 @@
 
 /* entry_answer.c */
 extern const struct marjoram_gateway_ops marjoram_entry_gateway_ops;
-void marjoram_entry_forget_inbound (struct marjoram_entry *self,
+void marjoram_entry_remove_inbound (struct marjoram_entry *self,
                                     struct marjoram_inbound *inbound);
 /* Sends an error response to a caller; WHY tells whether its request ran.  */
-void marjoram_entry_refuse_call (struct marjoram_entry *self, uint64_t call,
+void marjoram_entry_reject_call (struct marjoram_entry *self, uint64_t call,
                                  const struct marjoram_request_failure *why);
 
 /* entry_frame.c */
 extern const struct marjoram_state_fetch_options marjoram_entry_fetch_options;
 extern const struct marjoram_state_fetch_ops marjoram_entry_fetch_ops;
 /* Takes ownership of MESSAGE.  */
-void marjoram_entry_take_frame (struct marjoram_entry *self, const char *host,
-                                uint64_t session,
-                                enum marjoram_frame_type type, void *message);
+void marjoram_entry_handle_frame (struct marjoram_entry *self,
+                                  const char *host, uint64_t session,
+                                  enum marjoram_frame_type type,
+                                  void *message);
 /* Cancels HOST's REQUEST, or all of its requests on SESSION if 0.  */
-void marjoram_entry_take_cancel (struct marjoram_entry *self, const char *host,
-                                 uint64_t session, uint64_t request);
+void marjoram_entry_handle_cancel (struct marjoram_entry *self,
+                                   const char *host, uint64_t session,
+                                   uint64_t request);
 
 /* entry_loads.c */
 /* Sends this host's load to the other hosts of the region when due.  */
 void marjoram_entry_report_loads (struct marjoram_entry *self, int64_t now);
 /* Applies the totals collected by HOST.  */
-void marjoram_entry_take_sums (struct marjoram_entry *self, const char *host,
-                               const struct marjoram_load_report *sums);
+void marjoram_entry_apply_sums (struct marjoram_entry *self, const char *host,
+                                const struct marjoram_load_report *sums);
 
 /* entry_role.c */
 /* Whether this host accepts callers' requests, as announced in heartbeats. */
 bool marjoram_entry_is_ready (const struct marjoram_entry *self);
-void marjoram_entry_take_state (struct marjoram_entry *self,
-                                const struct marjoram_state *state);
+void marjoram_entry_apply_state (struct marjoram_entry *self,
+                                 const struct marjoram_state *state);
 
 #endif
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -12,11 +12,11 @@
 
 enum
 {
-  OFFER_MS = 100, /* update interval of the offers in heartbeats */
+  OFFERS_INTERVAL_MS = 100, /* update interval of the offers in heartbeats */
   /* How long requests are still accepted after the signal to stop.  Callers
      cache addresses for two seconds, and accepted requests must complete
      within the drain timeout.  */
-  CLOSE_AFTER_MS = 2000,
+  ACCEPT_AFTER_STOP_MS = 2000,
   /* Retry-After of a draining host: another host can serve the request at
      once.  */
   DRAINING_RETRY_MS = 20,
@@ -24,7 +24,7 @@
   /* How long after startup newly discovered engines are queried for cached
      prompts.  All upstreams send heartbeats within two seconds; those that
      appear later have empty caches or are reported by other hosts.  */
-  SURVEY_MS = 4000,
+  SURVEY_PERIOD_MS = 4000,
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
   STATUS_UNAVAILABLE = 503
@@ -56,7 +56,7 @@
   /* A long response would be aborted by the drain timeout.  */
   marjoram_http_request_destroy (request);
   marjoram_metrics_refused (self->parts->metrics, MARJORAM_REASON_DRAINING);
-  marjoram_entry_refuse_call (self, call, &why);
+  marjoram_entry_reject_call (self, call, &why);
 }
 
 static void
@@ -142,7 +142,7 @@
 /* ---- Configuration.  ---- */
 
 static void
-set_limits (struct marjoram_entry *self)
+set_http_limits (struct marjoram_entry *self)
 {
   const struct marjoram_caller_rule *callers = &self->table->callers;
   const struct marjoram_http_limits limits
@@ -155,13 +155,14 @@
 /* Zones in the first state received after startup are not recorded: the time
    of their evacuation is unknown.  */
 static void
-note_leaving (struct marjoram_entry *self, const struct marjoram_names *before)
+record_leaving_zones (struct marjoram_entry *self,
+                      const struct marjoram_names *before)
 {
-  for (size_t i = 0; self->knows_evacuations && i < self->evacuated.count; i++)
+  for (size_t i = 0; self->evacuations_known && i < self->evacuated.count; i++)
     if (!marjoram_agreed_is_evacuated (before, self->evacuated.items[i]))
       marjoram_leaving_zones_add (&self->leaving, marjoram_entry_now (self),
                                   self->evacuated.items[i]);
-  self->knows_evacuations = true;
+  self->evacuations_known = true;
 }
 
 /* Upstreams may be cold in zones whose evacuation has ended.  */
@@ -171,7 +172,7 @@
   struct marjoram_names before = self->evacuated;
 
   self->evacuated = zones;
-  note_leaving (self, &before);
+  record_leaving_zones (self, &before);
   for (size_t i = 0; i < before.count; i++)
     if (self->table && !marjoram_agreed_is_evacuated (&zones, before.items[i]))
       marjoram_placement_zone_restored (
@@ -183,21 +184,21 @@
 static void
 set_table (struct marjoram_entry *self, struct marjoram_route_table *table)
 {
-  struct marjoram_route_table *old = self->former;
+  struct marjoram_route_table *old = self->previous_table;
 
-  self->former = self->table;
+  self->previous_table = self->table;
   self->table = table;
-  self->offered_at = 0;
+  self->offers_updated_at = 0;
   self->offers.count = 0;
   marjoram_gateway_set_table (self->gateway, marjoram_entry_now (self), table);
   marjoram_route_table_destroy (old);
-  set_limits (self);
+  set_http_limits (self);
 }
 
 /* State numbers are monotonic: delayed copies of older states are ignored.  */
 void
-marjoram_entry_take_state (struct marjoram_entry *self,
-                           const struct marjoram_state *state)
+marjoram_entry_apply_state (struct marjoram_entry *self,
+                            const struct marjoram_state *state)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table;
@@ -226,7 +227,7 @@
 }
 
 static struct marjoram_entry *
-self_of (struct marjoram_role *role)
+entry_from_role (struct marjoram_role *role)
 {
   return (struct marjoram_entry *)role;
 }
@@ -235,7 +236,8 @@
 role_frame (struct marjoram_role *role, const char *host, uint64_t session,
             enum marjoram_frame_type type, void *message)
 {
-  marjoram_entry_take_frame (self_of (role), host, session, type, message);
+  marjoram_entry_handle_frame (entry_from_role (role), host, session, type,
+                               message);
 }
 
 /* ---- Role operations.  ---- */
@@ -255,13 +257,13 @@
 role_session_closed (struct marjoram_role *role, const char *host,
                      uint64_t session)
 {
-  marjoram_entry_take_cancel (self_of (role), host, session, 0);
+  marjoram_entry_handle_cancel (entry_from_role (role), host, session, 0);
 }
 
 static void
 role_link_lost (struct marjoram_role *role, const char *host)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   marjoram_state_fetch_disconnected (self->fetch, host);
   marjoram_gateway_link_lost (self->gateway, marjoram_entry_now (self), host);
@@ -275,15 +277,17 @@
 
 /* The offers borrow their strings from the route table.  */
 static void
-renew_offers (struct marjoram_entry *self)
+update_offers (struct marjoram_entry *self)
 {
   const struct marjoram_service_rule *services;
   struct marjoram_host_offer *offers;
   size_t count;
 
-  if (!self->table || marjoram_entry_now (self) < self->offered_at + OFFER_MS)
+  if (!self->table
+      || marjoram_entry_now (self)
+             < self->offers_updated_at + OFFERS_INTERVAL_MS)
     return;
-  self->offered_at = marjoram_entry_now (self);
+  self->offers_updated_at = marjoram_entry_now (self);
   services = self->table->services.items;
   count = self->table->services.count;
   if (count > MARJORAM_HOST_OFFERS_MAX)
@@ -296,7 +300,7 @@
       struct marjoram_host_offer *offer = &offers[self->offers.count];
 
       marjoram_placement_offer (marjoram_gateway_placement (self->gateway),
-                                self->offered_at, &services[i], offer);
+                                self->offers_updated_at, &services[i], offer);
       self->offers.count += offer->upstreams > 0;
     }
 }
@@ -304,9 +308,9 @@
 static void
 role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
-  renew_offers (self);
+  update_offers (self);
   beat->ready = marjoram_entry_is_ready (self);
   beat->leaving = self->stopped_at != 0;
   beat->config_number = self->config_number;
@@ -321,7 +325,7 @@
 role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
           const char *target, const char *body, size_t size)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_ask what = { 0 };
   int status = STATUS_NOT_FOUND;
 
@@ -336,7 +340,7 @@
 static json_t *
 role_report (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   return json_pack (
       "{s:s, s:b, s:I, s:I, s:I, s:o, s:o}", "role", "entry", "ready",
@@ -362,15 +366,15 @@
 static void
 role_reload (struct marjoram_role *role)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   const struct marjoram_repeat_terms terms = repeat_terms (self);
 
   marjoram_repeat_budget_set (marjoram_gateway_budget (self->gateway), &terms);
 }
 
 static void
-engine_kept (void *context, const char *engine,
-             const struct marjoram_prompt_part *parts, size_t count)
+survey_cached (void *context, const char *engine,
+               const struct marjoram_prompt_part *parts, size_t count)
 {
   struct marjoram_entry *self = context;
 
@@ -379,11 +383,11 @@
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
-    = { .kept = engine_kept };
+    = { .kept = survey_cached };
 
 static bool
-is_to_be_asked (struct marjoram_entry *self,
-                const struct marjoram_registered *upstream)
+should_survey (struct marjoram_entry *self,
+               const struct marjoram_registered *upstream)
 {
   const struct marjoram_service_rule *service
       = marjoram_route_table_service (self->table, upstream->news.service);
@@ -403,10 +407,10 @@
 
   marjoram_engine_survey_tick (self->survey);
   if (!self->table || self->parts->settings->first_start
-      || now > self->created_at + SURVEY_MS)
+      || now > self->created_at + SURVEY_PERIOD_MS)
     return;
   TAILQ_FOREACH (upstream, marjoram_registry_all (self->registry), link)
-  if (is_to_be_asked (self, upstream))
+  if (should_survey (self, upstream))
     marjoram_engine_survey_query (self->survey, upstream->news.id,
                                   upstream->news.address);
 }
@@ -414,7 +418,7 @@
 static void
 role_tick (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   marjoram_gateway_tick (self->gateway, now);
   marjoram_state_fetch_tick (self->fetch, now);
@@ -429,7 +433,7 @@
       marjoram_registry_tick (self->registry, now);
     }
   if (self->stopped_at && !self->closed
-      && now >= self->stopped_at + CLOSE_AFTER_MS)
+      && now >= self->stopped_at + ACCEPT_AFTER_STOP_MS)
     {
       self->closed = true;
       marjoram_http_server_close_idle (self->server);
@@ -439,7 +443,7 @@
 static void
 role_stop (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   self->stopped_at = now;
   marjoram_http_server_drain (self->server);
@@ -448,7 +452,7 @@
 static bool
 role_finished (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   (void)now;
   return self->closed && marjoram_gateway_request_count (self->gateway) == 0
@@ -458,13 +462,13 @@
 static void
 role_destroy (struct marjoram_role *role)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_inbound *inbound;
   struct marjoram_inbound *next;
 
   HASH_ITER (hh, self->inbound, inbound, next)
   {
-    marjoram_entry_forget_inbound (self, inbound);
+    marjoram_entry_remove_inbound (self, inbound);
   }
   marjoram_gateway_destroy (self->gateway);
   marjoram_engine_survey_destroy (self->survey);
@@ -473,7 +477,7 @@
   marjoram_http_client_destroy (self->client);
   marjoram_http_server_destroy (self->server);
   marjoram_route_table_destroy (self->table);
-  marjoram_route_table_destroy (self->former);
+  marjoram_route_table_destroy (self->previous_table);
   marjoram_names_clear (&self->evacuated);
   marjoram_registry_destroy (self->registry);
   free (self->offers.items);
