--- a/src/daemon.c
+++ b/src/daemon.c
@@ -16,10 +16,10 @@
 {
   TICK_MSEC = 50,
   /* Delay after the last request, to flush responses to the sockets.  */
-  LINGER_MSEC = 300,
+  FLUSH_DELAY_MSEC = 300,
   /* Final event loop iterations in which received requests are read, refused
      and answered.  */
-  LAST_TURNS = 8
+  FINAL_LOOP_ITERATIONS = 8
 };
 
 struct marjoram_daemon
@@ -35,15 +35,15 @@
   marjoram_disk *disk;
   marjoram_peer *peer;
   marjoram_upstreams *upstreams;
-  marjoram_front *front;
+  marjoram_frontend *frontend;
   marjoram_control *control;
   struct event *tick;
-  struct event *term;
-  struct event *interrupt;
-  struct event *hangup;
+  struct event *sigterm;
+  struct event *sigint;
+  struct event *sighup;
   bool stopping;
   bool drained;
-  bool cut;
+  bool aborted;
 };
 
 /* ---- Host operations.  ---- */
@@ -54,7 +54,7 @@
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_front_head (daemon->front, call, head, info, length);
+  marjoram_frontend_head (daemon->frontend, call, head, info, length);
 }
 
 static void
@@ -62,7 +62,7 @@
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_front_data (daemon->front, call, bytes);
+  marjoram_frontend_data (daemon->frontend, call, bytes);
 }
 
 static void
@@ -70,15 +70,15 @@
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_front_end (daemon->front, call);
+  marjoram_frontend_end (daemon->frontend, call);
 }
 
 static void
-op_reply_cut (void *context, uint64_t call)
+op_reply_abort (void *context, uint64_t call)
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_front_cut (daemon->front, call);
+  marjoram_frontend_abort (daemon->frontend, call);
 }
 
 static void
@@ -87,7 +87,7 @@
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_front_refuse (daemon->front, call, refusal);
+  marjoram_frontend_refuse (daemon->frontend, call, refusal);
 }
 
 static void
@@ -183,9 +183,9 @@
 }
 
 static void
-stop_later (marjoram_daemon *daemon)
+schedule_exit (marjoram_daemon *daemon)
 {
-  struct timeval delay = marjoram_clock_timeval (LINGER_MSEC);
+  struct timeval delay = marjoram_clock_timeval (FLUSH_DELAY_MSEC);
 
   event_base_loopexit (daemon->base, &delay);
 }
@@ -196,17 +196,17 @@
   marjoram_daemon *daemon = context;
 
   daemon->drained = true;
-  daemon->cut = marjoram_host_request_count (daemon->host) > 0;
-  marjoram_front_stop_listening (daemon->front);
+  daemon->aborted = marjoram_host_request_count (daemon->host) > 0;
+  marjoram_frontend_stop_listening (daemon->frontend);
   if (daemon->stopping)
-    stop_later (daemon);
+    schedule_exit (daemon);
 }
 
 static const struct marjoram_host_ops host_ops = {
   .reply_head = op_reply_head,
   .reply_data = op_reply_data,
   .reply_end = op_reply_end,
-  .reply_abort = op_reply_cut,
+  .reply_abort = op_reply_abort,
   .reply_refusal = op_reply_refusal,
   .run = op_run,
   .resume = op_resume,
@@ -290,7 +290,7 @@
 static void
 drain (marjoram_daemon *daemon)
 {
-  marjoram_front_drain (daemon->front);
+  marjoram_frontend_drain (daemon->frontend);
   marjoram_host_drain (daemon->host, marjoram_clock_now (daemon->clock));
 }
 
@@ -342,7 +342,7 @@
   (void)what;
   if (daemon->stopping)
     {
-      daemon->cut = marjoram_host_request_count (daemon->host) > 0;
+      daemon->aborted = marjoram_host_request_count (daemon->host) > 0;
       marjoram_log (MARJORAM_LOG_WARNING,
                     "second signal received; aborting %zu requests",
                     marjoram_host_request_count (daemon->host));
@@ -352,12 +352,12 @@
   daemon->stopping = true;
   /* It may have been drained already through the control interface.  */
   if (daemon->drained)
-    stop_later (daemon);
+    schedule_exit (daemon);
   drain (daemon);
 }
 
 static void
-on_hangup (evutil_socket_t signal_number, short what, void *context)
+on_sighup (evutil_socket_t signal_number, short what, void *context)
 {
   marjoram_daemon *daemon = context;
   struct marjoram_error err = { 0 };
@@ -418,10 +418,10 @@
     return false;
   daemon->upstreams = marjoram_upstreams_create (
       daemon->base, &marjoram_inbox_upstreams_ops, daemon->inbox);
-  daemon->front
-      = marjoram_front_create (daemon->base, settings, daemon->counters,
-                               &marjoram_inbox_front_ops, daemon->inbox, err);
-  if (!daemon->front)
+  daemon->frontend = marjoram_frontend_create (
+      daemon->base, settings, daemon->counters, &marjoram_inbox_frontend_ops,
+      daemon->inbox, err);
+  if (!daemon->frontend)
     return false;
   daemon->control = marjoram_control_create (
       daemon->base, daemon->clock, settings, &control_ops, daemon, err);
@@ -459,9 +459,9 @@
 
   daemon->tick = event_new (daemon->base, -1, EV_PERSIST, on_tick, daemon);
   event_add (daemon->tick, &period);
-  daemon->term = signal_event (daemon, SIGTERM, on_stop);
-  daemon->interrupt = signal_event (daemon, SIGINT, on_stop);
-  daemon->hangup = signal_event (daemon, SIGHUP, on_hangup);
+  daemon->sigterm = signal_event (daemon, SIGTERM, on_stop);
+  daemon->sigint = signal_event (daemon, SIGINT, on_stop);
+  daemon->sighup = signal_event (daemon, SIGHUP, on_sighup);
 }
 
 marjoram_daemon *
@@ -507,12 +507,12 @@
   if (!daemon)
     return;
   event_destroy (daemon->tick);
-  event_destroy (daemon->term);
-  event_destroy (daemon->interrupt);
-  event_destroy (daemon->hangup);
+  event_destroy (daemon->sigterm);
+  event_destroy (daemon->sigint);
+  event_destroy (daemon->sighup);
   marjoram_host_destroy (daemon->host);
   marjoram_control_destroy (daemon->control);
-  marjoram_front_destroy (daemon->front);
+  marjoram_frontend_destroy (daemon->frontend);
   marjoram_upstreams_destroy (daemon->upstreams);
   marjoram_peer_destroy (daemon->peer);
   if (daemon->disk)
@@ -533,8 +533,8 @@
                 daemon->settings->entry_address,
                 daemon->settings->peer_address);
   event_base_dispatch (daemon->base);
-  for (int i = 0; i < LAST_TURNS && !daemon->cut; i++)
+  for (int i = 0; i < FINAL_LOOP_ITERATIONS && !daemon->aborted; i++)
     event_base_loop (daemon->base, EVLOOP_NONBLOCK);
   marjoram_log (MARJORAM_LOG_NOTICE, "stopped");
-  return !daemon->cut;
+  return !daemon->aborted;
 }
--- a/src/front.c
+++ b/src/front.c
@@ -22,45 +22,45 @@
 {
   /* How often pending requests are checked for disconnected callers.  evhttp
      does not report them, since it stops reading during a request.  */
-  WATCH_MSEC = 250,
-  CLOSING_MSEC = 1, /* poll interval of a listener to be closed */
+  DISCONNECT_CHECK_MSEC = 250,
+  CLOSE_CHECK_MSEC = 1, /* poll interval of a listener to be closed */
   /* Bytes buffered for a slow reader before its response is aborted.  */
-  OUTPUT_MAX = 32 * 1024 * 1024,
+  OUTPUT_BUFFER_MAX = 32 * 1024 * 1024,
   MSEC_PER_SEC = 1000
 };
 
 /* A request whose response is incomplete.  */
 struct pending
 {
-  marjoram_front *front;
+  marjoram_frontend *frontend;
   uint64_t number;
   struct evhttp_request *request;
   bool started; /* the head was sent */
   UT_hash_handle hh;
 };
 
-struct marjoram_front
+struct marjoram_frontend
 {
   struct event_base *base;
   const struct marjoram_settings *settings;
   marjoram_counters *counters;
-  const struct marjoram_front_ops *ops;
+  const struct marjoram_frontend_ops *ops;
   void *context;
   struct evhttp *http;
   struct evhttp_bound_socket *socket;
-  struct event *watch;
+  struct event *disconnect_timer;
   struct pending *pending;
   uint64_t next_number;
   bool draining;
-  struct event *closing; /* polls the listener to be closed */
+  struct event *close_timer; /* polls the listener to be closed */
 };
 
 static struct pending *
-find_pending (marjoram_front *front, uint64_t number)
+find_pending (marjoram_frontend *frontend, uint64_t number)
 {
   struct pending *pending;
 
-  HASH_FIND (hh, front->pending, &number, sizeof number, pending);
+  HASH_FIND (hh, frontend->pending, &number, sizeof number, pending);
   return pending;
 }
 
@@ -72,12 +72,12 @@
 
   if (connection)
     evhttp_connection_set_closecb (connection, NULL, NULL);
-  HASH_DEL (pending->front->pending, pending);
+  HASH_DEL (pending->frontend->pending, pending);
   free (pending);
 }
 
 static struct evkeyvalq *
-headers_of (const struct pending *pending)
+output_headers (const struct pending *pending)
 {
   return evhttp_request_get_output_headers (pending->request);
 }
@@ -100,7 +100,7 @@
 }
 
 static void
-say_close (struct evhttp_request *request)
+add_connection_close (struct evhttp_request *request)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
 
@@ -111,10 +111,11 @@
 /* Otherwise callers reuse the connection until the host exits, and the last
    request is lost.  */
 static void
-close_if_draining (const marjoram_front *front, struct evhttp_request *request)
+close_if_draining (const marjoram_frontend *frontend,
+                   struct evhttp_request *request)
 {
-  if (front->draining)
-    say_close (request);
+  if (frontend->draining)
+    add_connection_close (request);
 }
 
 static void
@@ -154,15 +155,15 @@
 /* Refuses a malformed request and closes the connection: the following bytes
    may belong to the same request.  */
 static void
-refuse_input (marjoram_front *front, struct evhttp_request *request,
+refuse_input (marjoram_frontend *frontend, struct evhttp_request *request,
               enum marjoram_reason reason, const char *message)
 {
   struct marjoram_refusal refusal
       = { NULL, MARJORAM_OUTCOME_NOT_RUN, reason, 0 };
 
-  marjoram_counters_add (front->counters, MARJORAM_COUNTER_BAD_HTTP, 1);
-  marjoram_counters_refused (front->counters, reason);
-  say_close (request);
+  marjoram_counters_add (frontend->counters, MARJORAM_COUNTER_BAD_HTTP, 1);
+  marjoram_counters_refused (frontend->counters, reason);
+  add_connection_close (request);
   reply_refusal (request, &refusal, message);
 }
 
@@ -172,13 +173,13 @@
 on_connection_closed (struct evhttp_connection *connection, void *context)
 {
   struct pending *pending = context;
-  marjoram_front *front = pending->front;
+  marjoram_frontend *frontend = pending->frontend;
   uint64_t number = pending->number;
 
   (void)connection;
-  HASH_DEL (front->pending, pending);
+  HASH_DEL (frontend->pending, pending);
   free (pending);
-  front->ops->gone (front->context, number);
+  frontend->ops->gone (frontend->context, number);
 }
 
 static bool
@@ -188,7 +189,7 @@
 }
 
 static void
-take_call (marjoram_front *front, struct evhttp_request *request)
+handle_call (marjoram_frontend *frontend, struct evhttp_request *request)
 {
   struct marjoram_error err = { 0 };
   enum marjoram_reason reason = MARJORAM_REASON_BAD_REQUEST;
@@ -198,32 +199,32 @@
   /* HTTP/1.0 callers cannot detect truncated responses.  */
   if (!is_http_1_1 (request))
     {
-      refuse_input (front, request, reason,
+      refuse_input (frontend, request, reason,
                     "HTTP version not supported; use HTTP/1.1");
       return;
     }
-  call = marjoram_intake_call (request, &reason, &err);
+  call = marjoram_request_parser_call (request, &reason, &err);
   if (!call)
     {
-      refuse_input (front, request, reason, err.message);
+      refuse_input (frontend, request, reason, err.message);
       return;
     }
-  if (marjoram_bytes_size (call->body) > front->settings->max_body)
+  if (marjoram_bytes_size (call->body) > frontend->settings->max_body)
     {
       marjoram_call_destroy (call);
-      refuse_input (front, request, MARJORAM_REASON_TOO_LARGE,
+      refuse_input (frontend, request, MARJORAM_REASON_TOO_LARGE,
                     marjoram_reason_remedy (MARJORAM_REASON_TOO_LARGE));
       return;
     }
   pending = marjoram_alloc (sizeof *pending);
-  pending->front = front;
-  pending->number = ++front->next_number;
+  pending->frontend = frontend;
+  pending->number = ++frontend->next_number;
   pending->request = request;
-  HASH_ADD (hh, front->pending, number, sizeof pending->number, pending);
+  HASH_ADD (hh, frontend->pending, number, sizeof pending->number, pending);
   evhttp_connection_set_closecb (evhttp_request_get_connection (request),
                                  on_connection_closed, pending);
   call->number = pending->number;
-  front->ops->call (front->context, call);
+  frontend->ops->call (frontend->context, call);
 }
 
 /* ---- Responses.  ---- */
@@ -232,7 +233,7 @@
 add_answer_headers (struct pending *pending, const struct marjoram_head *head,
                     const struct marjoram_answer_info *info)
 {
-  struct evkeyvalq *headers = headers_of (pending);
+  struct evkeyvalq *headers = output_headers (pending);
   const struct marjoram_header *header = head->headers.items;
 
   for (size_t i = 0; i < head->headers.count; i++)
@@ -248,18 +249,19 @@
 }
 
 void
-marjoram_front_head (marjoram_front *front, uint64_t call,
-                     const struct marjoram_head *head,
-                     const struct marjoram_answer_info *info, int64_t length)
+marjoram_frontend_head (marjoram_frontend *frontend, uint64_t call,
+                        const struct marjoram_head *head,
+                        const struct marjoram_answer_info *info,
+                        int64_t length)
 {
-  struct pending *pending = find_pending (front, call);
+  struct pending *pending = find_pending (frontend, call);
 
   if (!pending)
     return;
   add_answer_headers (pending, head, info);
-  close_if_draining (front, pending->request);
+  close_if_draining (frontend, pending->request);
   if (length >= 0)
-    add_number (headers_of (pending), "Content-Length", length);
+    add_number (output_headers (pending), "Content-Length", length);
   pending->started = true;
   evhttp_send_reply_start (pending->request, (int)head->status, NULL);
 }
@@ -267,7 +269,7 @@
 /* Closes the connection without the final chunk, so that the caller detects
    the truncated response.  */
 static void
-cut (struct pending *pending)
+abort_response (struct pending *pending)
 {
   struct evhttp_connection *connection
       = evhttp_request_get_connection (pending->request);
@@ -277,12 +279,12 @@
 }
 
 void
-marjoram_front_cut (marjoram_front *front, uint64_t call)
+marjoram_frontend_abort (marjoram_frontend *frontend, uint64_t call)
 {
-  struct pending *pending = find_pending (front, call);
+  struct pending *pending = find_pending (frontend, call);
 
   if (pending)
-    cut (pending);
+    abort_response (pending);
 }
 
 static size_t
@@ -295,7 +297,7 @@
 }
 
 static void
-bytes_unreferenced (const void *data, size_t size, void *context)
+release_bytes (const void *data, size_t size, void *context)
 {
   (void)data;
   (void)size;
@@ -303,31 +305,31 @@
 }
 
 void
-marjoram_front_data (marjoram_front *front, uint64_t call,
-                     marjoram_bytes *bytes)
+marjoram_frontend_data (marjoram_frontend *frontend, uint64_t call,
+                        marjoram_bytes *bytes)
 {
-  struct pending *pending = find_pending (front, call);
+  struct pending *pending = find_pending (frontend, call);
   struct evbuffer *buffer;
 
   if (!pending || marjoram_bytes_size (bytes) == 0)
     return;
   buffer = evbuffer_new ();
   evbuffer_add_reference (buffer, marjoram_bytes_data (bytes),
-                          marjoram_bytes_size (bytes), bytes_unreferenced,
+                          marjoram_bytes_size (bytes), release_bytes,
                           marjoram_bytes_retain (bytes));
   evhttp_send_reply_chunk (pending->request, buffer);
   evbuffer_free (buffer);
-  if (output_size (pending) > OUTPUT_MAX)
+  if (output_size (pending) > OUTPUT_BUFFER_MAX)
     {
-      cut (pending);
-      front->ops->gone (front->context, call);
+      abort_response (pending);
+      frontend->ops->gone (frontend->context, call);
     }
 }
 
 void
-marjoram_front_end (marjoram_front *front, uint64_t call)
+marjoram_frontend_end (marjoram_frontend *frontend, uint64_t call)
 {
-  struct pending *pending = find_pending (front, call);
+  struct pending *pending = find_pending (frontend, call);
   struct evhttp_request *request;
 
   if (!pending)
@@ -338,17 +340,17 @@
 }
 
 void
-marjoram_front_refuse (marjoram_front *front, uint64_t call,
-                       const struct marjoram_refusal *refusal)
+marjoram_frontend_refuse (marjoram_frontend *frontend, uint64_t call,
+                          const struct marjoram_refusal *refusal)
 {
-  struct pending *pending = find_pending (front, call);
+  struct pending *pending = find_pending (frontend, call);
   struct evhttp_request *request;
 
   if (!pending)
     return;
   request = pending->request;
   pending_destroy (pending);
-  close_if_draining (front, request);
+  close_if_draining (frontend, request);
   reply_refusal (request, refusal, marjoram_reason_remedy (refusal->reason));
 }
 
@@ -382,33 +384,34 @@
 }
 
 static void
-take_announcement (marjoram_front *front, struct evhttp_request *request,
-                   bool leaving)
+handle_announcement (marjoram_frontend *frontend,
+                     struct evhttp_request *request, bool leaving)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_announcement *a
-      = marjoram_intake_announcement (request, &err);
+      = marjoram_request_parser_announcement (request, &err);
   enum marjoram_announce_result result;
   json_t *body;
 
   if (!a)
     {
-      refuse_input (front, request, MARJORAM_REASON_BAD_REQUEST, err.message);
+      refuse_input (frontend, request, MARJORAM_REASON_BAD_REQUEST,
+                    err.message);
       return;
     }
   /* A draining host still accepts announcements and relays them to its
      peers.  */
-  if (front->ops->config_number (front->context) == 0)
+  if (frontend->ops->config_number (frontend->context) == 0)
     {
       marjoram_wire_destroy (&marjoram_announcement_layout, a);
-      refuse_input (front, request, MARJORAM_REASON_NO_CONFIG,
+      refuse_input (frontend, request, MARJORAM_REASON_NO_CONFIG,
                     "this host has no configuration yet; try another");
       return;
     }
   a->leaving = leaving;
-  result = front->ops->announce (front->context, a);
+  result = frontend->ops->announce (frontend->context, a);
   marjoram_wire_destroy (&marjoram_announcement_layout, a);
-  body = front->ops->entries (front->context);
+  body = frontend->ops->entries (frontend->context);
   json_object_set_new (body, "result",
                        json_string (announce_result_name (result)));
   json_object_set_new (body, "message",
@@ -419,23 +422,23 @@
 /* ---- Health checks, metrics and dispatch.  ---- */
 
 static void
-reply_word (struct evhttp_request *request, bool good, const char *yes,
-            const char *no)
+reply_health (struct evhttp_request *request, bool ok, const char *positive,
+              const char *negative)
 {
   struct evbuffer *buffer = evbuffer_new ();
 
-  evbuffer_add_printf (buffer, "%s\n", good ? yes : no);
+  evbuffer_add_printf (buffer, "%s\n", ok ? positive : negative);
   evhttp_add_header (evhttp_request_get_output_headers (request),
                      "Content-Type", "text/plain");
-  evhttp_send_reply (request, good ? HTTP_OK : HTTP_SERVUNAVAIL, NULL, buffer);
+  evhttp_send_reply (request, ok ? HTTP_OK : HTTP_SERVUNAVAIL, NULL, buffer);
   evbuffer_free (buffer);
 }
 
 static void
-reply_metrics (marjoram_front *front, struct evhttp_request *request)
+reply_metrics (marjoram_frontend *frontend, struct evhttp_request *request)
 {
   struct evbuffer *buffer = evbuffer_new ();
-  marjoram_auto_free char *text = marjoram_counters_text (front->counters);
+  marjoram_auto_free char *text = marjoram_counters_text (frontend->counters);
 
   evbuffer_add (buffer, text, strlen (text));
   evbuffer_add_printf (
@@ -444,8 +447,8 @@
       "marjoram_pending %u\n"
       "# TYPE marjoram_config_number gauge\n"
       "marjoram_config_number %llu\n",
-      HASH_COUNT (front->pending),
-      (unsigned long long)front->ops->config_number (front->context));
+      HASH_COUNT (frontend->pending),
+      (unsigned long long)frontend->ops->config_number (frontend->context));
   evhttp_add_header (evhttp_request_get_output_headers (request),
                      "Content-Type", "text/plain; version=0.0.4");
   evhttp_send_reply (request, HTTP_OK, NULL, buffer);
@@ -453,7 +456,7 @@
 }
 
 static bool
-is_at (const char *uri, const char *path)
+matches_path (const char *uri, const char *path)
 {
   size_t length = strlen (path);
 
@@ -462,49 +465,51 @@
 }
 
 static bool
-is_work (const char *uri)
+is_call (const char *uri)
 {
-  return is_at (uri, "/v1/chat/completions") || is_at (uri, "/v1/completions")
+  return matches_path (uri, "/v1/chat/completions")
+         || matches_path (uri, "/v1/completions")
          || strncmp (uri, "/v1/services/", strlen ("/v1/services/")) == 0;
 }
 
 static void
 on_request (struct evhttp_request *request, void *context)
 {
-  marjoram_front *front = context;
+  marjoram_frontend *frontend = context;
   const char *uri = evhttp_request_get_uri (request);
   struct marjoram_error err = { 0 };
 
-  close_if_draining (front, request);
-  if (!marjoram_intake_framing (request, &err))
-    refuse_input (front, request, MARJORAM_REASON_BAD_REQUEST, err.message);
-  else if (is_work (uri))
-    take_call (front, request);
-  else if (is_at (uri, "/v1/entries"))
-    reply_json (request, HTTP_OK, front->ops->entries (front->context));
-  else if (is_at (uri, "/v1/upstreams/announce"))
-    take_announcement (front, request, false);
-  else if (is_at (uri, "/v1/upstreams/leave"))
-    take_announcement (front, request, true);
-  else if (is_at (uri, "/healthz"))
-    reply_word (request, true, "ok", "");
-  else if (is_at (uri, "/readyz"))
-    reply_word (request, front->ops->ready (front->context), "ready",
-                "not ready");
-  else if (is_at (uri, "/metrics"))
-    reply_metrics (front, request);
+  close_if_draining (frontend, request);
+  if (!marjoram_request_parser_check_framing (request, &err))
+    refuse_input (frontend, request, MARJORAM_REASON_BAD_REQUEST, err.message);
+  else if (is_call (uri))
+    handle_call (frontend, request);
+  else if (matches_path (uri, "/v1/entries"))
+    reply_json (request, HTTP_OK, frontend->ops->entries (frontend->context));
+  else if (matches_path (uri, "/v1/upstreams/announce"))
+    handle_announcement (frontend, request, false);
+  else if (matches_path (uri, "/v1/upstreams/leave"))
+    handle_announcement (frontend, request, true);
+  else if (matches_path (uri, "/healthz"))
+    reply_health (request, true, "ok", "");
+  else if (matches_path (uri, "/readyz"))
+    reply_health (request, frontend->ops->ready (frontend->context), "ready",
+                  "not ready");
+  else if (matches_path (uri, "/metrics"))
+    reply_metrics (frontend, request);
   else
-    refuse_input (front, request, MARJORAM_REASON_UNKNOWN_MODEL,
+    refuse_input (frontend, request, MARJORAM_REASON_UNKNOWN_MODEL,
                   "no such path; see docs/CALLERS.md");
 }
 
 /* ---- Closing the listener.  ---- */
 
 static bool
-has_waiting (const marjoram_front *front)
+has_backlog (const marjoram_frontend *frontend)
 {
   struct pollfd listener
-      = { .fd = evhttp_bound_socket_get_fd (front->socket), .events = POLLIN };
+      = { .fd = evhttp_bound_socket_get_fd (frontend->socket),
+          .events = POLLIN };
 
   return poll (&listener, 1, 0) > 0;
 }
@@ -513,23 +518,23 @@
    may already have sent requests.  Let evhttp accept them first, in the next
    iteration of the event loop.  */
 static void
-close_listener (marjoram_front *front)
+close_listener (marjoram_frontend *frontend)
 {
-  struct timeval soon = marjoram_clock_timeval (CLOSING_MSEC);
+  struct timeval soon = marjoram_clock_timeval (CLOSE_CHECK_MSEC);
 
-  if (!front->socket)
+  if (!frontend->socket)
     return;
-  if (has_waiting (front))
+  if (has_backlog (frontend))
     {
-      event_add (front->closing, &soon);
+      event_add (frontend->close_timer, &soon);
       return;
     }
-  evhttp_del_accept_socket (front->http, front->socket);
-  front->socket = NULL;
+  evhttp_del_accept_socket (frontend->http, frontend->socket);
+  frontend->socket = NULL;
 }
 
 static void
-on_closing (evutil_socket_t fd, short what, void *context)
+on_close_timer (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
@@ -539,7 +544,7 @@
 /* ---- Disconnected callers.  ---- */
 
 static bool
-is_closed (const struct pending *pending)
+is_disconnected (const struct pending *pending)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (
       evhttp_request_get_connection (pending->request));
@@ -550,106 +555,111 @@
 }
 
 static void
-on_watch (evutil_socket_t fd, short what, void *context)
+on_disconnect_timer (evutil_socket_t fd, short what, void *context)
 {
-  marjoram_front *front = context;
+  marjoram_frontend *frontend = context;
   struct pending *pending;
   struct pending *next;
 
   (void)fd;
   (void)what;
-  HASH_ITER (hh, front->pending, pending, next)
+  HASH_ITER (hh, frontend->pending, pending, next)
   {
     uint64_t number = pending->number;
 
-    if (!is_closed (pending))
+    if (!is_disconnected (pending))
       continue;
-    cut (pending);
-    front->ops->gone (front->context, number);
+    abort_response (pending);
+    frontend->ops->gone (frontend->context, number);
   }
 }
 
 /* ---- Creation and destruction.  ---- */
 
 static bool
-listen_on (marjoram_front *front, const char *address)
+listen_on (marjoram_frontend *frontend, const char *address)
 {
   char ip[MARJORAM_IP_MAX];
   uint16_t port;
 
   if (!marjoram_address_split (address, ip, &port))
     return false;
-  front->socket = evhttp_bind_socket_with_handle (front->http, ip, port);
-  return front->socket != NULL;
-}
-
-marjoram_front *
-marjoram_front_create (struct event_base *base,
-                       const struct marjoram_settings *settings,
-                       marjoram_counters *counters,
-                       const struct marjoram_front_ops *ops, void *context,
-                       struct marjoram_error *err)
-{
-  marjoram_front *front = marjoram_alloc (sizeof *front);
-  struct timeval period = marjoram_clock_timeval (WATCH_MSEC);
-
-  front->base = base;
-  front->settings = settings;
-  front->counters = counters;
-  front->ops = ops;
-  front->context = context;
-  front->http = evhttp_new (base);
-  evhttp_set_max_headers_size (front->http, (ev_ssize_t)settings->max_headers);
-  evhttp_set_max_body_size (front->http, (ev_ssize_t)settings->max_body);
-  evhttp_set_timeout (front->http,
+  frontend->socket = evhttp_bind_socket_with_handle (frontend->http, ip, port);
+  return frontend->socket != NULL;
+}
+
+marjoram_frontend *
+marjoram_frontend_create (struct event_base *base,
+                          const struct marjoram_settings *settings,
+                          marjoram_counters *counters,
+                          const struct marjoram_frontend_ops *ops,
+                          void *context, struct marjoram_error *err)
+{
+  marjoram_frontend *frontend = marjoram_alloc (sizeof *frontend);
+  struct timeval period = marjoram_clock_timeval (DISCONNECT_CHECK_MSEC);
+
+  frontend->base = base;
+  frontend->settings = settings;
+  frontend->counters = counters;
+  frontend->ops = ops;
+  frontend->context = context;
+  frontend->http = evhttp_new (base);
+  evhttp_set_max_headers_size (frontend->http,
+                               (ev_ssize_t)settings->max_headers);
+  evhttp_set_max_body_size (frontend->http, (ev_ssize_t)settings->max_body);
+  evhttp_set_timeout (frontend->http,
                       (int)(settings->read_timeout_ms / MSEC_PER_SEC) + 1);
-  evhttp_set_allowed_methods (front->http,
+  evhttp_set_allowed_methods (frontend->http,
                               EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT
                                   | EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD
                                   | EVHTTP_REQ_PATCH | EVHTTP_REQ_OPTIONS);
-  evhttp_set_gencb (front->http, on_request, front);
-  front->watch = event_new (base, -1, EV_PERSIST, on_watch, front);
-  event_add (front->watch, &period);
-  front->closing = event_new (base, -1, 0, on_closing, front);
-  if (listen_on (front, settings->entry_address))
-    return front;
+  evhttp_set_gencb (frontend->http, on_request, frontend);
+  frontend->disconnect_timer
+      = event_new (base, -1, EV_PERSIST, on_disconnect_timer, frontend);
+  event_add (frontend->disconnect_timer, &period);
+  frontend->close_timer = event_new (base, -1, 0, on_close_timer, frontend);
+  if (listen_on (frontend, settings->entry_address))
+    return frontend;
   marjoram_error_set (err, MARJORAM_ERROR_IO,
                       "can't listen on [listen] entry = %s: %s; free the "
                       "address or change it",
                       settings->entry_address, strerror (errno));
-  marjoram_front_destroy (front);
+  marjoram_frontend_destroy (frontend);
   return NULL;
 }
 
 void
-marjoram_front_destroy (marjoram_front *front)
+marjoram_frontend_destroy (marjoram_frontend *frontend)
 {
   struct pending *pending;
   struct pending *next;
 
-  if (!front)
+  if (!frontend)
     return;
-  HASH_ITER (hh, front->pending, pending, next) { cut (pending); }
-  event_free (front->watch);
-  event_free (front->closing);
-  evhttp_free (front->http);
-  free (front);
+  HASH_ITER (hh, frontend->pending, pending, next)
+  {
+    abort_response (pending);
+  }
+  event_free (frontend->disconnect_timer);
+  event_free (frontend->close_timer);
+  evhttp_free (frontend->http);
+  free (frontend);
 }
 
 void
-marjoram_front_stop_listening (marjoram_front *front)
+marjoram_frontend_stop_listening (marjoram_frontend *frontend)
 {
-  close_listener (front);
+  close_listener (frontend);
 }
 
 void
-marjoram_front_drain (marjoram_front *front)
+marjoram_frontend_drain (marjoram_frontend *frontend)
 {
-  front->draining = true;
+  frontend->draining = true;
 }
 
 size_t
-marjoram_front_pending (const marjoram_front *front)
+marjoram_frontend_pending (const marjoram_frontend *frontend)
 {
-  return HASH_COUNT (front->pending);
+  return HASH_COUNT (frontend->pending);
 }
--- a/src/front.h
+++ b/src/front.h
@@ -1,16 +1,16 @@
 /* HTTP server for callers and upstreams, based on evhttp.  It validates
    requests, passes them to the host and writes the responses.  */
-#ifndef MARJORAM_FRONT_H
-#define MARJORAM_FRONT_H
+#ifndef MARJORAM_FRONTEND_H
+#define MARJORAM_FRONTEND_H
 
 #include "host.h"
 
 #include <event2/event.h>
 #include <jansson.h>
 
-typedef struct marjoram_front marjoram_front;
+typedef struct marjoram_frontend marjoram_frontend;
 
-struct marjoram_front_ops
+struct marjoram_frontend_ops
 {
   /* Takes ownership of CALL.  */
   void (*call) (void *context, struct marjoram_call *call);
@@ -25,28 +25,28 @@
   uint64_t (*config_number) (void *context);
 };
 
-marjoram_front *marjoram_front_create (
+marjoram_frontend *marjoram_frontend_create (
     struct event_base *base, const struct marjoram_settings *settings,
-    marjoram_counters *counters, const struct marjoram_front_ops *ops,
+    marjoram_counters *counters, const struct marjoram_frontend_ops *ops,
     void *context, struct marjoram_error *err);
-void marjoram_front_destroy (marjoram_front *front);
+void marjoram_frontend_destroy (marjoram_frontend *frontend);
 
 /* Responses, as in struct marjoram_host_ops.  */
-void marjoram_front_head (marjoram_front *front, uint64_t call,
-                          const struct marjoram_head *head,
-                          const struct marjoram_answer_info *info,
-                          int64_t length);
-void marjoram_front_data (marjoram_front *front, uint64_t call,
-                          marjoram_bytes *bytes);
-void marjoram_front_end (marjoram_front *front, uint64_t call);
-void marjoram_front_cut (marjoram_front *front, uint64_t call);
-void marjoram_front_refuse (marjoram_front *front, uint64_t call,
-                            const struct marjoram_refusal *refusal);
+void marjoram_frontend_head (marjoram_frontend *frontend, uint64_t call,
+                             const struct marjoram_head *head,
+                             const struct marjoram_answer_info *info,
+                             int64_t length);
+void marjoram_frontend_data (marjoram_frontend *frontend, uint64_t call,
+                             marjoram_bytes *bytes);
+void marjoram_frontend_end (marjoram_frontend *frontend, uint64_t call);
+void marjoram_frontend_abort (marjoram_frontend *frontend, uint64_t call);
+void marjoram_frontend_refuse (marjoram_frontend *frontend, uint64_t call,
+                               const struct marjoram_refusal *refusal);
 /* Closes each connection after its next response.  */
-void marjoram_front_drain (marjoram_front *front);
+void marjoram_frontend_drain (marjoram_frontend *frontend);
 /* Closes the listener once the pending connections have been accepted.  */
-void marjoram_front_stop_listening (marjoram_front *front);
+void marjoram_frontend_stop_listening (marjoram_frontend *frontend);
 /* Number of requests whose response is incomplete.  */
-size_t marjoram_front_pending (const marjoram_front *front);
+size_t marjoram_frontend_pending (const marjoram_frontend *frontend);
 
 #endif
--- a/src/inbox.c
+++ b/src/inbox.c
@@ -177,7 +177,7 @@
   return config ? marjoram_config_number (config) : 0;
 }
 
-const struct marjoram_front_ops marjoram_inbox_front_ops
+const struct marjoram_frontend_ops marjoram_inbox_frontend_ops
     = { post_call, post_gone, announce, entries, ready, config_number };
 
 /* ---- Upstreams.  ---- */
--- a/src/inbox.h
+++ b/src/inbox.h
@@ -22,7 +22,7 @@
 int64_t marjoram_inbox_wall (const marjoram_inbox *inbox);
 
 /* Callbacks of the tasks; their context is the inbox.  */
-extern const struct marjoram_front_ops marjoram_inbox_front_ops;
+extern const struct marjoram_frontend_ops marjoram_inbox_frontend_ops;
 extern const struct marjoram_upstreams_ops marjoram_inbox_upstreams_ops;
 extern const struct marjoram_peer_ops marjoram_inbox_peer_ops;
 extern const struct marjoram_disk_ops marjoram_inbox_disk_ops;
--- a/src/intake.c
+++ b/src/intake.c
@@ -26,51 +26,54 @@
 static const char service_path[] = "/v1/services/";
 
 static bool
-bad (struct marjoram_error *err, const char *message)
+set_invalid (struct marjoram_error *err, const char *message)
 {
   return marjoram_error_set (err, MARJORAM_ERROR_INVALID, "%s", message);
 }
 
 static const char *
-find (struct evhttp_request *request, const char *name)
+find_header (struct evhttp_request *request, const char *name)
 {
   return evhttp_find_header (evhttp_request_get_input_headers (request), name);
 }
 
 static size_t
-count (struct evhttp_request *request, const char *name)
+count_headers (struct evhttp_request *request, const char *name)
 {
   return marjoram_header_count (evhttp_request_get_input_headers (request),
                                 name, NULL);
 }
 
 bool
-marjoram_intake_framing (struct evhttp_request *request,
-                         struct marjoram_error *err)
+marjoram_request_parser_check_framing (struct evhttp_request *request,
+                                       struct marjoram_error *err)
 {
-  size_t lengths = count (request, "Content-Length");
-  size_t codings = count (request, "Transfer-Encoding");
-  const char *coding = find (request, "Transfer-Encoding");
-  const char *length = find (request, "Content-Length");
+  size_t lengths = count_headers (request, "Content-Length");
+  size_t codings = count_headers (request, "Transfer-Encoding");
+  const char *coding = find_header (request, "Transfer-Encoding");
+  const char *length = find_header (request, "Content-Length");
 
   /* evhttp uses the first of two lengths and accepts a truncated body.  */
   if (lengths + codings > 1)
-    return bad (err, "more than one Content-Length or Transfer-Encoding; "
-                     "send exactly one");
+    return set_invalid (err,
+                        "more than one Content-Length or Transfer-Encoding; "
+                        "send exactly one");
   if (coding && strcasecmp (coding, "chunked") != 0)
-    return bad (err, "Transfer-Encoding is not chunked; send chunked or a "
-                     "Content-Length");
+    return set_invalid (err,
+                        "Transfer-Encoding is not chunked; send chunked or a "
+                        "Content-Length");
   if (length && strspn (length, "0123456789") != strlen (length))
-    return bad (err,
-                "Content-Length is not a decimal number; send digits only");
-  if (count (request, "Host") != 1)
-    return bad (err, "missing or repeated Host header; send exactly one");
+    return set_invalid (
+        err, "Content-Length is not a decimal number; send digits only");
+  if (count_headers (request, "Host") != 1)
+    return set_invalid (err,
+                        "missing or repeated Host header; send exactly one");
   return true;
 }
 
 static bool
-take_headers (struct evhttp_request *request, struct marjoram_call *call,
-              struct marjoram_error *err)
+parse_headers (struct evhttp_request *request, struct marjoram_call *call,
+               struct marjoram_error *err)
 {
   struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
   struct marjoram_header *items
@@ -79,9 +82,9 @@
 
   call->headers.items = items;
   if (!marjoram_header_fits (headers))
-    return bad (err,
-                "too many headers, or a header too long; send at most 64, "
-                "names up to 64 and values up to 8192 characters");
+    return set_invalid (
+        err, "too many headers, or a header too long; send at most 64, "
+             "names up to 64 and values up to 8192 characters");
   TAILQ_FOREACH (header, headers, next)
   {
     if (!marjoram_header_is_passed_on (header->key))
@@ -116,7 +119,7 @@
 }
 
 static bool
-is_key (const char *key)
+is_valid_key (const char *key)
 {
   size_t length = strlen (key);
 
@@ -128,10 +131,10 @@
 
 /* Parses a "yes" or "no" header; FALLBACK if it is missing.  */
 static bool
-take_yes_no (struct evhttp_request *request, const char *name, bool fallback,
-             bool *value, struct marjoram_error *err)
+parse_yes_no (struct evhttp_request *request, const char *name, bool fallback,
+              bool *value, struct marjoram_error *err)
 {
-  const char *word = find (request, name);
+  const char *word = find_header (request, name);
 
   *value = fallback;
   if (!word)
@@ -145,10 +148,10 @@
 }
 
 static bool
-take_deadline (struct evhttp_request *request, struct marjoram_call *call,
-               struct marjoram_error *err)
+parse_deadline (struct evhttp_request *request, struct marjoram_call *call,
+                struct marjoram_error *err)
 {
-  const char *text = find (request, "Marjoram-Deadline-Ms");
+  const char *text = find_header (request, "Marjoram-Deadline-Ms");
   char *end;
 
   if (!text)
@@ -157,49 +160,54 @@
   if (*text && !*end && call->deadline_ms > 0
       && call->deadline_ms <= DEADLINE_MAX_MS)
     return true;
-  return bad (err, "Marjoram-Deadline-Ms is not a number from 1 to 86400000");
+  return set_invalid (
+      err, "Marjoram-Deadline-Ms is not a number from 1 to 86400000");
 }
 
 static bool
-take_class (struct evhttp_request *request, struct marjoram_call *call,
-            struct marjoram_error *err)
+parse_class (struct evhttp_request *request, struct marjoram_call *call,
+             struct marjoram_error *err)
 {
-  const char *word = find (request, "Marjoram-Class");
+  const char *word = find_header (request, "Marjoram-Class");
 
   if (!word || strcmp (word, "interactive") == 0)
     return true;
   call->class = MARJORAM_CLASS_OVERNIGHT;
   if (strcmp (word, "overnight") == 0)
     return true;
-  return bad (err, "Marjoram-Class is neither interactive nor overnight");
+  return set_invalid (err,
+                      "Marjoram-Class is neither interactive nor overnight");
 }
 
 static bool
-take_words (struct evhttp_request *request, struct marjoram_call *call,
-            struct marjoram_error *err)
+parse_call_headers (struct evhttp_request *request, struct marjoram_call *call,
+                    struct marjoram_error *err)
 {
-  const char *key = find (request, "Idempotency-Key");
+  const char *key = find_header (request, "Idempotency-Key");
   bool resend;
 
-  if (count (request, "Idempotency-Key") > 1 || (key && !is_key (key)))
-    return bad (err, "Idempotency-Key must be a single key of 1 to 128 "
-                     "characters A-Za-z0-9._-; get its prefix from "
-                     "GET /v1/entries");
+  if (count_headers (request, "Idempotency-Key") > 1
+      || (key && !is_valid_key (key)))
+    return set_invalid (err,
+                        "Idempotency-Key must be a single key of 1 to 128 "
+                        "characters A-Za-z0-9._-; get its prefix from "
+                        "GET /v1/entries");
   if (key)
     call->key = marjoram_strdup (key);
-  if (!take_yes_no (request, "Marjoram-Idempotent", true, &call->idempotent,
-                    err)
-      || !take_yes_no (request, "Marjoram-Resend", true, &resend, err))
+  if (!parse_yes_no (request, "Marjoram-Idempotent", true, &call->idempotent,
+                     err)
+      || !parse_yes_no (request, "Marjoram-Resend", true, &resend, err))
     return false;
   call->first_sending = !resend;
-  return take_class (request, call, err) && take_deadline (request, call, err);
+  return parse_class (request, call, err)
+         && parse_deadline (request, call, err);
 }
 
 static void
-take_token (struct evhttp_request *request, struct marjoram_call *call)
+parse_token (struct evhttp_request *request, struct marjoram_call *call)
 {
   static const char scheme[] = "Bearer ";
-  const char *value = find (request, "Authorization");
+  const char *value = find_header (request, "Authorization");
 
   if (value && strncasecmp (value, scheme, strlen (scheme)) == 0)
     value += strlen (scheme);
@@ -220,7 +228,7 @@
 };
 
 static void
-prompt_add (struct prompt *prompt, json_t *text)
+add_prompt_text (struct prompt *prompt, json_t *text)
 {
   size_t size = json_string_length (text);
   size_t room = PREFIX_BYTES - prompt->start_size;
@@ -240,15 +248,15 @@
   json_t *message;
   size_t i;
 
-  prompt_add (prompt, json_object_get (root, "prompt"));
+  add_prompt_text (prompt, json_object_get (root, "prompt"));
   json_array_foreach (messages, i, message)
   {
-    prompt_add (prompt, json_object_get (message, "content"));
+    add_prompt_text (prompt, json_object_get (message, "content"));
   }
 }
 
 static bool
-take_model (struct marjoram_call *call, struct marjoram_error *err)
+parse_model_request (struct marjoram_call *call, struct marjoram_error *err)
 {
   json_error_t fault;
   json_t *root = json_loadb ((const char *)marjoram_bytes_data (call->body),
@@ -265,8 +273,9 @@
                         "object",
                         fault.text, fault.line);
   else if (!ok)
-    bad (err,
-         "the body has no valid \"model\"; send {\"model\": \"NAME\", ...}");
+    set_invalid (
+        err,
+        "the body has no valid \"model\"; send {\"model\": \"NAME\", ...}");
   if (ok)
     {
       call->work = marjoram_strdup (json_string_value (model));
@@ -286,14 +295,14 @@
 /* ---- Service requests.  ---- */
 
 static bool
-take_service (const char *uri, struct marjoram_call *call,
-              struct marjoram_error *err)
+parse_service_request (const char *uri, struct marjoram_call *call,
+                       struct marjoram_error *err)
 {
   const char *name = uri + strlen (service_path);
   size_t length = strcspn (name, "/?");
 
   if (length == 0 || length > MARJORAM_NAME_MAX)
-    return bad (
+    return set_invalid (
         err, "the path has no valid service name; use /v1/services/NAME/...");
   call->work = strndup (name, length);
   if (name[length] == '/')
@@ -307,7 +316,7 @@
 }
 
 static void
-take_body (struct evhttp_request *request, struct marjoram_call *call)
+copy_body (struct evhttp_request *request, struct marjoram_call *call)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t size = evbuffer_get_length (input);
@@ -317,36 +326,38 @@
 }
 
 static bool
-take_target (struct evhttp_request *request, struct marjoram_call *call,
-             struct marjoram_error *err)
+parse_target (struct evhttp_request *request, struct marjoram_call *call,
+              struct marjoram_error *err)
 {
   const char *uri = evhttp_request_get_uri (request);
 
   if (strlen (uri) > PATH_LENGTH_MAX)
-    return bad (err, "the path is over 2048 characters; shorten it");
+    return set_invalid (err, "the path is over 2048 characters; shorten it");
   if (strncmp (uri, service_path, strlen (service_path)) == 0)
-    return take_service (uri, call, err);
+    return parse_service_request (uri, call, err);
   call->path = marjoram_strdup (uri);
-  return take_model (call, err);
+  return parse_model_request (call, err);
 }
 
 struct marjoram_call *
-marjoram_intake_call (struct evhttp_request *request,
-                      enum marjoram_reason *reason, struct marjoram_error *err)
+marjoram_request_parser_call (struct evhttp_request *request,
+                              enum marjoram_reason *reason,
+                              struct marjoram_error *err)
 {
   struct marjoram_call *call = marjoram_alloc (sizeof *call);
 
   *reason = MARJORAM_REASON_BAD_REQUEST;
   call->method = marjoram_strdup (method_name (request));
-  take_token (request, call);
-  take_body (request, call);
+  parse_token (request, call);
+  copy_body (request, call);
   if (marjoram_bytes_size (call->body) > MARJORAM_BODY_MAX)
     {
       *reason = MARJORAM_REASON_TOO_LARGE;
-      bad (err, "the body is over 16 MiB; send a smaller one");
+      set_invalid (err, "the body is over 16 MiB; send a smaller one");
     }
-  else if (take_headers (request, call, err) && take_words (request, call, err)
-           && take_target (request, call, err))
+  else if (parse_headers (request, call, err)
+           && parse_call_headers (request, call, err)
+           && parse_target (request, call, err))
     return call;
   marjoram_call_destroy (call);
   return NULL;
@@ -355,8 +366,8 @@
 /* ---- Announcements.  ---- */
 
 static bool
-text_member (json_t *root, const char *name, char **text,
-             struct marjoram_error *err)
+parse_string_member (json_t *root, const char *name, char **text,
+                     struct marjoram_error *err)
 {
   json_t *value = json_object_get (root, name);
 
@@ -371,17 +382,18 @@
 }
 
 static bool
-number_member (json_t *root, const char *name, int64_t least, int64_t most,
-               uint64_t *number, struct marjoram_error *err)
+parse_integer_member (json_t *root, const char *name, int64_t minimum,
+                      int64_t maximum, uint64_t *number,
+                      struct marjoram_error *err)
 {
   json_t *value = json_object_get (root, name);
   json_int_t n = json_integer_value (value);
 
-  if (!json_is_integer (value) || n < least || n > most)
+  if (!json_is_integer (value) || n < minimum || n > maximum)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
                                "\"%s\" is missing or not an integer from "
                                "%lld to %lld; see docs/UPSTREAMS.md",
-                               name, (long long)least, (long long)most);
+                               name, (long long)minimum, (long long)maximum);
   *number = (uint64_t)n;
   return true;
 }
@@ -389,8 +401,8 @@
 /* Parses the list of names in MEMBER, which may be empty or missing only if
    OPTIONAL.  */
 static bool
-take_names (json_t *root, const char *member, bool optional,
-            struct marjoram_array *names, struct marjoram_error *err)
+parse_names (json_t *root, const char *member, bool optional,
+             struct marjoram_array *names, struct marjoram_error *err)
 {
   json_t *list = json_object_get (root, member);
   struct marjoram_work_name *items;
@@ -423,16 +435,16 @@
 
 /* "works" may be empty for an engine with loadable models only.  */
 static bool
-take_works (json_t *root, struct marjoram_announcement *a,
-            struct marjoram_error *err)
+parse_works (json_t *root, struct marjoram_announcement *a,
+             struct marjoram_error *err)
 {
-  return take_names (root, "loadable", true, &a->loadable, err)
-         && take_names (root, "works", a->loadable.count > 0, &a->works, err);
+  return parse_names (root, "loadable", true, &a->loadable, err)
+         && parse_names (root, "works", a->loadable.count > 0, &a->works, err);
 }
 
 static bool
-take_kind (json_t *root, struct marjoram_announcement *a,
-           struct marjoram_error *err)
+parse_kind (json_t *root, struct marjoram_announcement *a,
+            struct marjoram_error *err)
 {
   const char *kind = json_string_value (json_object_get (root, "kind"));
 
@@ -440,48 +452,52 @@
   a->fences = json_is_true (json_object_get (root, "fences"));
   if (a->engine || (kind && strcmp (kind, "service") == 0))
     return true;
-  return bad (err, "\"kind\" is neither engine nor service; see "
-                   "docs/UPSTREAMS.md");
+  return set_invalid (err, "\"kind\" is neither engine nor service; see "
+                           "docs/UPSTREAMS.md");
 }
 
 static bool
-take_address (json_t *root, struct marjoram_announcement *a,
-              struct marjoram_error *err)
+parse_address (json_t *root, struct marjoram_announcement *a,
+               struct marjoram_error *err)
 {
   struct sockaddr_storage address;
   int size = sizeof address;
 
-  if (!text_member (root, "address", &a->address, err))
+  if (!parse_string_member (root, "address", &a->address, err))
     return false;
   if (evutil_parse_sockaddr_port (a->address, (struct sockaddr *)&address,
                                   &size)
           == 0
       && strchr (a->address, ':'))
     return true;
-  return bad (err, "\"address\" is not IP:port; host names are not resolved");
+  return set_invalid (
+      err, "\"address\" is not IP:port; host names are not resolved");
 }
 
 static bool
-take_announcement (json_t *root, struct marjoram_announcement *a,
-                   struct marjoram_error *err)
+parse_announcement (json_t *root, struct marjoram_announcement *a,
+                    struct marjoram_error *err)
 {
-  return text_member (root, "name", &a->name, err)
-         && text_member (root, "zone", &a->zone, err)
-         && take_address (root, a, err) && take_kind (root, a, err)
-         && take_works (root, a, err)
-         && number_member (root, "incarnation", 0, INT64_MAX, &a->incarnation,
-                           err)
-         && number_member (root, "sequence", 0, INT64_MAX, &a->sequence, err)
-         && number_member (root, "slots", 1, SLOTS_MAX, &a->slots, err)
-         && number_member (root, "lease_ms", MARJORAM_LEASE_MIN_MS,
-                           MARJORAM_LEASE_MAX_MS, &a->lease_ms, err)
-         && number_member (root, "running", 0, INT32_MAX, &a->running, err)
-         && number_member (root, "waiting", 0, INT32_MAX, &a->waiting, err);
+  return parse_string_member (root, "name", &a->name, err)
+         && parse_string_member (root, "zone", &a->zone, err)
+         && parse_address (root, a, err) && parse_kind (root, a, err)
+         && parse_works (root, a, err)
+         && parse_integer_member (root, "incarnation", 0, INT64_MAX,
+                                  &a->incarnation, err)
+         && parse_integer_member (root, "sequence", 0, INT64_MAX, &a->sequence,
+                                  err)
+         && parse_integer_member (root, "slots", 1, SLOTS_MAX, &a->slots, err)
+         && parse_integer_member (root, "lease_ms", MARJORAM_LEASE_MIN_MS,
+                                  MARJORAM_LEASE_MAX_MS, &a->lease_ms, err)
+         && parse_integer_member (root, "running", 0, INT32_MAX, &a->running,
+                                  err)
+         && parse_integer_member (root, "waiting", 0, INT32_MAX, &a->waiting,
+                                  err);
 }
 
 struct marjoram_announcement *
-marjoram_intake_announcement (struct evhttp_request *request,
-                              struct marjoram_error *err)
+marjoram_request_parser_announcement (struct evhttp_request *request,
+                                      struct marjoram_error *err)
 {
   struct marjoram_announcement *a = marjoram_alloc (sizeof *a);
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
@@ -489,8 +505,9 @@
   json_t *root = size ? json_loadb ((const char *)evbuffer_pullup (input, -1),
                                     size, 0, NULL)
                       : NULL;
-  bool ok = root ? take_announcement (root, a, err)
-                 : bad (err, "the body is not JSON; see docs/UPSTREAMS.md");
+  bool ok = root ? parse_announcement (root, a, err)
+                 : set_invalid (err,
+                                "the body is not JSON; see docs/UPSTREAMS.md");
 
   json_decref (root);
   if (ok)
