--- a/src/pool.c
+++ b/src/pool.c
@@ -10,7 +10,7 @@
   RING_POINTS = 16 /* per upstream */
 };
 
-#define SERVICE_MS 20.0
+#define DEFAULT_SERVICE_MS 20.0
 
 struct marjoram_pools
 {
@@ -19,7 +19,7 @@
   struct marjoram_pool *items;
   int count;
   uint64_t generation;
-  struct marjoram_speed *speeds;
+  struct marjoram_speed *latencies;
 };
 
 marjoram_pools *
@@ -51,8 +51,8 @@
   if (!pools)
     return;
   free_items (pools);
-  speed = pools->speeds;
-  HASH_CLEAR (hh, pools->speeds);
+  speed = pools->latencies;
+  HASH_CLEAR (hh, pools->latencies);
   for (; speed; speed = next)
     {
       next = speed->hh.next;
@@ -77,7 +77,7 @@
                               : -1;
 
       items[i].service_ms
-          = old >= 0 ? pools->items[old].service_ms : SERVICE_MS;
+          = old >= 0 ? pools->items[old].service_ms : DEFAULT_SERVICE_MS;
       items[i].mean_ms = old >= 0 ? pools->items[old].mean_ms : 0;
     }
   free_items (pools);
@@ -90,23 +90,23 @@
 }
 
 static struct marjoram_speed *
-speed_of (marjoram_pools *pools, const char *name)
+get_latency (marjoram_pools *pools, const char *name)
 {
   struct marjoram_speed *speed;
 
-  HASH_FIND_STR (pools->speeds, name, speed);
+  HASH_FIND_STR (pools->latencies, name, speed);
   if (speed)
     return speed;
   speed = marjoram_alloc (sizeof *speed);
   speed->name = marjoram_strdup (name);
   speed->factor = 1;
-  HASH_ADD_KEYPTR (hh, pools->speeds, speed->name, strlen (speed->name),
+  HASH_ADD_KEYPTR (hh, pools->latencies, speed->name, strlen (speed->name),
                    speed);
   return speed;
 }
 
 static bool
-is_member (const marjoram_pools *pools, const char *name)
+is_known_upstream (const marjoram_pools *pools, const char *name)
 {
   for (size_t i = 0; i < marjoram_members_count (pools->members); i++)
     if (strcmp (marjoram_members_at (pools->members, i)->announcement->name,
@@ -119,18 +119,18 @@
 /* Removes the measurements of departed upstreams, which would accumulate since
    new upstreams have new names.  */
 static void
-forget_speeds (marjoram_pools *pools)
+remove_stale_latencies (marjoram_pools *pools)
 {
-  struct marjoram_speed *speed = pools->speeds;
+  struct marjoram_speed *speed = pools->latencies;
   struct marjoram_speed *next;
 
-  HASH_CLEAR (hh, pools->speeds);
+  HASH_CLEAR (hh, pools->latencies);
   for (; speed; speed = next)
     {
       next = speed->hh.next;
-      if (is_member (pools, speed->name))
+      if (is_known_upstream (pools, speed->name))
         {
-          HASH_ADD_KEYPTR (hh, pools->speeds, speed->name,
+          HASH_ADD_KEYPTR (hh, pools->latencies, speed->name,
                            strlen (speed->name), speed);
           continue;
         }
@@ -196,7 +196,7 @@
   if (!pool->candidates)
     abort ();
   pool->candidates[pool->count++] = (struct marjoram_candidate){
-    upstream, speed_of (pools, upstream->announcement->name),
+    upstream, get_latency (pools, upstream->announcement->name),
     marjoram_pool_key (upstream->announcement->name)
   };
 }
@@ -214,7 +214,7 @@
       pools->items[i].count = 0;
       pools->items[i].room_at = INT64_MIN / 2;
     }
-  forget_speeds (pools);
+  remove_stale_latencies (pools);
   for (size_t i = 0; i < count; i++)
     {
       const struct marjoram_upstream *upstream
@@ -250,7 +250,7 @@
 {
   struct marjoram_speed *speed;
 
-  HASH_FIND_STR (pools->speeds, upstream, speed);
+  HASH_FIND_STR (pools->latencies, upstream, speed);
   return speed;
 }
 
