--- a/src/own_dialect.c
+++ b/src/own_dialect.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static const struct marjoram_dialect *other_dialect;
+static const struct marjoram_dialect *fallback_dialect;
 static struct marjoram_dialect_ops own_ops;
 static struct marjoram_dialect own_dialect = { .ops = &own_ops };
 
@@ -38,7 +38,8 @@
       return read_evacuation (method, target + prefix, ask, err);
     }
   if (strcmp (target, MARJORAM_PATH_ROUTES) != 0)
-    return other_dialect->ops->read_ask (method, target, body, size, ask, err);
+    return fallback_dialect->ops->read_ask (method, target, body, size, ask,
+                                            err);
   memset (ask, 0, sizeof *ask);
   if (strcmp (method, "GET") == 0)
     ask->kind = MARJORAM_ASK_CONFIG_GET;
@@ -52,15 +53,15 @@
 {
   return marjoram_route_file_is (text, size)
              ? marjoram_route_file_read (text, size, err)
-             : other_dialect->ops->read_config (text, size, err);
+             : fallback_dialect->ops->read_config (text, size, err);
 }
 
 const struct marjoram_dialect *
-marjoram_own_dialect (const struct marjoram_dialect *other)
+marjoram_own_dialect (const struct marjoram_dialect *fallback)
 {
-  other_dialect = other;
-  own_dialect.kept_target = other->kept_target;
-  own_ops = *other->ops;
+  fallback_dialect = fallback;
+  own_dialect.kept_target = fallback->kept_target;
+  own_ops = *fallback->ops;
   own_ops.read_ask = read_ask;
   own_ops.read_config = read_config;
   return &own_dialect;
--- a/src/own_dialect.h
+++ b/src/own_dialect.h
@@ -1,6 +1,5 @@
 /* Built-in operator API under /gateway/, with routes in INI format
-   (route_file.h).  Wraps a platform's dialect, which handles all other
-   requests.
+   (route_file.h).  Wraps a dialect that handles all other requests.
 
      GET    /gateway/routes               returns the active routes
      PUT    /gateway/routes               replaces the active routes
@@ -14,9 +13,9 @@
 #define MARJORAM_PATH_ROUTES "/gateway/routes"
 #define MARJORAM_PATH_EVACUATIONS "/gateway/evacuations/"
 
-/* Returns a process-wide instance that delegates to OTHER, which must outlive
-   it.  */
+/* Returns a process-wide instance that delegates to FALLBACK, which must
+   outlive it.  */
 const struct marjoram_dialect *
-marjoram_own_dialect (const struct marjoram_dialect *other);
+marjoram_own_dialect (const struct marjoram_dialect *fallback);
 
 #endif
