--- a/src/dialect.h
+++ b/src/dialect.h
@@ -65,7 +65,7 @@
 enum marjoram_news_state
 {
   MARJORAM_NEWS_READY,
-  MARJORAM_NEWS_LEAVING, /* completes running requests, accepts no new ones */
+  MARJORAM_NEWS_LEAVING, /* drains: accepts no new requests */
   MARJORAM_NEWS_GONE
 };
 
@@ -130,8 +130,8 @@
   /* The body of a LOOKUP response, malloc'd.  */
   char *(*write_lookup) (const char *const *addresses, size_t count,
                          int64_t valid_s);
-  /* Parses an engine's response to KEPT_TARGET: its cached prompt parts.
-     Invalid parts are skipped; false if the body is malformed.  */
+  /* Parses the cached prompt parts in an engine's response.  Skips invalid
+     parts; false if the body is malformed.  */
   bool (*read_kept) (const char *body, size_t size,
                      struct marjoram_prompt_parts *parts);
 };
