--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -1,5 +1,5 @@
-/* The role of an entry host: takes callers' requests and brings them to
-   upstreams of its region, or to an entry host of another one.  */
+/* The role of an entry host: accepts callers' requests and routes them to
+   upstreams of its region, or to an entry host of another region.  */
 #include "entry_private.h"
 
 #include "cleanup.h"
@@ -12,18 +12,19 @@
 
 enum
 {
-  OFFER_MS = 100, /* for how long one count of what is offered holds */
-  /* How long requests are still taken after the signal to stop: callers keep
-     an address for two seconds, and what is taken must end before the limit
-     of the drain.  */
-  CLOSE_AFTER_MS = 2000,
-  /* When a refused caller may come again: at once, to another host.  */
+  OFFERS_INTERVAL_MS = 100, /* update interval of the offers in heartbeats */
+  /* How long requests are still accepted after the signal to stop.  Callers
+     cache addresses for two seconds, and accepted requests must complete
+     within the drain timeout.  */
+  ACCEPT_AFTER_STOP_MS = 2000,
+  /* Retry-After of a draining host: another host can serve the request at
+     once.  */
   DRAINING_RETRY_MS = 20,
   CLIENT_TICK_MS = 100,
-  /* How long after its start a host asks the engines that it hears of what
-     they keep; what comes later starts empty, or other hosts tell of it.  All
-     upstreams send heartbeats within a second or two.  */
-  SURVEY_MS = 4000,
+  /* How long after startup newly discovered engines are queried for cached
+     prompts.  All upstreams send heartbeats within two seconds; those that
+     appear later have empty caches or are reported by other hosts.  */
+  SURVEY_PERIOD_MS = 4000,
   STATUS_OK = 200,
   STATUS_NOT_FOUND = 404,
   STATUS_UNAVAILABLE = 503
@@ -35,7 +36,7 @@
   return marjoram_clock_now (self->parts->clock);
 }
 
-/* ---- What the tasks tell.  ---- */
+/* ---- Callbacks of the HTTP server and client.  ---- */
 
 static void
 server_request (void *context, uint64_t call,
@@ -52,11 +53,11 @@
                                 request, NULL);
       return;
     }
-  /* Taken now, a long answer would be cut when the drain reaches its limit. */
+  /* A long response would be aborted by the drain timeout.  */
   marjoram_http_request_destroy (request);
   marjoram_metrics_add_refusal (self->parts->metrics,
                                 MARJORAM_REASON_DRAINING);
-  marjoram_entry_refuse_call (self, call, &why);
+  marjoram_entry_reject_call (self, call, &why);
 }
 
 static void
@@ -138,10 +139,11 @@
         .end = client_end,
         .lost = client_lost,
         .connected = client_connected };
+
 /* ---- Configuration.  ---- */
 
 static void
-set_limits (struct marjoram_entry *self)
+set_http_limits (struct marjoram_entry *self)
 {
   const struct marjoram_caller_rule *callers = &self->table->callers;
   const struct marjoram_http_limits limits
@@ -151,26 +153,27 @@
   marjoram_http_server_set_limits (self->server, &limits);
 }
 
-/* How long those of the first state that is heard have been evacuated is not
-   known.  */
+/* Zones in the first state received after startup are not recorded: the time
+   of their evacuation is unknown.  */
 static void
-note_leaving (struct marjoram_entry *self, const struct marjoram_names *before)
+record_leaving_zones (struct marjoram_entry *self,
+                      const struct marjoram_names *before)
 {
-  for (size_t i = 0; self->knows_evacuations && i < self->evacuated.count; i++)
+  for (size_t i = 0; self->evacuations_known && i < self->evacuated.count; i++)
     if (!marjoram_agreed_is_evacuated (before, self->evacuated.items[i]))
       marjoram_leaving_zones_add (&self->leaving, marjoram_entry_now (self),
                                   self->evacuated.items[i]);
-  self->knows_evacuations = true;
+  self->evacuations_known = true;
 }
 
-/* Zones whose evacuation has ended may have cold upstreams.  */
+/* Upstreams may be cold in zones whose evacuation has ended.  */
 static void
 set_evacuated (struct marjoram_entry *self, struct marjoram_names zones)
 {
   struct marjoram_names before = self->evacuated;
 
   self->evacuated = zones;
-  note_leaving (self, &before);
+  record_leaving_zones (self, &before);
   for (size_t i = 0; i < before.count; i++)
     if (self->table && !marjoram_agreed_is_evacuated (&zones, before.items[i]))
       marjoram_placement_zone_restored (
@@ -182,22 +185,21 @@
 static void
 set_table (struct marjoram_entry *self, struct marjoram_route_table *table)
 {
-  struct marjoram_route_table *old = self->former;
+  struct marjoram_route_table *old = self->previous_table;
 
-  self->former = self->table;
+  self->previous_table = self->table;
   self->table = table;
-  self->offered_at = 0;
+  self->offers_updated_at = 0;
   self->offers.count = 0;
   marjoram_gateway_set_table (self->gateway, marjoram_entry_now (self), table);
   marjoram_route_table_destroy (old);
-  set_limits (self);
+  set_http_limits (self);
 }
 
-/* Numbers only grow, so that a late copy of an older state changes
-   nothing.  */
+/* State numbers are monotonic: delayed copies of older states are ignored.  */
 void
-marjoram_entry_take_state (struct marjoram_entry *self,
-                           const struct marjoram_state *state)
+marjoram_entry_apply_state (struct marjoram_entry *self,
+                            const struct marjoram_state *state)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table;
@@ -206,8 +208,8 @@
     return;
   table = marjoram_agreed_routes (state, self->parts->dialect, &err);
   self->config_number = state->number;
-  /* A state may be new in other things; the routes that it repeats must not
-     take the place of the former ones, whose timeouts still count.  */
+  /* A new state may repeat the same routes.  They must not replace the
+     previous table, whose timeouts still apply.  */
   if (table && self->table && table->version == self->table->version)
     marjoram_route_table_destroy (table);
   else if (table)
@@ -226,7 +228,7 @@
 }
 
 static struct marjoram_entry *
-self_of (struct marjoram_role *role)
+entry_from_role (struct marjoram_role *role)
 {
   return (struct marjoram_entry *)role;
 }
@@ -235,10 +237,11 @@
 role_frame (struct marjoram_role *role, const char *host, uint64_t session,
             enum marjoram_frame_type type, void *message)
 {
-  marjoram_entry_take_frame (self_of (role), host, session, type, message);
+  marjoram_entry_handle_frame (entry_from_role (role), host, session, type,
+                               message);
 }
 
-/* ---- The role's other operations.  ---- */
+/* ---- Role operations.  ---- */
 
 static void
 role_beat (struct marjoram_role *role, const char *host, uint64_t session,
@@ -255,13 +258,13 @@
 role_session_closed (struct marjoram_role *role, const char *host,
                      uint64_t session)
 {
-  marjoram_entry_take_cancel (self_of (role), host, session, 0);
+  marjoram_entry_handle_cancel (entry_from_role (role), host, session, 0);
 }
 
 static void
 role_link_lost (struct marjoram_role *role, const char *host)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   marjoram_state_fetch_disconnected (self->fetch, host);
   marjoram_gateway_link_lost (self->gateway, marjoram_entry_now (self), host);
@@ -273,17 +276,19 @@
   return self->table && !self->stopped_at;
 }
 
-/* Texts of the offers are borrowed from the table.  */
+/* The offers borrow their strings from the route table.  */
 static void
-renew_offers (struct marjoram_entry *self)
+update_offers (struct marjoram_entry *self)
 {
   const struct marjoram_service_rule *services;
   struct marjoram_host_offer *offers;
   size_t count;
 
-  if (!self->table || marjoram_entry_now (self) < self->offered_at + OFFER_MS)
+  if (!self->table
+      || marjoram_entry_now (self)
+             < self->offers_updated_at + OFFERS_INTERVAL_MS)
     return;
-  self->offered_at = marjoram_entry_now (self);
+  self->offers_updated_at = marjoram_entry_now (self);
   services = self->table->services.items;
   count = self->table->services.count;
   if (count > MARJORAM_HOST_OFFERS_MAX)
@@ -296,7 +301,7 @@
       struct marjoram_host_offer *offer = &offers[self->offers.count];
 
       marjoram_placement_offer (marjoram_gateway_placement (self->gateway),
-                                self->offered_at, &services[i], offer);
+                                self->offers_updated_at, &services[i], offer);
       self->offers.count += offer->upstreams > 0;
     }
 }
@@ -304,9 +309,9 @@
 static void
 role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
-  renew_offers (self);
+  update_offers (self);
   beat->ready = marjoram_entry_is_ready (self);
   beat->leaving = self->stopped_at != 0;
   beat->config_number = self->config_number;
@@ -321,7 +326,7 @@
 role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
           const char *target, const char *body, size_t size)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_ask what = { 0 };
   int status = STATUS_NOT_FOUND;
 
@@ -336,7 +341,7 @@
 static json_t *
 role_report (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   return json_pack (
       "{s:s, s:b, s:I, s:I, s:I, s:o, s:o}", "role", "entry", "ready",
@@ -362,15 +367,15 @@
 static void
 role_reload (struct marjoram_role *role)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   const struct marjoram_repeat_terms terms = repeat_terms (self);
 
   marjoram_repeat_budget_set (marjoram_gateway_budget (self->gateway), &terms);
 }
 
 static void
-engine_kept (void *context, const char *engine,
-             const struct marjoram_prompt_part *parts, size_t count)
+survey_cached (void *context, const char *engine,
+               const struct marjoram_prompt_part *parts, size_t count)
 {
   struct marjoram_entry *self = context;
 
@@ -379,11 +384,11 @@
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
-    = { .kept = engine_kept };
+    = { .kept = survey_cached };
 
 static bool
-is_to_be_asked (struct marjoram_entry *self,
-                const struct marjoram_registered *upstream)
+should_survey (struct marjoram_entry *self,
+               const struct marjoram_registered *upstream)
 {
   const struct marjoram_service_rule *service
       = marjoram_route_table_service (self->table, upstream->news.service);
@@ -395,7 +400,7 @@
          && strcmp (region, self->parts->settings->region) == 0;
 }
 
-/* Once all hosts were lost, nobody knows what the engines keep.  */
+/* After a restart of all hosts, no host knows the engines' caches.  */
 static void
 survey_engines (struct marjoram_entry *self, int64_t now)
 {
@@ -403,10 +408,10 @@
 
   marjoram_engine_survey_tick (self->survey);
   if (!self->table || self->parts->settings->first_start
-      || now > self->created_at + SURVEY_MS)
+      || now > self->created_at + SURVEY_PERIOD_MS)
     return;
   TAILQ_FOREACH (upstream, marjoram_registry_all (self->registry), link)
-  if (is_to_be_asked (self, upstream))
+  if (should_survey (self, upstream))
     marjoram_engine_survey_query (self->survey, upstream->news.id,
                                   upstream->news.address);
 }
@@ -414,7 +419,7 @@
 static void
 role_tick (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   marjoram_gateway_tick (self->gateway, now);
   marjoram_state_fetch_tick (self->fetch, now);
@@ -429,7 +434,7 @@
       marjoram_registry_tick (self->registry, now);
     }
   if (self->stopped_at && !self->closed
-      && now >= self->stopped_at + CLOSE_AFTER_MS)
+      && now >= self->stopped_at + ACCEPT_AFTER_STOP_MS)
     {
       self->closed = true;
       marjoram_http_server_close_idle (self->server);
@@ -439,7 +444,7 @@
 static void
 role_stop (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   self->stopped_at = now;
   marjoram_http_server_drain (self->server);
@@ -448,7 +453,7 @@
 static bool
 role_finished (struct marjoram_role *role, int64_t now)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
 
   (void)now;
   return self->closed && marjoram_gateway_request_count (self->gateway) == 0
@@ -458,13 +463,13 @@
 static void
 role_destroy (struct marjoram_role *role)
 {
-  struct marjoram_entry *self = self_of (role);
+  struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_inbound *inbound;
   struct marjoram_inbound *next;
 
   HASH_ITER (hh, self->inbound, inbound, next)
   {
-    marjoram_entry_forget_inbound (self, inbound);
+    marjoram_entry_remove_inbound (self, inbound);
   }
   marjoram_gateway_destroy (self->gateway);
   marjoram_engine_survey_destroy (self->survey);
@@ -473,7 +478,7 @@
   marjoram_http_client_destroy (self->client);
   marjoram_http_server_destroy (self->server);
   marjoram_route_table_destroy (self->table);
-  marjoram_route_table_destroy (self->former);
+  marjoram_route_table_destroy (self->previous_table);
   marjoram_names_clear (&self->evacuated);
   marjoram_registry_destroy (self->registry);
   free (self->offers.items);
--- a/src/inbox.c
+++ b/src/inbox.c
@@ -14,7 +14,7 @@
   marjoram_host *host;
 };
 
-/* What any event may carry.  */
+/* Fields of all event types.  */
 struct event_message
 {
   struct marjoram_message base;
@@ -89,7 +89,8 @@
   free (event);
 }
 
-/* A new event, already posted: it is delivered after the caller returns.  */
+/* Posts a new event, which the caller fills in: it is delivered only after the
+   caller returns to the event loop.  */
 static struct event_message *
 post (void *context, const struct marjoram_message_ops *ops)
 {
@@ -176,7 +177,7 @@
   return config ? marjoram_config_number (config) : 0;
 }
 
-const struct marjoram_front_ops marjoram_inbox_front_ops
+const struct marjoram_frontend_ops marjoram_inbox_frontend_ops
     = { post_call, post_gone, announce, entries, ready, config_number };
 
 /* ---- Upstreams.  ---- */
