--- a/src/own_dialect.c
+++ b/src/builtin_dialect.c
@@ -1,4 +1,4 @@
-#include "own_dialect.h"
+#include "builtin_dialect.h"
 
 #include "route_file.h"
 
@@ -11,12 +11,12 @@
 
 static bool
 read_evacuation (const char *method, const char *zone,
-                 struct marjoram_ask *ask, struct marjoram_error *err)
+                 struct marjoram_api_request *ask, struct marjoram_error *err)
 {
-  ask->kind = strcmp (method, "PUT") == 0      ? MARJORAM_ASK_EVACUATE
-              : strcmp (method, "DELETE") == 0 ? MARJORAM_ASK_RESTORE
-                                               : MARJORAM_ASK_UNKNOWN;
-  if (ask->kind == MARJORAM_ASK_UNKNOWN)
+  ask->kind = strcmp (method, "PUT") == 0      ? MARJORAM_API_EVACUATE
+              : strcmp (method, "DELETE") == 0 ? MARJORAM_API_RESTORE
+                                               : MARJORAM_API_UNKNOWN;
+  if (ask->kind == MARJORAM_API_UNKNOWN)
     return true;
   if (!*zone || strlen (zone) >= sizeof ask->zone)
     return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
@@ -27,8 +27,9 @@
 }
 
 static bool
-read_ask (const char *method, const char *target, const char *body,
-          size_t size, struct marjoram_ask *ask, struct marjoram_error *err)
+read_api_request (const char *method, const char *target, const char *body,
+                  size_t size, struct marjoram_api_request *ask,
+                  struct marjoram_error *err)
 {
   const size_t prefix = strlen (MARJORAM_PATH_EVACUATIONS);
 
@@ -38,13 +39,13 @@
       return read_evacuation (method, target + prefix, ask, err);
     }
   if (strcmp (target, MARJORAM_PATH_ROUTES) != 0)
-    return fallback_dialect->ops->read_ask (method, target, body, size, ask,
-                                            err);
+    return fallback_dialect->ops->read_api_request (method, target, body, size,
+                                                    ask, err);
   memset (ask, 0, sizeof *ask);
   if (strcmp (method, "GET") == 0)
-    ask->kind = MARJORAM_ASK_CONFIG_GET;
+    ask->kind = MARJORAM_API_CONFIG_GET;
   else if (strcmp (method, "PUT") == 0)
-    ask->kind = MARJORAM_ASK_CONFIG_SET;
+    ask->kind = MARJORAM_API_CONFIG_SET;
   return true;
 }
 
@@ -57,12 +58,12 @@
 }
 
 const struct marjoram_dialect *
-marjoram_own_dialect (const struct marjoram_dialect *fallback)
+marjoram_builtin_dialect (const struct marjoram_dialect *fallback)
 {
   fallback_dialect = fallback;
-  own_dialect.kept_target = fallback->kept_target;
+  own_dialect.cached_prompts_target = fallback->cached_prompts_target;
   own_ops = *fallback->ops;
-  own_ops.read_ask = read_ask;
+  own_ops.read_api_request = read_api_request;
   own_ops.read_config = read_config;
   return &own_dialect;
 }
--- a/src/own_dialect.h
+++ b/src/builtin_dialect.h
@@ -5,8 +5,8 @@
      PUT    /gateway/routes               replaces the active routes
      PUT    /gateway/evacuations/ZONE     stops sending requests to ZONE
      DELETE /gateway/evacuations/ZONE     ends the evacuation of ZONE  */
-#ifndef MARJORAM_OWN_DIALECT_H
-#define MARJORAM_OWN_DIALECT_H
+#ifndef MARJORAM_BUILTIN_DIALECT_H
+#define MARJORAM_BUILTIN_DIALECT_H
 
 #include "dialect.h"
 
@@ -16,6 +16,6 @@
 /* Returns a process-wide instance that delegates to FALLBACK, which must
    outlive it.  */
 const struct marjoram_dialect *
-marjoram_own_dialect (const struct marjoram_dialect *fallback);
+marjoram_builtin_dialect (const struct marjoram_dialect *fallback);
 
 #endif
--- a/src/choose.c
+++ b/src/choose.c
@@ -166,7 +166,7 @@
   double slots = slot_count (upstream);
   double load = estimate_load (chooser, upstream);
   double fill = fmin (1, load / slots);
-  double factor = candidate->speed->factor;
+  double factor = candidate->latency->factor;
 
   pick->upstream = upstream;
   pick->cached = cached;
@@ -259,10 +259,10 @@
 static void
 evaluate_preferred (struct selection *selection)
 {
-  evaluate (
-      selection,
-      marjoram_pool_nearest (selection->pool, selection->query->prefix_hash),
-      true);
+  evaluate (selection,
+            marjoram_pool_find_by_hash (selection->pool,
+                                        selection->query->prefix_hash),
+            true);
 }
 
 static uint64_t
@@ -372,16 +372,16 @@
         marjoram_pool_key (pick->upstream->announcement->name));
 }
 
-const struct marjoram_room *
+const struct marjoram_pool_capacity *
 marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work)
 {
   struct marjoram_pool *pool = marjoram_pools_get (chooser->pools, work);
-  struct marjoram_room *room = &pool->room;
+  struct marjoram_pool_capacity *room = &pool->room;
 
-  if (now < pool->room_at + CAPACITY_CACHE_MS)
+  if (now < pool->capacity_updated_at + CAPACITY_CACHE_MS)
     return room;
-  *room = (struct marjoram_room){ 0 };
-  pool->room_at = now;
+  *room = (struct marjoram_pool_capacity){ 0 };
+  pool->capacity_updated_at = now;
   room->wait_ms = HUGE_VAL;
   for (int i = 0; i < pool->count; i++)
     {
@@ -392,13 +392,13 @@
       if (!marjoram_upstream_usable (candidate->upstream, now))
         continue;
       room->upstreams++;
-      room->factor += candidate->speed->factor;
+      room->factor += candidate->latency->factor;
       room->slots += slots;
       room->load += load;
       room->free += fmax (0, slots - load);
       room->wait_ms = fmin (room->wait_ms, fmax (0, load - slots + 1) / slots
                                                * pool->mean_ms
-                                               * candidate->speed->factor);
+                                               * candidate->latency->factor);
     }
   room->factor = room->upstreams ? room->factor / room->upstreams : 1;
   return room;
@@ -408,25 +408,26 @@
    peers, for example because of a failing accelerator.  */
 static void
 eject_if_slow (marjoram_chooser *chooser, const struct marjoram_pool *pool,
-               int64_t now, struct marjoram_speed *speed)
+               int64_t now, struct marjoram_upstream_latency *latency)
 {
   double sum = 0;
   int peers = 0;
 
   for (int i = 0; i < pool->count; i++)
     {
-      const struct marjoram_speed *peer = pool->candidates[i].speed;
+      const struct marjoram_upstream_latency *peer
+          = pool->candidates[i].latency;
 
-      if (peer == speed || peer->samples < OUTLIER_MIN_SAMPLES)
+      if (peer == latency || peer->samples < OUTLIER_MIN_SAMPLES)
         continue;
       sum += peer->factor;
       peers++;
     }
-  if (peers > 0 && speed->factor > OUTLIER_FACTOR * sum / peers
-      && marjoram_members_eject (chooser->members, now, speed->name))
+  if (peers > 0 && latency->factor > OUTLIER_FACTOR * sum / peers
+      && marjoram_members_eject (chooser->members, now, latency->name))
     {
-      speed->samples = 0;
-      speed->factor = sum / peers;
+      latency->samples = 0;
+      latency->factor = sum / peers;
     }
 }
 
@@ -440,12 +441,12 @@
   struct marjoram_pool *pool
       = marjoram_pools_get (chooser->pools, query->work);
   struct marjoram_query measured = *query;
-  struct marjoram_speed *speed;
+  struct marjoram_upstream_latency *latency;
   double unloaded;
 
   (void)first_ms;
-  speed = marjoram_pools_speed (chooser->pools, upstream);
-  if (!speed)
+  latency = marjoram_pools_latency (chooser->pools, upstream);
+  if (!latency)
     return;
   if (marjoram_config_work (chooser->config, query->work)->kind
       == MARJORAM_WORK_SERVICE)
@@ -453,11 +454,12 @@
   if (tokens)
     measured.answer_tokens = tokens;
   unloaded = fmax (1, unloaded_ms (chooser, pool, &measured, false));
-  speed->factor += EWMA_WEIGHT * ((double)whole_ms / unloaded - speed->factor);
-  speed->samples++;
-  if (speed->samples >= OUTLIER_MIN_SAMPLES
-      && speed->samples % OUTLIER_CHECK_INTERVAL == 0)
-    eject_if_slow (chooser, pool, now, speed);
+  latency->factor
+      += EWMA_WEIGHT * ((double)whole_ms / unloaded - latency->factor);
+  latency->samples++;
+  if (latency->samples >= OUTLIER_MIN_SAMPLES
+      && latency->samples % OUTLIER_CHECK_INTERVAL == 0)
+    eject_if_slow (chooser, pool, now, latency);
 }
 
 void
--- a/src/choose.h
+++ b/src/choose.h
@@ -35,7 +35,7 @@
                             const struct marjoram_query *query,
                             struct marjoram_pick *pick);
 /* The result is cached for a short time.  */
-const struct marjoram_room *
+const struct marjoram_pool_capacity *
 marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work);
 /* Estimated time of QUERY at an idle upstream with a cold cache.  */
 double marjoram_chooser_unloaded_ms (const marjoram_chooser *chooser,
--- a/src/ctl_gateway.c
+++ b/src/ctl_gateway.c
@@ -2,7 +2,7 @@
 
 #include "cleanup.h"
 #include "ini_file.h"
-#include "own_dialect.h"
+#include "builtin_dialect.h"
 #include "blocking_call.h"
 #include "route_file.h"
 
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -28,10 +28,10 @@
 };
 
 /* Parsed headers of a caller's request.  Counts are 0 if not given.  */
-struct marjoram_call_facts
+struct marjoram_call_metadata
 {
-  char id[MARJORAM_ID_MAX]; /* id of this attempt of the caller; "" if none */
-  int64_t patience_ms;      /* the caller's timeout; 0 if not given */
+  char id[MARJORAM_ID_MAX];  /* id of this attempt of the caller; "" if none */
+  int64_t caller_timeout_ms; /* the caller's timeout; 0 if not given */
   int64_t prompt_tokens;
   int64_t answer_tokens_max;
   int64_t answer_tokens_hint;
@@ -41,10 +41,10 @@
 };
 
 /* Added to the caller's headers in a request to an upstream.  */
-struct marjoram_run_facts
+struct marjoram_run_metadata
 {
-  int64_t patience_ms;    /* remaining time of the caller's timeout */
-  const char *upstream;   /* id of the intended upstream */
+  int64_t caller_timeout_ms; /* remaining time of the caller's timeout */
+  const char *upstream;      /* id of the intended upstream */
   const char *last_event; /* resume after it; null: as the caller requested */
   int urgency;            /* 0 (most urgent) to 9; -1: none */
   /* IP:port of the upstream to copy the cached prompt from; null if none.  */
@@ -52,7 +52,7 @@
 };
 
 /* Parsed headers of an upstream's response.  */
-struct marjoram_answer_facts
+struct marjoram_response_metadata
 {
   char id[MARJORAM_ID_MAX];       /* echo of the caller's id; "" if none */
   char upstream[MARJORAM_ID_MAX]; /* id of the responder; "" if not given */
@@ -62,21 +62,21 @@
   int64_t cold_ms;     /* remaining warm-up time; -1 if not given */
 };
 
-enum marjoram_news_state
+enum marjoram_upstream_state
 {
-  MARJORAM_NEWS_READY,
-  MARJORAM_NEWS_LEAVING, /* drains: accepts no new requests */
-  MARJORAM_NEWS_GONE
+  MARJORAM_UPSTREAM_READY,
+  MARJORAM_UPSTREAM_LEAVING, /* drains: accepts no new requests */
+  MARJORAM_UPSTREAM_GONE
 };
 
 /* An upstream's heartbeat.  */
-struct marjoram_upstream_news
+struct marjoram_upstream_heartbeat
 {
   char id[MARJORAM_ID_MAX];
   char service[MARJORAM_ID_MAX];
   char address[MARJORAM_ID_MAX]; /* IP:port, for requests */
   char zone[MARJORAM_ID_MAX];
-  enum marjoram_news_state state;
+  enum marjoram_upstream_state state;
   int64_t born;     /* start time in ms since the epoch; 0 if not given */
   int64_t sequence; /* increases with each heartbeat since its start */
   int64_t cold_ms;  /* remaining warm-up time */
@@ -84,27 +84,27 @@
   int64_t slots;
 };
 
-enum marjoram_ask_kind
+enum marjoram_api_request_kind
 {
-  MARJORAM_ASK_UNKNOWN,
-  MARJORAM_ASK_READY,  /* readiness check of this host */
-  MARJORAM_ASK_LOOKUP, /* entry addresses for a caller */
-  MARJORAM_ASK_NEWS,   /* an upstream's heartbeat or departure */
-  MARJORAM_ASK_CONFIG_SET,
-  MARJORAM_ASK_CONFIG_GET,
-  MARJORAM_ASK_EVACUATE,
-  MARJORAM_ASK_RESTORE /* ends an evacuation */
+  MARJORAM_API_UNKNOWN,
+  MARJORAM_API_READY,     /* readiness check of this host */
+  MARJORAM_API_LOOKUP,    /* entry addresses for a caller */
+  MARJORAM_API_HEARTBEAT, /* an upstream's heartbeat or departure */
+  MARJORAM_API_CONFIG_SET,
+  MARJORAM_API_CONFIG_GET,
+  MARJORAM_API_EVACUATE,
+  MARJORAM_API_RESTORE /* ends an evacuation */
 };
 
 /* A request to a host's HTTP API.  */
-struct marjoram_ask
+struct marjoram_api_request
 {
-  enum marjoram_ask_kind kind;
+  enum marjoram_api_request_kind kind;
   char zone[MARJORAM_ID_MAX];   /* EVACUATE, RESTORE, LOOKUP */
   char region[MARJORAM_ID_MAX]; /* LOOKUP */
   char
       host[MARJORAM_ID_MAX]; /* LOOKUP: host name whose routes are requested */
-  struct marjoram_upstream_news news;
+  struct marjoram_upstream_heartbeat news;
 };
 
 struct marjoram_dialect;
@@ -112,18 +112,19 @@
 struct marjoram_dialect_ops
 {
   void (*read_call) (const struct marjoram_header_list *headers,
-                     struct marjoram_call_facts *facts);
+                     struct marjoram_call_metadata *facts);
   /* Whether a header is forwarded unchanged to upstreams or to callers.  */
   bool (*passes_to_upstream) (const char *name);
   bool (*passes_to_caller) (const char *name);
-  void (*write_run) (const struct marjoram_run_facts *facts,
+  void (*write_run) (const struct marjoram_run_metadata *facts,
                      struct marjoram_header_list *headers);
   void (*read_answer) (int status, const struct marjoram_header_list *headers,
-                       struct marjoram_answer_facts *facts);
+                       struct marjoram_response_metadata *facts);
   /* False with ERR set if the path is known but the request is malformed.  */
-  bool (*read_ask) (const char *method, const char *target, const char *body,
-                    size_t size, struct marjoram_ask *ask,
-                    struct marjoram_error *err);
+  bool (*read_api_request) (const char *method, const char *target,
+                            const char *body, size_t size,
+                            struct marjoram_api_request *ask,
+                            struct marjoram_error *err);
   /* Null with ERR set if TEXT is not a valid configuration.  */
   struct marjoram_route_table *(*read_config) (const char *text, size_t size,
                                                struct marjoram_error *err);
@@ -132,15 +133,15 @@
                          int64_t valid_s);
   /* Parses the cached prompt parts in an engine's response.  Skips invalid
      parts; false if the body is malformed.  */
-  bool (*read_kept) (const char *body, size_t size,
-                     struct marjoram_prompt_parts *parts);
+  bool (*read_cached_prompts) (const char *body, size_t size,
+                               struct marjoram_prompt_parts *parts);
 };
 
 struct marjoram_dialect
 {
   const struct marjoram_dialect_ops *ops;
   /* Path on an engine that lists its cached prompt parts.  */
-  const char *kept_target;
+  const char *cached_prompts_target;
 };
 
 #endif
--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -98,7 +98,7 @@
              struct marjoram_prompt_parts *parts)
 {
   return query->is_valid
-         && survey->dialect->ops->read_kept (
+         && survey->dialect->ops->read_cached_prompts (
              (const char *)evbuffer_pullup (query->body, -1),
              evbuffer_get_length (query->body), parts);
 }
@@ -195,7 +195,7 @@
   size = snprintf (message, sizeof message,
                    "GET %s HTTP/1.1\r\nHost: %s\r\n"
                    "Connection: close\r\n\r\n",
-                   survey->dialect->kept_target, address);
+                   survey->dialect->cached_prompts_target, address);
   query = marjoram_alloc (sizeof *query);
   query->number = ++survey->next_number;
   snprintf (query->engine, sizeof query->engine, "%s", engine);
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -91,7 +91,7 @@
 
   for (size_t i = 0; i < batch->items.count; i++)
     {
-      struct marjoram_upstream_news news;
+      struct marjoram_upstream_heartbeat news;
       enum marjoram_registry_result result;
 
       if (!marjoram_registry_unpack (&items[i], &news))
--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -34,7 +34,7 @@
 struct marjoram_entry
 {
   struct marjoram_role role;
-  const struct marjoram_role_parts *parts;
+  const struct marjoram_role_context *parts;
   marjoram_registry *registry;
   marjoram_gateway *gateway;
   marjoram_http_server *server;
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -327,12 +327,12 @@
           const char *target, const char *body, size_t size)
 {
   struct marjoram_entry *self = entry_from_role (role);
-  struct marjoram_ask what = { 0 };
+  struct marjoram_api_request what = { 0 };
   int status = STATUS_NOT_FOUND;
 
-  if (self->parts->dialect->ops->read_ask (method, target, body, size, &what,
-                                           NULL)
-      && what.kind == MARJORAM_ASK_READY)
+  if (self->parts->dialect->ops->read_api_request (method, target, body, size,
+                                                   &what, NULL)
+      && what.kind == MARJORAM_API_READY)
     status = marjoram_entry_is_ready (self) ? STATUS_OK : STATUS_UNAVAILABLE;
   marjoram_api_server_respond (self->parts->asks, ask, status, "text/plain",
                                NULL, 0);
@@ -396,7 +396,7 @@
                                                          upstream->news.zone);
 
   return service && service->has_engine
-         && upstream->news.state == MARJORAM_NEWS_READY && region
+         && upstream->news.state == MARJORAM_UPSTREAM_READY && region
          && strcmp (region, self->parts->settings->region) == 0;
 }
 
@@ -547,7 +547,7 @@
 }
 
 struct marjoram_role *
-marjoram_entry_role_create (const struct marjoram_role_parts *parts,
+marjoram_entry_role_create (const struct marjoram_role_context *parts,
                             struct marjoram_error *err)
 {
   struct marjoram_entry *self = marjoram_alloc (sizeof *self);
--- a/src/front.c
+++ b/src/frontend.c
@@ -1,9 +1,9 @@
-#include "front.h"
+#include "frontend.h"
 
 #include "address.h"
 #include "cleanup.h"
 #include "clock.h"
-#include "intake.h"
+#include "request_parser.h"
 #include "log.h"
 
 #include <errno.h>
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -293,7 +293,7 @@
 static void
 set_deadline (struct marjoram_exchange *exchange, int64_t timeout_ms)
 {
-  int64_t patience = exchange->facts.patience_ms;
+  int64_t patience = exchange->facts.caller_timeout_ms;
 
   exchange->deadline_at = exchange->received_at + timeout_ms;
   exchange->is_caller_deadline
@@ -395,8 +395,8 @@
   exchange->body = evbuffer_new ();
   gateway->options.dialect->ops->read_call (&request->headers,
                                             &exchange->facts);
-  if (forwarded && forwarded->patience_ms > 0)
-    exchange->facts.patience_ms = forwarded->patience_ms;
+  if (forwarded && forwarded->caller_timeout_ms > 0)
+    exchange->facts.caller_timeout_ms = forwarded->caller_timeout_ms;
   if (forwarded && forwarded->useful_ms > 0)
     exchange->forwarded_target_at = now + forwarded->useful_ms;
   HASH_ADD (by_call, gateway->by_call, call, sizeof exchange->call, exchange);
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -77,8 +77,8 @@
 /* Time limits sent along by the host that forwarded a request.  */
 struct marjoram_forwarded
 {
-  int64_t patience_ms; /* until the caller's deadline */
-  int64_t useful_ms;   /* until the first event is due; 0: unknown */
+  int64_t caller_timeout_ms; /* until the caller's deadline */
+  int64_t useful_ms;         /* until the first event is due; 0: unknown */
 };
 
 /* Takes ownership of REQUEST.  FORWARDED is null for a caller's request and
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -157,7 +157,7 @@
    which cannot be attributed.  */
 static bool
 is_answer_to (const struct marjoram_exchange *exchange, int status,
-              const struct marjoram_answer_facts *facts)
+              const struct marjoram_response_metadata *facts)
 {
   if (*facts->id)
     return strcmp (facts->id, exchange->facts.id) == 0;
@@ -188,7 +188,7 @@
                        struct marjoram_header_list *headers)
 {
   struct marjoram_exchange *exchange = find_attempt (gateway, attempt);
-  struct marjoram_answer_facts facts;
+  struct marjoram_response_metadata facts;
 
   if (!exchange)
     return false;
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -44,7 +44,7 @@
   marjoram_host_list *hosts;
   marjoram_host_links *links;
   marjoram_api_server *asks;
-  struct marjoram_role_parts parts;
+  struct marjoram_role_context parts;
   struct marjoram_role *role;
   struct event *tick;
   struct event *signals[SIGNALS];
@@ -285,7 +285,7 @@
              const struct marjoram_dialect *dialect,
              struct marjoram_error *err)
 {
-  daemon->parts = (struct marjoram_role_parts){
+  daemon->parts = (struct marjoram_role_context){
     .base = daemon->base,
     .clock = daemon->clock,
     .dialect = dialect,
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -16,7 +16,7 @@
             int64_t now, const char *host)
 {
   struct marjoram_http_request *request = exchange->request;
-  const struct marjoram_run_facts facts
+  const struct marjoram_run_metadata facts
       = { .last_event = marjoram_exchange_last_event (exchange),
           .urgency = -1 };
   struct marjoram_forward forward = { 0 };
--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -80,7 +80,7 @@
   char *service;
   char *address;
   char *zone;
-  uint64_t state; /* enum marjoram_news_state */
+  uint64_t state; /* enum marjoram_upstream_state */
   int64_t born;
   int64_t sequence;
   int64_t cold_ms; /* remaining when sent */
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -33,7 +33,7 @@
 {
   uint64_t call;
   struct marjoram_http_request *request;
-  struct marjoram_call_facts facts;
+  struct marjoram_call_metadata facts;
   bool forwarded; /* received from another region */
   enum marjoram_exchange_state state;
   int64_t received_at;
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -96,8 +96,8 @@
 {
   const struct marjoram_dialect_ops *dialect = gateway->options.dialect->ops;
   const struct marjoram_http_request *request = exchange->request;
-  const struct marjoram_run_facts facts = {
-    .patience_ms = marjoram_exchange_time_left (exchange, now),
+  const struct marjoram_run_metadata facts = {
+    .caller_timeout_ms = marjoram_exchange_time_left (exchange, now),
     .upstream = exchange->upstream,
     .last_event = marjoram_exchange_last_event (exchange),
     .copy_from = copy_from,
--- a/src/inbox.h
+++ b/src/inbox.h
@@ -5,7 +5,7 @@
 
 #include "clock.h"
 #include "disk.h"
-#include "front.h"
+#include "frontend.h"
 #include "host.h"
 #include "peer.h"
 #include "upstream.h"
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -426,7 +426,7 @@
 }
 
 struct marjoram_role *
-marjoram_keeper_role_create (const struct marjoram_role_parts *parts,
+marjoram_keeper_role_create (const struct marjoram_role_context *parts,
                              struct marjoram_error *err)
 {
   struct marjoram_keeper_role *self = marjoram_alloc (sizeof *self);
--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -14,7 +14,7 @@
 struct marjoram_keeper_role
 {
   struct marjoram_role role;
-  const struct marjoram_role_parts *parts;
+  const struct marjoram_role_context *parts;
   marjoram_registry *registry;
   marjoram_registrar *registrar;
   marjoram_random *random;
--- a/src/main_marjoramd.c
+++ b/src/main_marjoramd.c
@@ -1,7 +1,7 @@
 /* marjoramd: parses the options and runs the daemon.  */
 #include "daemon.h"
 #include "gateway_daemon.h"
-#include "own_dialect.h"
+#include "builtin_dialect.h"
 #include "platform.h"
 
 #include <getopt.h>
@@ -54,7 +54,7 @@
 {
   struct marjoram_error err = { 0 };
   marjoram_gateway_daemon *daemon = marjoram_gateway_daemon_create (
-      settings, path, marjoram_own_dialect (marjoram_platform_dialect ()),
+      settings, path, marjoram_builtin_dialect (marjoram_platform_dialect ()),
       &err);
   bool finished;
 
--- a/src/placement.c
+++ b/src/placement.c
@@ -195,7 +195,7 @@
 
 int64_t
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
-                                 const struct marjoram_call_facts *facts)
+                                 const struct marjoram_call_metadata *facts)
 {
   int64_t cached = marjoram_engine_cache_hit_tokens (
       endpoint->cache, facts->parts, facts->part_count);
@@ -215,7 +215,7 @@
 }
 
 double
-marjoram_answer_tokens (const struct marjoram_call_facts *facts)
+marjoram_answer_tokens (const struct marjoram_call_metadata *facts)
 {
   return (double)(facts->answer_tokens_hint > 0 ? facts->answer_tokens_hint
                                                 : facts->answer_tokens_max);
@@ -444,7 +444,7 @@
   TAILQ_FOREACH (upstream, marjoram_registry_all (placement->options.registry),
                  link)
   if (strcmp (upstream->news.address, address) == 0
-      && upstream->news.state == MARJORAM_NEWS_READY)
+      && upstream->news.state == MARJORAM_UPSTREAM_READY)
     {
       struct marjoram_endpoint *endpoint
           = marjoram_endpoint_find (placement, upstream->news.id);
--- a/src/placement.h
+++ b/src/placement.h
@@ -35,7 +35,7 @@
 struct marjoram_place_query
 {
   const struct marjoram_service_rule *service;
-  const struct marjoram_call_facts *facts;
+  const struct marjoram_call_metadata *facts;
   int priority;
   /* Time left for the first event or the complete response; a request whose
      estimated wait is longer is rejected.  */
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -113,7 +113,7 @@
    requests share.  */
 static int64_t
 tie_breaker_ms (const struct marjoram_endpoint *endpoint,
-                const struct marjoram_call_facts *facts)
+                const struct marjoram_call_metadata *facts)
 {
   uint64_t key;
   size_t index = facts->part_count > 1 ? facts->part_count - 2 : 0;
@@ -473,7 +473,7 @@
                           const struct marjoram_service_rule *service,
                           struct marjoram_host_offer *offer)
 {
-  const struct marjoram_call_facts nothing = { 0 };
+  const struct marjoram_call_metadata nothing = { 0 };
   const struct marjoram_place_query query
       = { .service = service, .facts = &nothing, .priority = 1 };
   const struct marjoram_copy no_copy = { 0 };
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -167,7 +167,7 @@
 /* Prompt tokens that the engine has cached.  */
 int64_t
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
-                                 const struct marjoram_call_facts *facts);
+                                 const struct marjoram_call_metadata *facts);
 /* Whether UPSTREAM is usable, in this region and not in an evacuated zone.  */
 bool marjoram_placement_is_candidate (
     marjoram_placement *placement, const struct marjoram_registered *upstream,
@@ -176,7 +176,7 @@
 int64_t marjoram_load_queued_tokens (const struct marjoram_endpoint_load *load,
                                      int priority);
 /* Expected number of response tokens.  */
-double marjoram_answer_tokens (const struct marjoram_call_facts *facts);
+double marjoram_answer_tokens (const struct marjoram_call_metadata *facts);
 struct marjoram_service_stats *
 marjoram_placement_service_stats (marjoram_placement *placement,
                                   const char *service);
--- a/src/pool.c
+++ b/src/pool.c
@@ -19,7 +19,7 @@
   struct marjoram_pool *items;
   int count;
   uint64_t generation;
-  struct marjoram_speed *latencies;
+  struct marjoram_upstream_latency *latencies;
 };
 
 marjoram_pools *
@@ -45,19 +45,19 @@
 void
 marjoram_pools_destroy (marjoram_pools *pools)
 {
-  struct marjoram_speed *speed;
-  struct marjoram_speed *next;
+  struct marjoram_upstream_latency *latency;
+  struct marjoram_upstream_latency *next;
 
   if (!pools)
     return;
   free_items (pools);
-  speed = pools->latencies;
+  latency = pools->latencies;
   HASH_CLEAR (hh, pools->latencies);
-  for (; speed; speed = next)
+  for (; latency; latency = next)
     {
-      next = speed->hh.next;
-      free (speed->name);
-      free (speed);
+      next = latency->hh.next;
+      free (latency->name);
+      free (latency);
     }
   marjoram_config_release (pools->config);
   free (pools);
@@ -89,20 +89,20 @@
   pools->generation = 0;
 }
 
-static struct marjoram_speed *
+static struct marjoram_upstream_latency *
 get_latency (marjoram_pools *pools, const char *name)
 {
-  struct marjoram_speed *speed;
-
-  HASH_FIND_STR (pools->latencies, name, speed);
-  if (speed)
-    return speed;
-  speed = marjoram_alloc (sizeof *speed);
-  speed->name = marjoram_strdup (name);
-  speed->factor = 1;
-  HASH_ADD_KEYPTR (hh, pools->latencies, speed->name, strlen (speed->name),
-                   speed);
-  return speed;
+  struct marjoram_upstream_latency *latency;
+
+  HASH_FIND_STR (pools->latencies, name, latency);
+  if (latency)
+    return latency;
+  latency = marjoram_alloc (sizeof *latency);
+  latency->name = marjoram_strdup (name);
+  latency->factor = 1;
+  HASH_ADD_KEYPTR (hh, pools->latencies, latency->name, strlen (latency->name),
+                   latency);
+  return latency;
 }
 
 static bool
@@ -121,21 +121,21 @@
 static void
 remove_stale_latencies (marjoram_pools *pools)
 {
-  struct marjoram_speed *speed = pools->latencies;
-  struct marjoram_speed *next;
+  struct marjoram_upstream_latency *latency = pools->latencies;
+  struct marjoram_upstream_latency *next;
 
   HASH_CLEAR (hh, pools->latencies);
-  for (; speed; speed = next)
+  for (; latency; latency = next)
     {
-      next = speed->hh.next;
-      if (is_known_upstream (pools, speed->name))
+      next = latency->hh.next;
+      if (is_known_upstream (pools, latency->name))
         {
-          HASH_ADD_KEYPTR (hh, pools->latencies, speed->name,
-                           strlen (speed->name), speed);
+          HASH_ADD_KEYPTR (hh, pools->latencies, latency->name,
+                           strlen (latency->name), latency);
           continue;
         }
-      free (speed->name);
-      free (speed);
+      free (latency->name);
+      free (latency);
     }
 }
 
@@ -212,7 +212,7 @@
       free (pools->items[i].ring);
       pools->items[i].candidates = NULL;
       pools->items[i].count = 0;
-      pools->items[i].room_at = INT64_MIN / 2;
+      pools->items[i].capacity_updated_at = INT64_MIN / 2;
     }
   remove_stale_latencies (pools);
   for (size_t i = 0; i < count; i++)
@@ -245,13 +245,13 @@
   return &pools->items[work];
 }
 
-struct marjoram_speed *
-marjoram_pools_speed (marjoram_pools *pools, const char *upstream)
+struct marjoram_upstream_latency *
+marjoram_pools_latency (marjoram_pools *pools, const char *upstream)
 {
-  struct marjoram_speed *speed;
+  struct marjoram_upstream_latency *latency;
 
-  HASH_FIND_STR (pools->latencies, upstream, speed);
-  return speed;
+  HASH_FIND_STR (pools->latencies, upstream, latency);
+  return latency;
 }
 
 int
@@ -273,7 +273,7 @@
 }
 
 int
-marjoram_pool_nearest (const struct marjoram_pool *pool, uint64_t hash)
+marjoram_pool_find_by_hash (const struct marjoram_pool *pool, uint64_t hash)
 {
   int low = 0;
   int high = pool->ring_count;
--- a/src/pool.h
+++ b/src/pool.h
@@ -10,7 +10,7 @@
 #include <uthash.h>
 
 /* Measured latency of one upstream.  */
-struct marjoram_speed
+struct marjoram_upstream_latency
 {
   char *name;
   double factor; /* measured time / estimated time */
@@ -21,7 +21,7 @@
 struct marjoram_candidate
 {
   const struct marjoram_upstream *upstream;
-  struct marjoram_speed *speed;
+  struct marjoram_upstream_latency *latency;
   uint64_t key; /* hash of its name; sort key of the pool */
 };
 
@@ -32,7 +32,7 @@
 };
 
 /* Aggregate over all upstreams of one model or service.  */
-struct marjoram_room
+struct marjoram_pool_capacity
 {
   unsigned upstreams; /* usable upstreams */
   double slots;
@@ -50,8 +50,8 @@
   int ring_count;
   double mean_ms;    /* request time without load */
   double service_ms; /* request time of a plain service */
-  struct marjoram_room room;
-  int64_t room_at;
+  struct marjoram_pool_capacity room;
+  int64_t capacity_updated_at;
 };
 
 typedef struct marjoram_pools marjoram_pools;
@@ -63,14 +63,15 @@
 /* Valid until members or the configuration change.  */
 struct marjoram_pool *marjoram_pools_get (marjoram_pools *pools, int work);
 /* Null if the upstream is unknown.  */
-struct marjoram_speed *marjoram_pools_speed (marjoram_pools *pools,
-                                             const char *upstream);
+struct marjoram_upstream_latency *
+marjoram_pools_latency (marjoram_pools *pools, const char *upstream);
 
 uint64_t marjoram_pool_key (const char *upstream);
 /* Index of the candidate with KEY, or -1.  */
 int marjoram_pool_find (const struct marjoram_pool *pool, uint64_t key);
 /* Index of the candidate that owns HASH by consistent hashing: the same on all
    hosts that know the same upstreams.  The pool must not be empty.  */
-int marjoram_pool_nearest (const struct marjoram_pool *pool, uint64_t hash);
+int marjoram_pool_find_by_hash (const struct marjoram_pool *pool,
+                                uint64_t hash);
 
 #endif
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -98,7 +98,7 @@
 static const char *const state_names[] = { "ready", "leaving", "gone" };
 
 static void
-log_news (const struct marjoram_upstream_news *news,
+log_news (const struct marjoram_upstream_heartbeat *news,
           enum marjoram_registry_result hearing)
 {
   if (hearing == MARJORAM_REGISTRY_RENEWED)
@@ -147,10 +147,10 @@
 
 static bool
 check_news (const marjoram_registrar *registrar,
-            const struct marjoram_upstream_news *news,
+            const struct marjoram_upstream_heartbeat *news,
             struct marjoram_error *err)
 {
-  if (news->state == MARJORAM_NEWS_GONE
+  if (news->state == MARJORAM_UPSTREAM_GONE
       || registrar->options.knows_zone (registrar->options.context,
                                         news->zone))
     return true;
@@ -184,7 +184,7 @@
 
 static void
 process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-              const struct marjoram_upstream_news *news)
+              const struct marjoram_upstream_heartbeat *news)
 {
   enum marjoram_registry_result hearing
       = marjoram_registry_update (registrar->options.registry, now, news, 0);
@@ -196,7 +196,7 @@
                             ? MARJORAM_METRIC_NEWS_STALE
                             : MARJORAM_METRIC_NEWS,
                         1);
-  if (news->state != MARJORAM_NEWS_READY)
+  if (news->state != MARJORAM_UPSTREAM_READY)
     {
       confirm_leave (registrar, now, ask, news->id);
       return;
@@ -216,7 +216,7 @@
 
   for (size_t i = 0; i < batch->items.count; i++)
     {
-      struct marjoram_upstream_news news;
+      struct marjoram_upstream_heartbeat news;
 
       if (marjoram_registry_unpack (&items[i], &news))
         marjoram_registry_update (registrar->options.registry, now, &news,
@@ -364,7 +364,7 @@
 
 static void
 look_up (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-         const struct marjoram_ask *what)
+         const struct marjoram_api_request *what)
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
   struct lookup lookup
@@ -404,12 +404,12 @@
                             uint64_t ask, const char *method,
                             const char *target, const char *body, size_t size)
 {
-  struct marjoram_ask what;
+  struct marjoram_api_request what;
   struct marjoram_error err = { 0 };
 
-  if (!registrar->options.dialect->ops->read_ask (method, target, body, size,
-                                                  &what, &err)
-      || (what.kind == MARJORAM_ASK_NEWS
+  if (!registrar->options.dialect->ops->read_api_request (method, target, body,
+                                                          size, &what, &err)
+      || (what.kind == MARJORAM_API_HEARTBEAT
           && !check_news (registrar, &what.news, &err)))
     {
       marjoram_registrar_reject (registrar, ask, target, &err);
@@ -417,30 +417,30 @@
     }
   switch (what.kind)
     {
-    case MARJORAM_ASK_LOOKUP:
+    case MARJORAM_API_LOOKUP:
       look_up (registrar, now, ask, &what);
       break;
-    case MARJORAM_ASK_NEWS:
+    case MARJORAM_API_HEARTBEAT:
       process_news (registrar, now, ask, &what.news);
       break;
-    case MARJORAM_ASK_CONFIG_SET:
+    case MARJORAM_API_CONFIG_SET:
       marjoram_registrar_set_config (registrar, now, ask, body, size);
       break;
-    case MARJORAM_ASK_CONFIG_GET:
+    case MARJORAM_API_CONFIG_GET:
       registrar->ops->read (registrar->context,
                             marjoram_registrar_add_pending (
                                 registrar, now, ask, MARJORAM_PENDING_READ,
                                 MARJORAM_RESPONSE_TIMEOUT_MS)
                                 ->number);
       break;
-    case MARJORAM_ASK_EVACUATE:
-    case MARJORAM_ASK_RESTORE:
+    case MARJORAM_API_EVACUATE:
+    case MARJORAM_API_RESTORE:
       marjoram_registrar_evacuate (registrar, now, ask, &what);
       break;
-    case MARJORAM_ASK_READY:
+    case MARJORAM_API_READY:
       marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, NULL);
       break;
-    case MARJORAM_ASK_UNKNOWN:
+    case MARJORAM_API_UNKNOWN:
       marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_NOT_FOUND,
                                  NULL);
       break;
--- a/src/registrar_order.c
+++ b/src/registrar_order.c
@@ -108,7 +108,8 @@
    outdated state as final.  */
 void
 marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
-                             uint64_t ask, const struct marjoram_ask *what)
+                             uint64_t ask,
+                             const struct marjoram_api_request *what)
 {
   struct marjoram_pending_request *pending;
 
@@ -126,7 +127,7 @@
                                             MARJORAM_PENDING_EVACUATION,
                                             MARJORAM_RESPONSE_TIMEOUT_MS);
   snprintf (pending->zone, sizeof pending->zone, "%s", what->zone);
-  pending->evacuated = what->kind == MARJORAM_ASK_EVACUATE;
+  pending->evacuated = what->kind == MARJORAM_API_EVACUATE;
   registrar->ops->read (registrar->context, pending->number);
 }
 
--- a/src/registrar_private.h
+++ b/src/registrar_private.h
@@ -78,6 +78,6 @@
                                     size_t size);
 void marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
                                   uint64_t ask,
-                                  const struct marjoram_ask *what);
+                                  const struct marjoram_api_request *what);
 
 #endif
--- a/src/registry.c
+++ b/src/registry.c
@@ -146,7 +146,7 @@
 
 static void
 store_news (marjoram_registry *registry, struct marjoram_registered *upstream,
-            int64_t now, const struct marjoram_upstream_news *news,
+            int64_t now, const struct marjoram_upstream_heartbeat *news,
             int64_t age_ms)
 {
   int64_t heard_at = now - age_ms;
@@ -163,33 +163,33 @@
    over; the most recently started instance keeps the address.  */
 static bool
 claim_address (marjoram_registry *registry,
-               const struct marjoram_upstream_news *news)
+               const struct marjoram_upstream_heartbeat *news)
 {
   struct marjoram_registered *other;
 
   TAILQ_FOREACH (other, &registry->list, link)
   {
-    if (other->news.state == MARJORAM_NEWS_GONE
+    if (other->news.state == MARJORAM_UPSTREAM_GONE
         || strcmp (other->news.address, news->address) != 0
         || strcmp (other->news.id, news->id) == 0)
       continue;
     if (news->born < other->news.born)
       return false;
     if (news->born > other->news.born)
-      other->news.state = MARJORAM_NEWS_GONE;
+      other->news.state = MARJORAM_UPSTREAM_GONE;
   }
   return true;
 }
 
 static enum marjoram_registry_result
 add (marjoram_registry *registry, int64_t now,
-     const struct marjoram_upstream_news *news, int64_t age_ms)
+     const struct marjoram_upstream_heartbeat *news, int64_t age_ms)
 {
   struct marjoram_registered *upstream;
 
   /* A deregistration of an unknown upstream is recorded too, as delayed
      heartbeats may follow it.  */
-  if (news->state != MARJORAM_NEWS_GONE && !claim_address (registry, news))
+  if (news->state != MARJORAM_UPSTREAM_GONE && !claim_address (registry, news))
     return MARJORAM_REGISTRY_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
   upstream->direct_heard_at = INT64_MIN;
@@ -201,12 +201,12 @@
 
 static enum marjoram_registry_result
 leave (struct marjoram_registered *upstream,
-       const struct marjoram_upstream_news *news)
+       const struct marjoram_upstream_heartbeat *news)
 {
-  if (upstream->news.state == MARJORAM_NEWS_GONE
+  if (upstream->news.state == MARJORAM_UPSTREAM_GONE
       || (news->born != 0 && news->born < upstream->news.born))
     return MARJORAM_REGISTRY_STALE;
-  upstream->news.state = MARJORAM_NEWS_GONE;
+  upstream->news.state = MARJORAM_UPSTREAM_GONE;
   return MARJORAM_REGISTRY_CHANGED;
 }
 
@@ -214,13 +214,14 @@
    does not undo a deregistration.  */
 static enum marjoram_registry_result
 renew (marjoram_registry *registry, struct marjoram_registered *upstream,
-       int64_t now, const struct marjoram_upstream_news *news, int64_t age_ms)
+       int64_t now, const struct marjoram_upstream_heartbeat *news,
+       int64_t age_ms)
 {
-  enum marjoram_news_state before = upstream->news.state;
+  enum marjoram_upstream_state before = upstream->news.state;
   bool moved = strcmp (upstream->news.address, news->address) != 0
                || strcmp (upstream->news.service, news->service) != 0;
 
-  if (before == MARJORAM_NEWS_GONE
+  if (before == MARJORAM_UPSTREAM_GONE
       || news->sequence <= upstream->news.sequence)
     return MARJORAM_REGISTRY_STALE;
   store_news (registry, upstream, now, news, age_ms);
@@ -233,7 +234,7 @@
 
 enum marjoram_registry_result
 marjoram_registry_update (marjoram_registry *registry, int64_t now,
-                          const struct marjoram_upstream_news *news,
+                          const struct marjoram_upstream_heartbeat *news,
                           int64_t age_ms)
 {
   struct marjoram_registered *upstream
@@ -243,7 +244,7 @@
     registry->heard_at = now - age_ms;
   if (!upstream)
     return add (registry, now, news, age_ms);
-  if (news->state == MARJORAM_NEWS_GONE)
+  if (news->state == MARJORAM_UPSTREAM_GONE)
     return leave (upstream, news);
   if (news->born < upstream->news.born)
     return MARJORAM_REGISTRY_STALE;
@@ -270,7 +271,7 @@
                           const struct marjoram_registered *upstream,
                           int64_t now)
 {
-  return upstream->news.state == MARJORAM_NEWS_READY
+  return upstream->news.state == MARJORAM_UPSTREAM_READY
          && upstream->ends_at == INT64_MAX
          && upstream->heard_at > registry->heard_at - SILENT_MS
          && now - upstream->heard_at < FORGET_MS;
@@ -302,7 +303,7 @@
 marjoram_registry_pack (const struct marjoram_registered *upstream,
                         int64_t now, struct marjoram_news_item *item)
 {
-  const struct marjoram_upstream_news *news = &upstream->news;
+  const struct marjoram_upstream_heartbeat *news = &upstream->news;
 
   *item = (struct marjoram_news_item){
     .id = (char *)news->id,
@@ -332,15 +333,15 @@
 
 bool
 marjoram_registry_unpack (const struct marjoram_news_item *item,
-                          struct marjoram_upstream_news *news)
+                          struct marjoram_upstream_heartbeat *news)
 {
   memset (news, 0, sizeof *news);
   if (!copy_id (news->id, item->id) || !copy_id (news->service, item->service)
       || !copy_id (news->address, item->address)
-      || !copy_id (news->zone, item->zone) || item->state > MARJORAM_NEWS_GONE
-      || item->age_ms < 0)
+      || !copy_id (news->zone, item->zone)
+      || item->state > MARJORAM_UPSTREAM_GONE || item->age_ms < 0)
     return false;
-  news->state = (enum marjoram_news_state)item->state;
+  news->state = (enum marjoram_upstream_state)item->state;
   news->born = item->born;
   news->sequence = item->sequence;
   /* Both are relative to sending; the record counts from reception.  */
--- a/src/registry.h
+++ b/src/registry.h
@@ -20,7 +20,7 @@
   TAILQ_ENTRY (marjoram_registered) link;
   TAILQ_ENTRY (marjoram_registered) service_link;
   struct marjoram_registered_service *service;
-  struct marjoram_upstream_news
+  struct marjoram_upstream_heartbeat
       news;                /* latest heartbeat, durations as received */
   int64_t heard_at;        /* when a keeper received the heartbeat */
   int64_t direct_heard_at; /* last heartbeat received directly; INT64_MIN if
@@ -44,7 +44,7 @@
 /* Applies NEWS, which a keeper received AGE_MS ago.  */
 enum marjoram_registry_result
 marjoram_registry_update (marjoram_registry *registry, int64_t now,
-                          const struct marjoram_upstream_news *news,
+                          const struct marjoram_upstream_heartbeat *news,
                           int64_t age_ms);
 /* NULL if ID is unknown.  */
 struct marjoram_registered *
@@ -71,6 +71,6 @@
 void marjoram_registry_pack (const struct marjoram_registered *upstream,
                              int64_t now, struct marjoram_news_item *item);
 bool marjoram_registry_unpack (const struct marjoram_news_item *item,
-                               struct marjoram_upstream_news *news);
+                               struct marjoram_upstream_heartbeat *news);
 
 #endif
--- a/src/intake.c
+++ b/src/request_parser.c
@@ -1,4 +1,4 @@
-#include "intake.h"
+#include "request_parser.h"
 
 #include "cleanup.h"
 #include "header.h"
--- a/src/role.h
+++ b/src/role.h
@@ -43,7 +43,7 @@
 };
 
 /* Shared by the daemon and its role; all borrowed.  */
-struct marjoram_role_parts
+struct marjoram_role_context
 {
   struct event_base *base;
   struct marjoram_clock *clock;
@@ -58,10 +58,10 @@
 
 /* Each returns null with ERR set on failure.  */
 struct marjoram_role *
-marjoram_entry_role_create (const struct marjoram_role_parts *parts,
+marjoram_entry_role_create (const struct marjoram_role_context *parts,
                             struct marjoram_error *err);
 struct marjoram_role *
-marjoram_keeper_role_create (const struct marjoram_role_parts *parts,
+marjoram_keeper_role_create (const struct marjoram_role_context *parts,
                              struct marjoram_error *err);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -474,7 +474,7 @@
   offers->offers.items = items;
   for (int i = 0; i < works && i < MARJORAM_OFFERS_MAX; i++)
     {
-      const struct marjoram_room *room
+      const struct marjoram_pool_capacity *room
           = marjoram_chooser_capacity (router->chooser, now, i);
       struct marjoram_offer *item = &items[offers->offers.count];
 
--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -196,7 +196,7 @@
 add_upstream (struct gateway_fixture *f, const char *id, const char *service,
               const char *address)
 {
-  struct marjoram_upstream_news news
+  struct marjoram_upstream_heartbeat news
       = { .born = 1, .sequence = 1, .ends_ms = -1, .slots = 4 };
 
   snprintf (news.id, sizeof news.id, "%s", id);
@@ -292,7 +292,7 @@
 gateway_fixture_restart (struct gateway_fixture *f, int64_t now,
                          const char *id, int64_t born)
 {
-  struct marjoram_upstream_news news
+  struct marjoram_upstream_heartbeat news
       = marjoram_registry_find (f->registry, id)->news;
 
   news.born = born;
@@ -303,10 +303,10 @@
 void
 gateway_fixture_leave (struct gateway_fixture *f, int64_t now, const char *id)
 {
-  struct marjoram_upstream_news news
+  struct marjoram_upstream_heartbeat news
       = marjoram_registry_find (f->registry, id)->news;
 
-  news.state = MARJORAM_NEWS_LEAVING;
+  news.state = MARJORAM_UPSTREAM_LEAVING;
   news.sequence++;
   marjoram_registry_update (f->registry, now, &news, 0);
 }
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -50,7 +50,7 @@
   TAILQ_ENTRY (job) link;
   uint64_t number;
   int host;
-  struct marjoram_call_facts facts;
+  struct marjoram_call_metadata facts;
   int64_t asked_at;
   int64_t objective_ms;
   double unread;  /* prompt tokens left; copied ones weighted by their cost */
@@ -124,7 +124,7 @@
 {
   for (int i = 0; i < load->terms->engines; i++)
     {
-      struct marjoram_upstream_news news
+      struct marjoram_upstream_heartbeat news
           = { .born = 1, .sequence = now + 1, .ends_ms = -1, .slots = SLOTS };
 
       snprintf (news.id, sizeof news.id, "%s", load->engines[i].id);
@@ -223,7 +223,7 @@
 static void
 count_read (struct load *load, const struct job *job, int64_t cached)
 {
-  const struct marjoram_call_facts *facts = &job->facts;
+  const struct marjoram_call_metadata *facts = &job->facts;
   int64_t before = 0;
 
   for (size_t i = 0; i < facts->part_count; i++)
@@ -363,7 +363,7 @@
 make_job (struct load *load, int64_t now, bool review)
 {
   struct job *job = marjoram_alloc (sizeof *job);
-  struct marjoram_call_facts *facts = &job->facts;
+  struct marjoram_call_metadata *facts = &job->facts;
   uint64_t drawn
       = marjoram_random_below (load->random, (uint64_t)load->terms->sessions);
 
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -42,7 +42,7 @@
   marjoram_repeat_sums_list *sums;
   marjoram_load_collector *collector;
   struct marjoram_service_rule service;
-  struct marjoram_call_facts facts;
+  struct marjoram_call_metadata facts;
   int64_t now;
 };
 
@@ -65,13 +65,13 @@
 static void
 receive_upstream (struct fleet *fleet, int number)
 {
-  struct marjoram_upstream_news news = { 0 };
+  struct marjoram_upstream_heartbeat news = { 0 };
 
   snprintf (news.id, sizeof news.id, "u-%d", number);
   snprintf (news.service, sizeof news.service, "lm");
   snprintf (news.address, sizeof news.address, "10.0.0.1:%d", number + 1);
   snprintf (news.zone, sizeof news.zone, "z");
-  news.state = MARJORAM_NEWS_READY;
+  news.state = MARJORAM_UPSTREAM_READY;
   news.sequence = fleet->now + 1;
   news.slots = 64;
   news.ends_ms = -1;
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -109,7 +109,7 @@
   marjoram_host_list *list;
   marjoram_placement *placements[2];
   struct marjoram_service_rule service;
-  struct marjoram_call_facts facts;
+  struct marjoram_call_metadata facts;
   uint64_t attempts;
 };
 
@@ -133,14 +133,14 @@
 pair_create (void)
 {
   struct pair *pair = marjoram_alloc (sizeof *pair);
-  struct marjoram_upstream_news news = { .id = "u",
-                                         .service = "lm",
-                                         .address = "10.0.0.1:1",
-                                         .zone = "z",
-                                         .state = MARJORAM_NEWS_READY,
-                                         .sequence = 1,
-                                         .ends_ms = -1,
-                                         .slots = 64 };
+  struct marjoram_upstream_heartbeat news = { .id = "u",
+                                              .service = "lm",
+                                              .address = "10.0.0.1:1",
+                                              .zone = "z",
+                                              .state = MARJORAM_UPSTREAM_READY,
+                                              .sequence = 1,
+                                              .ends_ms = -1,
+                                              .slots = 64 };
 
   pair->registry = marjoram_registry_create ();
   pair->list = marjoram_host_list_create ();
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -90,11 +90,11 @@
 receive_upstream (int64_t now, const char *service, const char *id,
                   const char *zone, int64_t cold_ms, int64_t sequence)
 {
-  struct marjoram_upstream_news news = { .born = 1,
-                                         .sequence = sequence,
-                                         .cold_ms = cold_ms,
-                                         .ends_ms = -1,
-                                         .slots = 4 };
+  struct marjoram_upstream_heartbeat news = { .born = 1,
+                                              .sequence = sequence,
+                                              .cold_ms = cold_ms,
+                                              .ends_ms = -1,
+                                              .slots = 4 };
 
   snprintf (news.id, sizeof news.id, "%s", id);
   snprintf (news.service, sizeof news.service, "%s", service);
@@ -110,11 +110,11 @@
 }
 
 /* A prompt that consists of a shared part and one of its own.  */
-static struct marjoram_call_facts
+static struct marjoram_call_metadata
 prompt (uint64_t shared, int64_t shared_tokens, uint64_t own,
         int64_t own_tokens)
 {
-  struct marjoram_call_facts facts
+  struct marjoram_call_metadata facts
       = { .prompt_tokens = shared_tokens + own_tokens,
           .answer_tokens_hint = 50,
           .parts = { { shared, shared_tokens }, { own, own_tokens } },
@@ -125,7 +125,7 @@
 }
 
 static struct marjoram_place_query
-make_query (const struct marjoram_call_facts *facts, int priority)
+make_query (const struct marjoram_call_metadata *facts, int priority)
 {
   struct marjoram_place_query query = {
     .service = &engine, .facts = facts, .priority = priority, .useful_ms = 1000
@@ -156,7 +156,7 @@
 START_TEST (prompt_goes_to_engine_reporting_it_cached)
 {
   const struct marjoram_prompt_part kept = { 7, 4000 };
-  struct marjoram_call_facts facts = prompt (7, 4000, 100, 500);
+  struct marjoram_call_metadata facts = prompt (7, 4000, 100, 500);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
@@ -171,7 +171,7 @@
 
 START_TEST (prompt_goes_to_engine_caching_its_part)
 {
-  struct marjoram_call_facts first = prompt (7, 4000, 100, 500);
+  struct marjoram_call_metadata first = prompt (7, 4000, 100, 500);
   struct marjoram_place_query query = make_query (&first, 1);
   char where[MARJORAM_ID_MAX];
 
@@ -184,7 +184,7 @@
                                     MARJORAM_ATTEMPT_SERVED);
   for (uint64_t i = 0; i < 5; i++)
     {
-      struct marjoram_call_facts next = prompt (7, 4000, 200 + i, 500);
+      struct marjoram_call_metadata next = prompt (7, 4000, 200 + i, 500);
       struct marjoram_place chosen;
 
       query = make_query (&next, 1);
@@ -202,9 +202,9 @@
 START_TEST (cached_prompt_is_copied_from_busy_engine)
 {
   struct marjoram_service_rule copying = engine;
-  struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
-  struct marjoram_call_facts other = prompt (8, 3000, 200, 1000);
-  struct marjoram_call_facts next = prompt (7, 6000, 300, 10);
+  struct marjoram_call_metadata first = prompt (7, 6000, 100, 10);
+  struct marjoram_call_metadata other = prompt (8, 3000, 200, 1000);
+  struct marjoram_call_metadata next = prompt (7, 6000, 300, 10);
   struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
@@ -239,7 +239,7 @@
 START_TEST (nothing_is_copied_after_connection_loss)
 {
   struct marjoram_service_rule copying = engine;
-  struct marjoram_call_facts first = prompt (7, 6000, 100, 10);
+  struct marjoram_call_metadata first = prompt (7, 6000, 100, 10);
   struct marjoram_place_query query = make_query (&first, 1);
   struct marjoram_place chosen;
 
@@ -268,7 +268,7 @@
     receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   for (uint64_t i = 0; i < 12; i++)
     {
-      struct marjoram_call_facts facts = prompt (7, 4000, 100 + i, 3000);
+      struct marjoram_call_metadata facts = prompt (7, 4000, 100 + i, 3000);
       struct marjoram_place_query query = make_query (&facts, 1);
       struct marjoram_place chosen = choose_and_start (0, &query);
 
@@ -290,7 +290,8 @@
   receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
-      struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
+      struct marjoram_call_metadata facts
+          = prompt (100 + i, 4000, 500 + i, 3000);
       struct marjoram_place_query query = make_query (&facts, 1);
 
       chosen = choose_and_start (0, &query);
@@ -307,13 +308,14 @@
    prompts.  */
 START_TEST (urgent_requests_bypass_the_queue)
 {
-  struct marjoram_call_facts urgent = prompt (9, 100, 10, 600);
+  struct marjoram_call_metadata urgent = prompt (9, 100, 10, 600);
   struct marjoram_place_query query;
 
   receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
-      struct marjoram_call_facts facts = prompt (100 + i, 4000, 500 + i, 3000);
+      struct marjoram_call_metadata facts
+          = prompt (100 + i, 4000, 500 + i, 3000);
 
       query = make_query (&facts, 1);
       choose_and_start (0, &query);
@@ -337,7 +339,7 @@
   for (int64_t now = 1; now < 1000; now += 10)
     for (int i = 0; i < 3; i++)
       {
-        struct marjoram_call_facts facts
+        struct marjoram_call_metadata facts
             = prompt (7, 10, (uint64_t)now * 3 + (uint64_t)i, 10);
         struct marjoram_place_query query = make_query (&facts, 1);
         marjoram_placement *by = i == 0 ? placement : others[i - 1];
@@ -369,7 +371,7 @@
   marjoram_placement_connection_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
-      struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
+      struct marjoram_call_metadata facts = prompt (7, 10, (uint64_t)now, 10);
       struct marjoram_place_query query = make_query (&facts, 1);
 
       if (choose_and_start (now, &query).outcome != MARJORAM_PLACE_FOUND)
@@ -384,7 +386,7 @@
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
     {
-      struct marjoram_call_facts facts = prompt (7, 10, (uint64_t)now, 10);
+      struct marjoram_call_metadata facts = prompt (7, 10, (uint64_t)now, 10);
       struct marjoram_place_query query = make_query (&facts, 1);
 
       sent += choose_and_start (now, &query).outcome == MARJORAM_PLACE_FOUND;
@@ -397,7 +399,7 @@
    against throttling it after its next heartbeat.  */
 START_TEST (restored_zone_is_cold_until_heartbeat)
 {
-  struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
+  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
@@ -427,7 +429,7 @@
    missing or late responses show.  */
 START_TEST (slow_engine_is_avoided)
 {
-  struct marjoram_call_facts facts = prompt (7, 4000, 8, 100);
+  struct marjoram_call_metadata facts = prompt (7, 4000, 8, 100);
   struct marjoram_place_query query = make_query (&facts, 1);
   char slow[MARJORAM_ID_MAX];
   struct marjoram_place chosen;
@@ -454,7 +456,7 @@
 
 START_TEST (only_the_local_region_is_used)
 {
-  struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
+  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_upstream (0, "lm", "1", "far", 0, 1);
@@ -464,7 +466,7 @@
 
 START_TEST (unreachable_and_replaced_upstreams_are_skipped)
 {
-  struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
+  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
@@ -491,7 +493,7 @@
    against preferring it to a healthy one.  */
 START_TEST (suspected_upstream_is_used_as_last_resort)
 {
-  struct marjoram_call_facts facts = prompt (7, 10, 8, 10);
+  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
@@ -513,7 +515,7 @@
    responses: estimates improve only through new requests.  */
 START_TEST (slow_responses_do_not_block_a_service)
 {
-  const struct marjoram_call_facts small = prompt (7, 10, 8, 10);
+  const struct marjoram_call_metadata small = prompt (7, 10, 8, 10);
   struct marjoram_place_query queries[2] = { make_query (&small, 1) };
 
   queries[1] = queries[0];
@@ -544,7 +546,7 @@
 
 START_TEST (plain_requests_go_to_the_least_loaded)
 {
-  struct marjoram_call_facts facts = { 0 };
+  struct marjoram_call_metadata facts = { 0 };
   struct marjoram_place_query query
       = { .service = &plain, .facts = &facts, .useful_ms = 300 };
   int at[3] = { 0 };
@@ -567,7 +569,7 @@
 {
   marjoram_placement *other = create ("h2");
   struct marjoram_load_report report;
-  struct marjoram_call_facts facts = prompt (7, 4000, 8, 4000);
+  struct marjoram_call_metadata facts = prompt (7, 4000, 8, 4000);
   struct marjoram_place_query query = make_query (&facts, 1);
   struct marjoram_place chosen;
 
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -21,7 +21,7 @@
 START_TEST (request_headers_are_parsed)
 {
   struct marjoram_header_list headers = { 0 };
-  struct marjoram_call_facts facts;
+  struct marjoram_call_metadata facts;
 
   marjoram_header_list_add (&headers, "marjoramproxy-attempt-id", "9c41d0");
   marjoram_header_list_add (&headers, "Marjoramproxy-Deadline-Ms", "4000");
@@ -32,7 +32,7 @@
   marjoram_header_list_add (&headers, "Last-Event-Id", "12");
   dialect->read_call (&headers, &facts);
   ck_assert_str_eq (facts.id, "9c41d0");
-  ck_assert_int_eq (facts.patience_ms, 4000);
+  ck_assert_int_eq (facts.caller_timeout_ms, 4000);
   ck_assert_int_eq (facts.prompt_tokens, 1460);
   ck_assert_int_eq (facts.answer_tokens_max, 80);
   ck_assert_int_eq (facts.answer_tokens_hint, 50);
@@ -52,7 +52,7 @@
   for (size_t i = 0; i < sizeof prompts / sizeof *prompts; i++)
     {
       struct marjoram_header_list headers = { 0 };
-      struct marjoram_call_facts facts;
+      struct marjoram_call_metadata facts;
 
       marjoram_header_list_add (&headers, "Marjoramproxy-Prompt-Prefix",
                                 prompts[i]);
@@ -62,7 +62,7 @@
       dialect->read_call (&headers, &facts);
       ck_assert_uint_eq (facts.part_count, 0);
       ck_assert_int_eq (facts.prompt_tokens, 0);
-      ck_assert_int_eq (facts.patience_ms, 0);
+      ck_assert_int_eq (facts.caller_timeout_ms, 0);
       marjoram_header_list_clear (&headers);
     }
 }
@@ -85,10 +85,10 @@
 
 START_TEST (upstream_headers_are_written)
 {
-  const struct marjoram_run_facts facts = { .patience_ms = 1500,
-                                            .upstream = "i-7",
-                                            .last_event = "12",
-                                            .copy_from = "10.0.0.9:80" };
+  const struct marjoram_run_metadata facts = { .caller_timeout_ms = 1500,
+                                               .upstream = "i-7",
+                                               .last_event = "12",
+                                               .copy_from = "10.0.0.9:80" };
   struct marjoram_header_list headers = { 0 };
 
   marjoram_header_list_add (&headers, "Last-Event-Id", "3");
@@ -115,7 +115,7 @@
 START_TEST (response_headers_are_parsed)
 {
   struct marjoram_header_list headers = { 0 };
-  struct marjoram_answer_facts facts;
+  struct marjoram_response_metadata facts;
 
   dialect->read_answer (421, &headers, &facts);
   ck_assert (facts.not_run && facts.wrong_upstream);
@@ -136,11 +136,11 @@
 
 static bool
 read_api_call (const char *method, const char *target, const char *body,
-               struct marjoram_ask *call)
+               struct marjoram_api_request *call)
 {
   struct marjoram_error err = { 0 };
-  bool ok
-      = dialect->read_ask (method, target, body, strlen (body), call, &err);
+  bool ok = dialect->read_api_request (method, target, body, strlen (body),
+                                       call, &err);
 
   ck_assert (ok || err.message[0]);
   return ok;
@@ -153,16 +153,16 @@
 
 START_TEST (heartbeat_is_parsed)
 {
-  struct marjoram_ask call;
+  struct marjoram_api_request call;
   char body[512];
 
   snprintf (body, sizeof body, HEARTBEAT, "ready");
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_NEWS);
+  ck_assert_int_eq (call.kind, MARJORAM_API_HEARTBEAT);
   ck_assert_str_eq (call.news.id, "i-7f");
   ck_assert_str_eq (call.news.address, "10.0.0.9:8080");
-  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_READY);
+  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_READY);
   ck_assert_int_eq (call.news.born, 1700000000123);
   ck_assert_int_eq (call.news.sequence, 4);
   ck_assert_int_eq (call.news.cold_ms, 250);
@@ -170,7 +170,7 @@
   snprintf (body, sizeof body, HEARTBEAT, "draining");
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
-  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_LEAVING);
+  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_LEAVING);
 }
 END_TEST
 
@@ -203,7 +203,7 @@
     "\"state\":\"ready\",\"seq\":1e300}",
     "\xff\xfe",
   };
-  struct marjoram_ask call;
+  struct marjoram_api_request call;
 
   for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
     ck_assert_msg (!read_api_call ("POST", "/-/instances/i-7f/heartbeat",
@@ -214,12 +214,12 @@
 
 START_TEST (deregistration_body_is_optional)
 {
-  struct marjoram_ask call;
+  struct marjoram_api_request call;
 
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/deregister", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_NEWS);
-  ck_assert_int_eq (call.news.state, MARJORAM_NEWS_GONE);
+  ck_assert_int_eq (call.kind, MARJORAM_API_HEARTBEAT);
+  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_GONE);
   ck_assert (read_api_call ("POST", "/-/instances/i-7f/deregister",
                             "{\"born\":5}", &call));
   ck_assert_int_eq (call.news.born, 5);
@@ -228,31 +228,31 @@
 
 START_TEST (other_api_calls_are_parsed)
 {
-  struct marjoram_ask call;
+  struct marjoram_api_request call;
 
   ck_assert (read_api_call (
       "GET", "/-/resolve?name=a.example&region=r1&zone=z1", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_LOOKUP);
+  ck_assert_int_eq (call.kind, MARJORAM_API_LOOKUP);
   ck_assert_str_eq (call.host, "a.example");
   ck_assert_str_eq (call.region, "r1");
   ck_assert_str_eq (call.zone, "z1");
   ck_assert (read_api_call ("POST", "/-/evacuations/hob-a/begin", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_EVACUATE);
+  ck_assert_int_eq (call.kind, MARJORAM_API_EVACUATE);
   ck_assert_str_eq (call.zone, "hob-a");
   ck_assert (read_api_call ("POST", "/-/evacuations/hob-a/finish", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_RESTORE);
+  ck_assert_int_eq (call.kind, MARJORAM_API_RESTORE);
   ck_assert (read_api_call ("GET", "/-/config/read", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_CONFIG_GET);
+  ck_assert_int_eq (call.kind, MARJORAM_API_CONFIG_GET);
   ck_assert (read_api_call ("POST", "/-/config/replace", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_CONFIG_SET);
+  ck_assert_int_eq (call.kind, MARJORAM_API_CONFIG_SET);
   ck_assert (read_api_call ("GET", "/-/ready", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_READY);
+  ck_assert_int_eq (call.kind, MARJORAM_API_READY);
   ck_assert (read_api_call ("GET", "/-/evacuations/a/b/begin", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
+  ck_assert_int_eq (call.kind, MARJORAM_API_UNKNOWN);
   ck_assert (read_api_call ("POST", "/-/evacuations//begin", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
+  ck_assert_int_eq (call.kind, MARJORAM_API_UNKNOWN);
   ck_assert (read_api_call ("PUT", "/-/config/replace", "", &call));
-  ck_assert_int_eq (call.kind, MARJORAM_ASK_UNKNOWN);
+  ck_assert_int_eq (call.kind, MARJORAM_API_UNKNOWN);
 }
 END_TEST
 
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -20,15 +20,15 @@
   marjoram_registry_destroy (registry);
 }
 
-static struct marjoram_upstream_news
+static struct marjoram_upstream_heartbeat
 news (const char *id, int64_t born, int64_t sequence,
-      enum marjoram_news_state state)
+      enum marjoram_upstream_state state)
 {
-  struct marjoram_upstream_news made = { .state = state,
-                                         .born = born,
-                                         .sequence = sequence,
-                                         .ends_ms = -1,
-                                         .slots = 4 };
+  struct marjoram_upstream_heartbeat made = { .state = state,
+                                              .born = born,
+                                              .sequence = sequence,
+                                              .ends_ms = -1,
+                                              .slots = 4 };
 
   snprintf (made.id, sizeof made.id, "%s", id);
   snprintf (made.service, sizeof made.service, "lm");
@@ -39,9 +39,9 @@
 
 static enum marjoram_registry_result
 receive_heartbeat (int64_t now, const char *id, int64_t born, int64_t sequence,
-                   enum marjoram_news_state state)
+                   enum marjoram_upstream_state state)
 {
-  struct marjoram_upstream_news made = news (id, born, sequence, state);
+  struct marjoram_upstream_heartbeat made = news (id, born, sequence, state);
 
   return marjoram_registry_update (registry, now, &made, 0);
 }
@@ -55,10 +55,11 @@
 
 START_TEST (heartbeats_renew)
 {
-  ck_assert_int_eq (receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY),
+  ck_assert_int_eq (receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_READY),
                     MARJORAM_REGISTRY_CHANGED);
-  ck_assert_int_eq (receive_heartbeat (1200, "a", 1, 2, MARJORAM_NEWS_READY),
-                    MARJORAM_REGISTRY_RENEWED);
+  ck_assert_int_eq (
+      receive_heartbeat (1200, "a", 1, 2, MARJORAM_UPSTREAM_READY),
+      MARJORAM_REGISTRY_RENEWED);
   ck_assert (usable ("a", 1300));
 }
 END_TEST
@@ -67,12 +68,13 @@
    again.  */
 START_TEST (late_heartbeat_does_not_undo_leaving)
 {
-  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  receive_heartbeat (100, "a", 1, 3, MARJORAM_NEWS_LEAVING);
-  ck_assert_int_eq (receive_heartbeat (200, "a", 1, 2, MARJORAM_NEWS_READY),
-                    MARJORAM_REGISTRY_STALE);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_READY);
+  receive_heartbeat (100, "a", 1, 3, MARJORAM_UPSTREAM_LEAVING);
+  ck_assert_int_eq (
+      receive_heartbeat (200, "a", 1, 2, MARJORAM_UPSTREAM_READY),
+      MARJORAM_REGISTRY_STALE);
   ck_assert (!usable ("a", 300));
-  receive_heartbeat (300, "a", 1, 4, MARJORAM_NEWS_READY);
+  receive_heartbeat (300, "a", 1, 4, MARJORAM_UPSTREAM_READY);
   ck_assert (!usable ("a", 400));
 }
 END_TEST
@@ -81,11 +83,12 @@
    upstream.  */
 START_TEST (deregistered_upstream_stays_gone)
 {
-  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
-  ck_assert_int_eq (receive_heartbeat (100, "a", 0, 0, MARJORAM_NEWS_GONE),
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_READY);
+  ck_assert_int_eq (receive_heartbeat (100, "a", 0, 0, MARJORAM_UPSTREAM_GONE),
                     MARJORAM_REGISTRY_CHANGED);
-  ck_assert_int_eq (receive_heartbeat (4000, "a", 1, 9, MARJORAM_NEWS_READY),
-                    MARJORAM_REGISTRY_STALE);
+  ck_assert_int_eq (
+      receive_heartbeat (4000, "a", 1, 9, MARJORAM_UPSTREAM_READY),
+      MARJORAM_REGISTRY_STALE);
   ck_assert (!usable ("a", 4100));
 }
 END_TEST
@@ -94,12 +97,12 @@
    its earlier instance.  */
 START_TEST (restart_with_same_id_is_accepted)
 {
-  receive_heartbeat (0, "a", 1000, 50, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "a", 1000, 50, MARJORAM_UPSTREAM_READY);
   ck_assert_int_eq (
-      receive_heartbeat (5000, "a", 6000, 1, MARJORAM_NEWS_READY),
+      receive_heartbeat (5000, "a", 6000, 1, MARJORAM_UPSTREAM_READY),
       MARJORAM_REGISTRY_CHANGED);
   ck_assert_int_eq (
-      receive_heartbeat (5100, "a", 1000, 51, MARJORAM_NEWS_LEAVING),
+      receive_heartbeat (5100, "a", 1000, 51, MARJORAM_UPSTREAM_LEAVING),
       MARJORAM_REGISTRY_STALE);
   ck_assert (usable ("a", 5200));
 }
@@ -109,11 +112,11 @@
    reused.  */
 START_TEST (latest_instance_owns_address)
 {
-  receive_heartbeat (0, "old", 1000, 5, MARJORAM_NEWS_READY);
-  receive_heartbeat (4000, "new", 3000, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "old", 1000, 5, MARJORAM_UPSTREAM_READY);
+  receive_heartbeat (4000, "new", 3000, 1, MARJORAM_UPSTREAM_READY);
   ck_assert (!usable ("old", 4100));
   ck_assert_int_eq (
-      receive_heartbeat (5000, "old2", 900, 1, MARJORAM_NEWS_READY),
+      receive_heartbeat (5000, "old2", 900, 1, MARJORAM_UPSTREAM_READY),
       MARJORAM_REGISTRY_STALE);
   ck_assert (usable ("new", 5000));
 }
@@ -122,10 +125,11 @@
 /* Guards against losing all upstreams when no keeper is reachable.  */
 START_TEST (silence_counts_relative_to_others)
 {
-  struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
+  struct marjoram_upstream_heartbeat other
+      = news ("b", 1, 1, MARJORAM_UPSTREAM_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_READY);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_READY);
   marjoram_registry_update (registry, 0, &other, 0);
   ck_assert (usable ("a", 20000));
   other.sequence = 2;
@@ -137,7 +141,8 @@
 
 START_TEST (ending_upstream_is_not_usable)
 {
-  struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_LEAVING);
+  struct marjoram_upstream_heartbeat made
+      = news ("a", 1, 1, MARJORAM_UPSTREAM_LEAVING);
 
   made.ends_ms = 2000;
   marjoram_registry_update (registry, 0, &made, 0);
@@ -150,8 +155,9 @@
    different clocks.  */
 START_TEST (durations_survive_transfer)
 {
-  struct marjoram_upstream_news made = news ("a", 1, 1, MARJORAM_NEWS_READY);
-  struct marjoram_upstream_news read;
+  struct marjoram_upstream_heartbeat made
+      = news ("a", 1, 1, MARJORAM_UPSTREAM_READY);
+  struct marjoram_upstream_heartbeat read;
   struct marjoram_news_item item;
   marjoram_registry *other = marjoram_registry_create ();
 
@@ -168,10 +174,11 @@
 
 START_TEST (old_records_are_dropped)
 {
-  struct marjoram_upstream_news other = news ("b", 1, 1, MARJORAM_NEWS_READY);
+  struct marjoram_upstream_heartbeat other
+      = news ("b", 1, 1, MARJORAM_UPSTREAM_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
-  receive_heartbeat (0, "a", 1, 1, MARJORAM_NEWS_GONE);
+  receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_GONE);
   marjoram_registry_update (registry, 90000, &other, 0);
   marjoram_registry_tick (registry, 90000);
   ck_assert_ptr_null (marjoram_registry_find (registry, "a"));
--- a/test/test_route_file.c
+++ b/test/test_route_file.c
@@ -2,7 +2,7 @@
 #include "suite.h"
 
 #include "cleanup.h"
-#include "own_dialect.h"
+#include "builtin_dialect.h"
 #include "platform.h"
 #include "route_file.h"
 
@@ -148,7 +148,7 @@
         "\"header_timeout_ms\":1,\"idle_timeout_ms\":1}}";
   static const char ini_text[] = "\n; Ours.\n" ROUTES_SECTION APP_SECTION;
   const struct marjoram_dialect *dialect
-      = marjoram_own_dialect (marjoram_platform_dialect ());
+      = marjoram_builtin_dialect (marjoram_platform_dialect ());
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table
       = dialect->ops->read_config (ini_text, strlen (ini_text), &err);
@@ -163,34 +163,36 @@
 }
 END_TEST
 
-static enum marjoram_ask_kind
-kind_of (const char *method, const char *target, struct marjoram_ask *ask)
+static enum marjoram_api_request_kind
+kind_of (const char *method, const char *target,
+         struct marjoram_api_request *ask)
 {
   const struct marjoram_dialect *dialect
-      = marjoram_own_dialect (marjoram_platform_dialect ());
+      = marjoram_builtin_dialect (marjoram_platform_dialect ());
 
-  ck_assert (dialect->ops->read_ask (method, target, "", 0, ask, NULL));
+  ck_assert (
+      dialect->ops->read_api_request (method, target, "", 0, ask, NULL));
   return ask->kind;
 }
 
 START_TEST (own_calls_are_read)
 {
-  struct marjoram_ask ask;
+  struct marjoram_api_request ask;
 
   ck_assert_int_eq (kind_of ("GET", "/gateway/routes", &ask),
-                    MARJORAM_ASK_CONFIG_GET);
+                    MARJORAM_API_CONFIG_GET);
   ck_assert_int_eq (kind_of ("PUT", "/gateway/routes", &ask),
-                    MARJORAM_ASK_CONFIG_SET);
+                    MARJORAM_API_CONFIG_SET);
   ck_assert_int_eq (kind_of ("POST", "/gateway/routes", &ask),
-                    MARJORAM_ASK_UNKNOWN);
+                    MARJORAM_API_UNKNOWN);
   ck_assert_int_eq (kind_of ("PUT", "/gateway/evacuations/za", &ask),
-                    MARJORAM_ASK_EVACUATE);
+                    MARJORAM_API_EVACUATE);
   ck_assert_str_eq (ask.zone, "za");
   ck_assert_int_eq (kind_of ("DELETE", "/gateway/evacuations/za", &ask),
-                    MARJORAM_ASK_RESTORE);
+                    MARJORAM_API_RESTORE);
   ck_assert_int_eq (kind_of ("GET", "/gateway/evacuations/za", &ask),
-                    MARJORAM_ASK_UNKNOWN);
-  ck_assert_int_eq (kind_of ("GET", "/-/ready", &ask), MARJORAM_ASK_READY);
+                    MARJORAM_API_UNKNOWN);
+  ck_assert_int_eq (kind_of ("GET", "/-/ready", &ask), MARJORAM_API_READY);
 }
 END_TEST
 
