--- a/test/lib_announce.c
+++ b/test/lib_announce.c
@@ -36,7 +36,7 @@
 };
 
 static void
-arm (announcer *self, int64_t ms)
+schedule_renewal (announcer *self, int64_t ms)
 {
   struct timeval delay = { ms / 1000, ms % 1000 * 1000L };
 
@@ -45,13 +45,13 @@
 
 static void
 post (announcer *self, const char *path, json_t *body,
-      void (*answered) (struct evhttp_request *, void *))
+      void (*on_response) (struct evhttp_request *, void *))
 {
   marjoram_auto_free char *text = json_dumps (body, JSON_COMPACT);
   char address[ADDRESS_SIZE];
   char *colon;
   struct evhttp_connection *connection;
-  struct evhttp_request *request = evhttp_request_new (answered, self);
+  struct evhttp_request *request = evhttp_request_new (on_response, self);
   struct timeval timeout
       = { ANSWER_TIMEOUT_MS / 1000, ANSWER_TIMEOUT_MS % 1000 * 1000L };
 
@@ -75,7 +75,7 @@
 }
 
 static void
-announced (struct evhttp_request *request, void *context)
+on_announce_response (struct evhttp_request *request, void *context)
 {
   announcer *self = context;
   int status = request ? evhttp_request_get_response_code (request) : 0;
@@ -89,11 +89,11 @@
     }
   if (!good)
     self->current = (self->current + 1) % self->entry_count;
-  arm (self, good ? self->renew_ms : RETRY_MS);
+  schedule_renewal (self, good ? self->renew_ms : RETRY_MS);
 }
 
 static void
-announce (evutil_socket_t fd, short what, void *context)
+on_renew_timer (evutil_socket_t fd, short what, void *context)
 {
   announcer *self = context;
   json_t *body;
@@ -106,7 +106,7 @@
   json_object_set_new (body, "sequence", json_integer (++self->sequence));
   self->waiting = true;
   post (self, self->leaving ? "/v1/upstreams/leave" : "/v1/upstreams/announce",
-        body, announced);
+        body, on_announce_response);
 }
 
 announcer *
@@ -126,9 +126,9 @@
   while ((entry = strsep (&rest, ",")) && self->entry_count < ENTRIES_MAX)
     if (strchr (entry, ':'))
       snprintf (self->entries[self->entry_count++], ADDRESS_SIZE, "%s", entry);
-  self->timer = event_new (base, -1, 0, announce, self);
+  self->timer = event_new (base, -1, 0, on_renew_timer, self);
   if (self->entry_count)
-    arm (self, 0);
+    schedule_renewal (self, 0);
   return self;
 }
 
@@ -138,7 +138,7 @@
   self->leaving = true;
   self->left = !self->entry_count;
   if (!self->left)
-    arm (self, 0);
+    schedule_renewal (self, 0);
 }
 
 bool
@@ -148,7 +148,7 @@
 }
 
 static void
-ignored (struct evhttp_request *request, void *context)
+ignore_response (struct evhttp_request *request, void *context)
 {
   (void)request;
   (void)context;
@@ -158,7 +158,7 @@
 announcer_post (announcer *self, const char *path, json_t *body)
 {
   if (self->entry_count)
-    post (self, path, body, ignored);
+    post (self, path, body, ignore_response);
   else
     json_decref (body);
 }
--- a/test/lib_announce.h
+++ b/test/lib_announce.h
@@ -1,6 +1,6 @@
-/* How a stand-in makes itself known to the entry hosts of its availability
-   zone, as docs/UPSTREAMS.md says: renewals at a third of the lease, the next
-   host when one does not answer, one word when it leaves.  */
+/* Registers a fake upstream with the entry hosts of its availability zone, as
+   docs/UPSTREAMS.md specifies: renews at a third of the lease, fails over to
+   the next host on error, and deregisters on leaving.  */
 #ifndef MARJORAM_TEST_ANNOUNCE_H
 #define MARJORAM_TEST_ANNOUNCE_H
 
@@ -10,20 +10,22 @@
 
 typedef struct announcer announcer;
 
-/* ENTRIES is a list of IP:port separated by commas.  DESCRIBE makes the body
-   of one announcement but for its sequence.  */
+/* ENTRIES is a comma-separated list of IP:port. DESCRIBE returns the body of
+   an announcement without its sequence number.  */
 announcer *announcer_create (struct event_base *base, const char *entries,
                              int64_t lease_ms,
                              json_t *(*describe) (void *context),
                              void *context);
 
-/* No more renewals; tells an entry host so, the next one if need be.  */
+/* Stops renewing and sends a leave message, trying each entry host in
+   turn.  */
 void announcer_leave (announcer *announcer);
-/* Whether the leave was heard, or every host was tried.  */
+/* True once the leave was acknowledged or every host has been tried
+   twice.  */
 bool announcer_left (const announcer *announcer);
 
-/* Sends BODY, whose reference is taken, to PATH of the present entry host; it
-   may be lost.  */
+/* Posts BODY to PATH on the current entry host, without retry. Steals the
+   reference to BODY.  */
 void announcer_post (announcer *announcer, const char *path, json_t *body);
 
 #endif
