--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -46,7 +46,7 @@
 {
   const char *name;
   enum world_policy policy;
-  bool free_retries;
+  bool ignore_retry_after;
 };
 
 /* The router first, the plain ones after it.  */
@@ -314,7 +314,7 @@
     .link_far_us = 52000,
     .policy = policy->policy,
     .no_limits = workload->rate_part <= 0 || workload->no_limits,
-    .free_retries = policy->free_retries,
+    .ignore_retry_after = policy->ignore_retry_after,
     .attempt_ms = workload->attempt_ms,
     .resends = workload->attempt_ms ? workload->resends : OBEDIENT_RESENDS,
     .seed = seed,
--- a/test/lib_batch.c
+++ b/test/lib_batch.c
@@ -20,7 +20,7 @@
 struct batch_engine
 {
   struct batch_options options;
-  struct batch_job **jobs; /* in the order of coming */
+  struct batch_job **jobs; /* in order of arrival */
   int count;
   int running;
   struct prefix *prefixes;
@@ -50,7 +50,7 @@
 }
 
 void
-batch_slow (struct batch_engine *engine, double slowness)
+batch_set_slowness (struct batch_engine *engine, double slowness)
 {
   engine->options.slowness = slowness;
 }
@@ -74,7 +74,7 @@
 }
 
 static void
-evict (struct batch_engine *engine)
+evict_oldest_prefix (struct batch_engine *engine)
 {
   int oldest = 0;
 
@@ -86,7 +86,7 @@
 }
 
 static void
-keep_prefix (struct batch_engine *engine, const struct batch_job *job)
+cache_prefix (struct batch_engine *engine, const struct batch_job *job)
 {
   struct prefix *prefix;
 
@@ -96,7 +96,7 @@
          && (engine->cached_tokens + job->prefix_tokens
                  > engine->options.cache_tokens
              || engine->prefix_count == PREFIXES_MAX))
-    evict (engine);
+    evict_oldest_prefix (engine);
   prefix = &engine->prefixes[engine->prefix_count++];
   *prefix
       = (struct prefix){ job->prefix, job->prefix_tokens, ++engine->clock };
@@ -118,7 +118,7 @@
 }
 
 static void
-take_out (struct batch_engine *engine, int index)
+remove_job (struct batch_engine *engine, int index)
 {
   engine->running -= engine->jobs[index]->placed;
   engine->count--;
@@ -132,7 +132,7 @@
   for (int i = 0; i < engine->count; i++)
     if (engine->jobs[i] == job)
       {
-        take_out (engine, i);
+        remove_job (engine, i);
         return true;
       }
   return false;
@@ -151,7 +151,7 @@
 }
 
 static struct batch_job *
-lowest_running (const struct batch_engine *engine)
+lowest_priority_running (const struct batch_engine *engine)
 {
   struct batch_job *worst = NULL;
 
@@ -163,7 +163,7 @@
 }
 
 static void
-place (struct batch_engine *engine, struct batch_job *job)
+admit (struct batch_engine *engine, struct batch_job *job)
 {
   struct prefix *prefix = find_prefix (engine, job->prefix);
 
@@ -175,8 +175,8 @@
   job->prefill_left -= job->prefix_tokens;
 }
 
-/* Places what waits, the higher priority first, also in the stead of a running
-   job of a lower one, which keeps its state and goes on later.  */
+/* Admits waiting jobs by priority, preempting running jobs of lower priority.
+   A preempted job keeps its progress.  */
 static void
 fill_batch (struct batch_engine *engine)
 {
@@ -188,19 +188,19 @@
         return;
       if (engine->running >= engine->options.slots)
         {
-          struct batch_job *victim = lowest_running (engine);
+          struct batch_job *victim = lowest_priority_running (engine);
 
           if (!victim || victim->priority <= job->priority)
             return;
           victim->placed = false;
           engine->running--;
         }
-      place (engine, job);
+      admit (engine, job);
     }
 }
 
 static int
-prefill (struct batch_engine *engine)
+run_prefill (struct batch_engine *engine)
 {
   int budget = engine->options.chunk;
 
@@ -218,7 +218,7 @@
         if (job->prefill_left > 0)
           continue;
         job->prefilled = true;
-        keep_prefix (engine, job);
+        cache_prefix (engine, job);
       }
   engine->prefilled += engine->options.chunk - budget;
   return engine->options.chunk - budget;
@@ -241,7 +241,7 @@
         engine->jobs[i]->decode_left--;
         ms += options->stream_ms;
       }
-  ms += prefill (engine) / options->prefill_rate * 1000;
+  ms += run_prefill (engine) / options->prefill_rate * 1000;
   end = now_us + (int64_t)(ms * options->slowness * 1000);
   for (int i = 0; i < engine->count; i++)
     {
@@ -251,7 +251,7 @@
         job->first_us = end;
       if (job->decode_left > 0)
         continue;
-      take_out (engine, i--);
+      remove_job (engine, i--);
       done (context, job);
     }
   return end - now_us;
--- a/test/lib_world.c
+++ b/test/lib_world.c
@@ -7,18 +7,19 @@
 
 enum
 {
-  RELAY_US = 5000, /* an announcement to the zone's other hosts */
+  RELAY_US
+  = 5000, /* delay of relaying an announcement to the next host of the zone */
   LEASE_MS = 3000
 };
 
 static bool
-before (const struct event *a, const struct event *b)
+event_before (const struct event *a, const struct event *b)
 {
   return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
 static void
-swap (struct event *a, struct event *b)
+swap_events (struct event *a, struct event *b)
 {
   struct event kept = *a;
 
@@ -43,13 +44,14 @@
     }
   world->events[i]
       = (struct event){ at_us, world->order++, run, object, number };
-  for (; i > 0 && before (&world->events[i], &world->events[(i - 1) / 2]);
+  for (;
+       i > 0 && event_before (&world->events[i], &world->events[(i - 1) / 2]);
        i = (i - 1) / 2)
-    swap (&world->events[i], &world->events[(i - 1) / 2]);
+    swap_events (&world->events[i], &world->events[(i - 1) / 2]);
 }
 
 static struct event
-next_event (struct world *world)
+pop_event (struct world *world)
 {
   struct event first = world->events[0];
   size_t i = 0;
@@ -61,11 +63,11 @@
 
       for (size_t child = 2 * i + 1;
            child <= 2 * i + 2 && child < world->event_count; child++)
-        if (before (&world->events[child], &world->events[least]))
+        if (event_before (&world->events[child], &world->events[least]))
           least = child;
       if (least == i)
         return first;
-      swap (&world->events[i], &world->events[least]);
+      swap_events (&world->events[i], &world->events[least]);
       i = least;
     }
 }
@@ -98,7 +100,7 @@
   return a == b || (!world->cut[a] && !world->cut[b]);
 }
 
-/* Announcements.  */
+/* Load reports.  */
 
 struct report
 {
@@ -109,7 +111,7 @@
 };
 
 static void
-hear (struct world *world, void *object, int number)
+deliver_report (struct world *world, void *object, int number)
 {
   struct report *report = object;
   struct marjoram_announcement *a = &report->announcement;
@@ -119,7 +121,7 @@
                              world_now_ms (world), a, number > 0);
   if (number + 1 < world->slots)
     {
-      world_schedule (world, world->now_us + RELAY_US, hear, report,
+      world_schedule (world, world->now_us + RELAY_US, deliver_report, report,
                       number + 1);
       return;
     }
@@ -128,7 +130,7 @@
 }
 
 static void
-report_load (struct world *world, void *object, int number)
+send_report (struct world *world, void *object, int number)
 {
   struct engine *engine = object;
   struct report *report;
@@ -157,15 +159,15 @@
   };
   world_schedule (
       world, world->now_us + (int64_t)world->options.report_lag_ms * WORLD_US,
-      hear, report, 0);
+      deliver_report, report, 0);
   world_schedule (world,
                   world->now_us + (int64_t)world->options.report_ms * WORLD_US,
-                  report_load, engine, number);
+                  send_report, engine, number);
 }
 
-/* Offers and use.  */
+/* Offers.  */
 
-struct told
+struct offers_message
 {
   struct marjoram_offers offers;
   struct host *to;
@@ -173,38 +175,40 @@
 };
 
 static void
-learn (struct world *world, void *object, int number)
+deliver_offers (struct world *world, void *object, int number)
 {
-  struct told *told = object;
+  struct offers_message *offers_message = object;
 
   (void)number;
   marjoram_router_process_offers (
-      told->to->router, world_now_ms (world), &told->offers,
-      world_link_us (world, told->from, told->to->zone) / WORLD_US);
-  marjoram_wire_clear (&marjoram_offers_layout, &told->offers);
-  free (told);
+      offers_message->to->router, world_now_ms (world),
+      &offers_message->offers,
+      world_link_us (world, offers_message->from, offers_message->to->zone)
+          / WORLD_US);
+  marjoram_wire_clear (&marjoram_offers_layout, &offers_message->offers);
+  free (offers_message);
 }
 
 static void
-tell (struct world *world, struct host *from, struct host *to)
+send_offers (struct world *world, struct host *from, struct host *to)
 {
-  struct told *told;
+  struct offers_message *offers_message;
 
   if (from == to || !world_linked (world, from->zone, to->zone)
       || (world->options.no_spill && from->zone != to->zone))
     return;
-  told = marjoram_alloc (sizeof *told);
+  offers_message = marjoram_alloc (sizeof *offers_message);
   marjoram_router_build_offers (from->router, world_now_ms (world), to->zone,
-                                &told->offers);
-  told->to = to;
-  told->from = from->zone;
+                                &offers_message->offers);
+  offers_message->to = to;
+  offers_message->from = from->zone;
   world_schedule (world,
                   world->now_us + world_link_us (world, from->zone, to->zone),
-                  learn, told, 0);
+                  deliver_offers, offers_message, 0);
 }
 
 static void
-tick (struct world *world, void *object, int number)
+on_tick (struct world *world, void *object, int number)
 {
   struct host *host = object;
   int64_t now = world_now_ms (world);
@@ -216,30 +220,30 @@
   for (int i = 0; world->options.policy == WORLD_ROUTER && i < world->zones;
        i++)
     for (int j = 0; j < world->slots; j++)
-      tell (world, host, &world->hosts[i][j]);
+      send_offers (world, host, &world->hosts[i][j]);
   world_schedule (world, world->now_us + (int64_t)WORLD_TICK_MS * WORLD_US,
-                  tick, host, number);
+                  on_tick, host, number);
 }
 
-/* Changes.  */
+/* Scheduled changes.  */
 
 static void
-kill_now (struct world *world, void *object, int number)
+on_kill_engine (struct world *world, void *object, int number)
 {
   struct engine *engine = object;
 
   (void)number;
   engine->up = false;
   batch_reset (engine->batch);
-  /* The connections break: each host fails what it has there.  */
-  for (struct attempt *a = world->made; a; a = a->next_made)
+  /* Fail all attempts pending on the engine.  */
+  for (struct attempt *a = world->all_attempts; a; a = a->next_attempt)
     if (a->engine == engine && a->request->attempts == a->number
         && !a->request->done_us && a->job.arrived_us && a->job.decode_left > 0)
       world_failed (world, a);
 }
 
 static void
-start_now (struct world *world, void *object, int number)
+on_start_engine (struct world *world, void *object, int number)
 {
   struct engine *engine = object;
 
@@ -247,20 +251,20 @@
   engine->up = true;
   engine->incarnation++;
   engine->sequence = 0;
-  report_load (world, engine, (int)engine->incarnation);
+  send_report (world, engine, (int)engine->incarnation);
 }
 
 static void
-slow_now (struct world *world, void *object, int number)
+on_slow_engine (struct world *world, void *object, int number)
 {
   struct engine *engine = object;
 
   (void)world;
-  batch_slow (engine->batch, number / 100.0);
+  batch_set_slowness (engine->batch, number / 100.0);
 }
 
 static void
-cut_now (struct world *world, void *object, int number)
+on_cut (struct world *world, void *object, int number)
 {
   *(bool *)object = number != 0;
   (void)world;
@@ -269,27 +273,29 @@
 void
 world_kill_engine (struct world *world, int64_t at_us, int zone, int engine)
 {
-  world_schedule (world, at_us, kill_now, &world->engines[zone][engine], 0);
+  world_schedule (world, at_us, on_kill_engine, &world->engines[zone][engine],
+                  0);
 }
 
 void
 world_start_engine (struct world *world, int64_t at_us, int zone, int engine)
 {
-  world_schedule (world, at_us, start_now, &world->engines[zone][engine], 0);
+  world_schedule (world, at_us, on_start_engine, &world->engines[zone][engine],
+                  0);
 }
 
 void
 world_slow_engine (struct world *world, int64_t at_us, int zone, int engine,
                    double slowness)
 {
-  world_schedule (world, at_us, slow_now, &world->engines[zone][engine],
+  world_schedule (world, at_us, on_slow_engine, &world->engines[zone][engine],
                   (int)(slowness * 100));
 }
 
 void
 world_cut (struct world *world, int64_t at_us, int zone, bool cut)
 {
-  world_schedule (world, at_us, cut_now, &world->cut[zone], cut);
+  world_schedule (world, at_us, on_cut, &world->cut[zone], cut);
 }
 
 static void
@@ -306,11 +312,11 @@
   host->router
       = marjoram_router_create (name, host->members, NULL, host->random);
   marjoram_router_configure (host->router, 0, world->config);
-  /* Hosts tick at different moments of the second.  */
+  /* Spread the hosts' ticks over the tick interval.  */
   world_schedule (
       world,
       (int64_t)marjoram_random_below (world->random, WORLD_TICK_MS * WORLD_US),
-      tick, host, slot);
+      on_tick, host, slot);
 }
 
 static void
@@ -328,7 +334,7 @@
       world,
       (int64_t)marjoram_random_below (
           world->random, (uint32_t)world->options.report_ms * WORLD_US),
-      start_now, engine, 0);
+      on_start_engine, engine, 0);
 }
 
 struct world *
@@ -355,14 +361,14 @@
 drop_event (struct world *world, const struct event *event)
 {
   (void)world;
-  if (event->run == learn)
+  if (event->run == deliver_offers)
     {
-      struct told *told = event->object;
+      struct offers_message *offers_message = event->object;
 
-      marjoram_wire_clear (&marjoram_offers_layout, &told->offers);
-      free (told);
+      marjoram_wire_clear (&marjoram_offers_layout, &offers_message->offers);
+      free (offers_message);
     }
-  else if (event->run == hear)
+  else if (event->run == deliver_report)
     {
       struct report *report = event->object;
 
@@ -377,12 +383,12 @@
 {
   for (size_t i = 0; i < world->event_count; i++)
     drop_event (world, &world->events[i]);
-  while (world->made)
+  while (world->all_attempts)
     {
-      struct attempt *next = world->made->next_made;
+      struct attempt *next = world->all_attempts->next_attempt;
 
-      free (world->made);
-      world->made = next;
+      free (world->all_attempts);
+      world->all_attempts = next;
     }
   for (int i = 0; i < world->zones; i++)
     {
@@ -422,7 +428,7 @@
                           world_send, &requests[sent], 0);
           sent++;
         }
-      event = next_event (world);
+      event = pop_event (world);
       if (event.at_us > end_us)
         {
           drop_event (world, &event);
--- a/test/lib_world.h
+++ b/test/lib_world.h
@@ -1,8 +1,8 @@
-/* A system in virtual time for measuring policies: zones with entry hosts that
-   run the real router, links with delays, stand-in engines that report their
-   load late, and callers that wait, resend or give up.  Plain policies take
-   the router's place for comparison.  It answers questions about load only;
-   faults of hosts and messages belong to the scenarios.  */
+/* Discrete-event simulation for comparing routing policies under load: zones
+   with entry hosts that run the real router, links with latency, simulated
+   engines with delayed load reports, and callers that time out and retry.
+   Baseline policies can replace the router. Host failures and message loss
+   are not modelled; the scenarios test those.  */
 #ifndef MARJORAM_TEST_LIB_WORLD_H
 #define MARJORAM_TEST_LIB_WORLD_H
 
@@ -19,34 +19,34 @@
 enum world_policy
 {
   WORLD_ROUTER,
-  WORLD_ROUND_ROBIN,   /* in the zone */
-  WORLD_LEAST_IN_ZONE, /* least in flight, of this host and as reported */
-  WORLD_LEAST_ANYWHERE /* the same over all allowed zones */
+  WORLD_ROUND_ROBIN,   /* within the zone */
+  WORLD_LEAST_IN_ZONE, /* lowest load known to this host */
+  WORLD_LEAST_ANYWHERE /* lowest load over all reachable zones */
 };
 
 struct world_options
 {
   struct config_spec spec;
-  int engines[WORLD_ZONES_MAX]; /* in each zone */
+  int engines[WORLD_ZONES_MAX]; /* per zone */
   struct batch_options batch;
-  int report_ms;     /* between two load reports */
-  int report_lag_ms; /* age of a report when it arrives */
-  int link_near_us;  /* one way, zones of one region */
-  int link_far_us;   /* one way, between regions */
-  bool no_spill;     /* offers are not delivered */
-  bool no_limits;    /* callers' limits are not asked */
-  bool free_retries; /* no retry budget; callers don't obey Retry-After */
-  int attempt_ms;    /* a caller gives up and resends; 0 for never */
-  int resends;       /* at most */
+  int report_ms;           /* load report interval */
+  int report_lag_ms;       /* load report latency */
+  int link_near_us;        /* one-way latency within a region */
+  int link_far_us;         /* one-way latency between regions */
+  bool no_spill;           /* drop offers between zones */
+  bool no_limits;          /* do not enforce caller limits */
+  bool ignore_retry_after; /* callers ignore Retry-After */
+  int attempt_ms;          /* caller timeout before resending, 0 for none */
+  int resends;             /* maximum number of resends */
   enum world_policy policy;
   uint64_t seed;
 };
 
-/* One request: what is asked, and what became of it.  */
+/* A request and its outcome.  */
 struct world_request
 {
   int64_t at_us;
-  int zone; /* whose hosts are asked */
+  int zone; /* zone of the entry host */
   int caller;
   int work;
   enum marjoram_class class;
@@ -56,12 +56,12 @@
   int answer;
   int deadline_ms;
 
-  int64_t first_us; /* first token at the caller */
-  int64_t done_us;  /* 0 if it was not answered in time */
+  int64_t first_us; /* arrival of the first token at the caller */
+  int64_t done_us;  /* completion time, 0 if it missed the deadline */
   int ran_zone;
-  int attempts; /* of the caller */
+  int attempts; /* attempts by the caller */
   int refusals;
-  int retries; /* of hosts */
+  int retries; /* retries by hosts */
   int crossed;
 };
 
@@ -69,11 +69,10 @@
 
 struct world *world_create (const struct world_options *options);
 void world_destroy (struct world *world);
-/* Runs REQUESTS, in the order of their times, and all that follows of them
-   until END_US.  */
+/* Runs the simulation until END_US. REQUESTS must be ordered by time.  */
 void world_run (struct world *world, struct world_request *requests,
                 size_t count, int64_t end_us);
-/* Changes at a time, before the run.  */
+/* Schedules changes at AT_US. Must be called before world_run.  */
 void world_kill_engine (struct world *world, int64_t at_us, int zone,
                         int engine);
 void world_start_engine (struct world *world, int64_t at_us, int zone,
@@ -81,10 +80,11 @@
 void world_slow_engine (struct world *world, int64_t at_us, int zone,
                         int engine, double slowness);
 void world_cut (struct world *world, int64_t at_us, int zone, bool cut);
-/* All prefill tokens computed, and lookups of limits refused.  */
+/* Total prefill tokens computed, and requests of CALLER rejected by its
+   limits.  */
 int64_t world_prefilled (const struct world *world);
 int64_t world_limited (const struct world *world, int caller);
-/* The most requests that one engine held.  */
+/* Peak number of queued and running requests on an engine.  */
 int world_peak (const struct world *world, int zone, int engine);
 
 #endif
--- a/test/lib_world_request.c
+++ b/test/lib_world_request.c
@@ -6,10 +6,10 @@
 
 enum
 {
-  RESEND_MS = 200 /* of a caller that doesn't obey Retry-After */
+  RESEND_MS = 200 /* resend delay of callers that ignore Retry-After */
 };
 
-/* The caller's next try, at another host.  */
+/* Schedules the caller's next attempt.  */
 static void
 resend (struct world *world, struct world_request *request, int64_t delay_ms)
 {
@@ -19,25 +19,26 @@
 }
 
 static void
-refused (struct world *world, void *object, int number)
+on_refusal (struct world *world, void *object, int number)
 {
   struct world_request *request = object;
 
   request->refusals++;
-  resend (world, request, world->options.free_retries ? RESEND_MS : number);
+  resend (world, request,
+          world->options.ignore_retry_after ? RESEND_MS : number);
 }
 
 static void
 refuse (struct world *world, struct world_request *request, int64_t retry_ms)
 {
-  world_schedule (world, world->now_us + WORLD_CALLER_US, refused, request,
+  world_schedule (world, world->now_us + WORLD_CALLER_US, on_refusal, request,
                   (int)retry_ms);
 }
 
 static void world_step (struct world *world, void *object, int number);
 
 static void
-answered (struct world *world, void *object, int number)
+on_answer (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct world_request *request = attempt->request;
@@ -56,7 +57,7 @@
 }
 
 static void
-end_attempt (struct world *world, void *object, int number)
+finish_attempt (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct host *last = attempt->last;
@@ -79,11 +80,11 @@
     }
   back = world_link_us (world, attempt->first->zone, last->zone)
          + WORLD_CALLER_US;
-  world_schedule (world, world->now_us + back, answered, attempt, 0);
+  world_schedule (world, world->now_us + back, on_answer, attempt, 0);
 }
 
 static void
-keep_ended (void *context, struct batch_job *job)
+collect_ended (void *context, struct batch_job *job)
 {
   struct engine *engine = context;
 
@@ -105,14 +106,14 @@
   held = batch_running (engine->batch) + batch_waiting (engine->batch);
   if (held > engine->peak)
     engine->peak = held;
-  duration = batch_step (engine->batch, world->now_us, keep_ended, engine);
+  duration = batch_step (engine->batch, world->now_us, collect_ended, engine);
   if (duration == 0)
     return;
   engine->stepping = true;
   world_schedule (world, world->now_us + duration, world_step, engine, 0);
   for (int i = 0; i < engine->ended_count; i++)
     world_schedule (world, world->now_us + duration + WORLD_ENGINE_US,
-                    end_attempt, engine->ended[i]->owner, 0);
+                    finish_attempt, engine->ended[i]->owner, 0);
 }
 
 static void choose (struct world *world, struct attempt *attempt,
@@ -145,7 +146,7 @@
 }
 
 static void
-arrive (struct world *world, void *object, int number)
+on_arrival (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct engine *engine = attempt->engine;
@@ -168,8 +169,8 @@
 }
 
 static void
-run_at (struct world *world, struct attempt *attempt, struct host *host,
-        const char *name)
+dispatch (struct world *world, struct attempt *attempt, struct host *host,
+          const char *name)
 {
   int zone = 0;
   int index = 0;
@@ -184,11 +185,11 @@
       world,
       world->now_us + WORLD_ENGINE_US
           + (zone == host->zone ? 0 : world_link_us (world, host->zone, zone)),
-      arrive, attempt, 0);
+      on_arrival, attempt, 0);
 }
 
 static void
-forwarded_back (struct world *world, void *object, int number)
+on_forward_refused (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct marjoram_query *query = &attempt->query;
@@ -209,7 +210,7 @@
 }
 
 static void
-forwarded (struct world *world, void *object, int number)
+on_forward (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct host *host = &world->hosts[number][marjoram_random_below (
@@ -231,7 +232,7 @@
   switch (choice.verdict)
     {
     case MARJORAM_VERDICT_LOCAL:
-      run_at (world, attempt, host, choice.upstream);
+      dispatch (world, attempt, host, choice.upstream);
       return;
     case MARJORAM_VERDICT_FORWARD:
       attempt->request->crossed++;
@@ -239,11 +240,11 @@
                                        attempt->query.work);
       link = world_link_us (world, host->zone, choice.zone);
       if (world_linked (world, host->zone, choice.zone))
-        world_schedule (world, world->now_us + link, forwarded, attempt,
+        world_schedule (world, world->now_us + link, on_forward, attempt,
                         choice.zone);
       else
-        world_schedule (world, world->now_us + link, forwarded_back, attempt,
-                        choice.zone);
+        world_schedule (world, world->now_us + link, on_forward_refused,
+                        attempt, choice.zone);
       return;
     case MARJORAM_VERDICT_REFUSE:
       if (attempt->query.forwarded)
@@ -251,7 +252,7 @@
             world,
             world->now_us
                 + world_link_us (world, host->zone, attempt->first->zone),
-            forwarded_back, attempt, host->zone);
+            on_forward_refused, attempt, host->zone);
       else
         refuse (world, attempt->request, choice.retry_ms);
       return;
@@ -267,9 +268,9 @@
   return reported > upstream->in_flight ? reported : upstream->in_flight;
 }
 
-/* The least loaded of ZONE as HOST knows it.  */
+/* Returns the least loaded upstream known to HOST.  */
 static const struct marjoram_upstream *
-least (const struct world *world, const struct host *host, int64_t now)
+least_loaded (const struct world *world, const struct host *host, int64_t now)
 {
   const struct marjoram_upstream *best = NULL;
   size_t count = marjoram_members_count (host->members);
@@ -288,7 +289,7 @@
 }
 
 static const struct marjoram_upstream *
-in_turn (struct host *host, int64_t now)
+next_in_turn (struct host *host, int64_t now)
 {
   size_t count = marjoram_members_count (host->members);
 
@@ -304,8 +305,8 @@
 }
 
 static void
-choose_plainly (struct world *world, struct attempt *attempt,
-                struct host *host)
+choose_by_baseline (struct world *world, struct attempt *attempt,
+                    struct host *host)
 {
   const struct marjoram_upstream *best = NULL;
   struct host *where = host;
@@ -313,14 +314,15 @@
 
   host->turn++;
   if (world->options.policy == WORLD_ROUND_ROBIN)
-    best = in_turn (host, now);
+    best = next_in_turn (host, now);
   else
-    best = least (world, host, now);
+    best = least_loaded (world, host, now);
   for (int i = 0;
        world->options.policy == WORLD_LEAST_ANYWHERE && i < world->zones; i++)
     {
       struct host *other = &world->hosts[i][0];
-      const struct marjoram_upstream *upstream = least (world, other, now);
+      const struct marjoram_upstream *upstream
+          = least_loaded (world, other, now);
 
       if (!world_linked (world, host->zone, i) || !upstream
           || (best && load_of (upstream) >= load_of (best)))
@@ -334,7 +336,7 @@
       return;
     }
   attempt->request->crossed += where != host;
-  run_at (world, attempt, where, best->announcement->name);
+  dispatch (world, attempt, where, best->announcement->name);
 }
 
 static void
@@ -343,13 +345,12 @@
   if (world->options.policy == WORLD_ROUTER)
     choose_by_router (world, attempt, host);
   else
-    choose_plainly (world, attempt, host);
+    choose_by_baseline (world, attempt, host);
 }
 
-/* The caller has waited long enough: it closes its connection and sends again.
-   The host cancels the work, whichever the policy.  */
+/* Caller timeout: cancels the attempt's job and resends the request.  */
 static void
-give_up (struct world *world, void *object, int number)
+on_attempt_timeout (struct world *world, void *object, int number)
 {
   struct attempt *attempt = object;
   struct world_request *request = attempt->request;
@@ -378,8 +379,8 @@
   if (request->done_us || request->attempts != number || now >= deadline)
     return;
   attempt = marjoram_alloc (sizeof *attempt);
-  attempt->next_made = world->made;
-  world->made = attempt;
+  attempt->next_attempt = world->all_attempts;
+  world->all_attempts = attempt;
   request->attempts++;
   attempt->request = request;
   attempt->number = request->attempts;
@@ -405,7 +406,7 @@
   if (world->options.attempt_ms)
     world_schedule (
         world, world->now_us + (int64_t)world->options.attempt_ms * WORLD_US,
-        give_up, attempt, 0);
+        on_attempt_timeout, attempt, 0);
   if (world->options.policy == WORLD_ROUTER && !world->options.no_limits
       && marjoram_router_admit (attempt->first->router, now, request->caller,
                                 &retry_ms)
--- a/test/lib_world_state.h
+++ b/test/lib_world_state.h
@@ -1,4 +1,4 @@
-/* The inside of lib_world, shared by its two files.  */
+/* Internal declarations shared by lib_world.c and lib_world_request.c.  */
 #ifndef MARJORAM_TEST_LIB_WORLD_STATE_H
 #define MARJORAM_TEST_LIB_WORLD_STATE_H
 
@@ -10,9 +10,9 @@
   WORLD_SLOTS_MAX = 16,
   WORLD_ENGINES_MAX = 64,
   WORLD_CALLERS_MAX = 4096,
-  WORLD_US = 1000,        /* in a millisecond */
-  WORLD_CALLER_US = 1000, /* one way, caller to host */
-  WORLD_ENGINE_US = 200,  /* one way, host to engine */
+  WORLD_US = 1000,        /* microseconds per millisecond */
+  WORLD_CALLER_US = 1000, /* one-way latency, caller to host */
+  WORLD_ENGINE_US = 200,  /* one-way latency, host to engine */
   WORLD_TICK_MS = 1000
 };
 
@@ -22,7 +22,7 @@
   marjoram_router *router;
   marjoram_random *random;
   int zone;
-  int turn; /* round robin */
+  int turn; /* round-robin position */
 };
 
 struct engine
@@ -40,18 +40,18 @@
   int peak;
 };
 
-/* One try of one request at one engine.  */
+/* One attempt of a request.  */
 struct attempt
 {
   struct world_request *request;
   struct batch_job job;
-  struct host *first; /* the host that the caller asked */
-  struct host *last;  /* the host that chose the engine */
+  struct host *first; /* host that received the request */
+  struct host *last;  /* host that selected the engine */
   struct engine *engine;
   struct marjoram_query query;
-  int number; /* the request's attempts when it began */
+  int number; /* value of request->attempts at the start */
   int64_t began_us;
-  struct attempt *next_made;
+  struct attempt *next_attempt;
 };
 
 struct event
@@ -78,7 +78,7 @@
   size_t event_capacity;
   uint64_t order;
   int64_t now_us;
-  struct attempt *made;
+  struct attempt *all_attempts;
   int64_t limited[WORLD_CALLERS_MAX];
 };
 
@@ -86,12 +86,12 @@
                      void (*run) (struct world *, void *, int), void *object,
                      int number);
 int64_t world_now_ms (const struct world *world);
-/* One way between hosts of two zones.  */
+/* One-way latency between hosts of two zones.  */
 int64_t world_link_us (const struct world *world, int a, int b);
 bool world_linked (const struct world *world, int a, int b);
-/* The caller's next try of a request.  */
+/* Sends the next attempt of a request.  */
 void world_send (struct world *world, void *request, int tries_so_far);
-/* An attempt's engine has died.  */
+/* Handles failure of the attempt's engine.  */
 void world_failed (struct world *world, struct attempt *attempt);
 
 #endif
