--- a/test/lib_call.c
+++ b/test/lib_call.c
@@ -21,8 +21,8 @@
 
 struct call
 {
-  struct evhttp_connection *connection; /* or null */
-  struct bufferevent *raw;              /* or null */
+  struct evhttp_connection *connection; /* or NULL */
+  struct bufferevent *raw;              /* or NULL */
   struct evbuffer *body;
   struct evkeyvalq headers;
   int status;
@@ -43,14 +43,14 @@
 }
 
 static void
-end (struct call *call)
+finish_call (struct call *call)
 {
   call->done = true;
   call->ended = now_ms ();
 }
 
 static int
-head_came (struct evhttp_request *request, void *context)
+on_header (struct evhttp_request *request, void *context)
 {
   struct call *call = context;
   struct evkeyval *header;
@@ -65,7 +65,7 @@
 }
 
 static void
-part_came (struct evhttp_request *request, void *context)
+on_body_chunk (struct evhttp_request *request, void *context)
 {
   struct call *call = context;
 
@@ -74,10 +74,10 @@
   evbuffer_add_buffer (call->body, evhttp_request_get_input_buffer (request));
 }
 
-/* evhttp takes an answer without length or chunks as whole when the
-   connection closes; it proves nothing.  */
+/* evhttp reports a response with neither Content-Length nor chunked encoding
+   as complete when the connection closes, so it may be truncated.  */
 static bool
-framed (const struct call *call)
+has_explicit_framing (const struct call *call)
 {
   return call_header_value (call, "Content-Length")
          || call_header_value (call, "Transfer-Encoding")
@@ -85,21 +85,21 @@
 }
 
 static void
-answered (struct evhttp_request *request, void *context)
+on_response (struct evhttp_request *request, void *context)
 {
   struct call *call = context;
 
   call->connection = NULL;
-  end (call);
+  finish_call (call);
   if (!request || !evhttp_request_get_response_code (request))
     return;
-  head_came (request, call);
-  part_came (request, call);
-  call->whole = framed (call);
+  on_header (request, call);
+  on_body_chunk (request, call);
+  call->whole = has_explicit_framing (call);
 }
 
 static enum evhttp_cmd_type
-command (const char *method)
+method_from_name (const char *method)
 {
   if (strcmp (method, "GET") == 0)
     return EVHTTP_REQ_GET;
@@ -116,7 +116,7 @@
 {
   char address[ADDRESS_SIZE];
   char *colon;
-  struct evhttp_request *request = evhttp_request_new (answered, call);
+  struct evhttp_request *request = evhttp_request_new (on_response, call);
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
   struct timeval timeout
       = { source->timeout_ms / 1000, source->timeout_ms % 1000 * 1000L };
@@ -128,8 +128,8 @@
       base, NULL, address, (uint16_t)strtoul (colon + 1, NULL, 10));
   evhttp_connection_set_timeout_tv (call->connection, &timeout);
   evhttp_connection_free_on_completion (call->connection);
-  evhttp_request_set_header_cb (request, head_came);
-  evhttp_request_set_chunked_cb (request, part_came);
+  evhttp_request_set_header_cb (request, on_header);
+  evhttp_request_set_chunked_cb (request, on_body_chunk);
   evhttp_add_header (headers, "Connection", "close");
   for (size_t i = 0; i < source->header_count; i++)
     evhttp_add_header (headers, source->headers[i].name,
@@ -138,16 +138,16 @@
     evhttp_add_header (headers, "Host", source->address);
   evbuffer_add (evhttp_request_get_output_buffer (request), source->body,
                 source->size);
-  if (evhttp_make_request (call->connection, request, command (source->method),
-                           source->path))
+  if (evhttp_make_request (call->connection, request,
+                           method_from_name (source->method), source->path))
     {
       call->connection = NULL;
-      end (call);
+      finish_call (call);
     }
 }
 
 static void
-raw_came (struct bufferevent *stream, void *context)
+on_raw_read (struct bufferevent *stream, void *context)
 {
   struct call *call = context;
 
@@ -157,14 +157,14 @@
 }
 
 static void
-raw_ended (struct bufferevent *stream, short what, void *context)
+on_raw_event (struct bufferevent *stream, short what, void *context)
 {
   struct call *call = context;
 
   if (what & BEV_EVENT_CONNECTED)
     return;
-  raw_came (stream, call);
-  end (call);
+  on_raw_read (stream, call);
+  finish_call (call);
 }
 
 static void
@@ -175,14 +175,14 @@
   int size = sizeof address;
 
   call->raw = bufferevent_socket_new (base, -1, BEV_OPT_CLOSE_ON_FREE);
-  bufferevent_setcb (call->raw, raw_came, NULL, raw_ended, call);
+  bufferevent_setcb (call->raw, on_raw_read, NULL, on_raw_event, call);
   bufferevent_enable (call->raw, EV_READ | EV_WRITE);
   bufferevent_write (call->raw, source->body, source->size);
   if (evutil_parse_sockaddr_port (source->address, (struct sockaddr *)&address,
                                   &size)
       || bufferevent_socket_connect (call->raw, (struct sockaddr *)&address,
                                      size))
-    end (call);
+    finish_call (call);
 }
 
 struct call *
--- a/test/lib_call.h
+++ b/test/lib_call.h
@@ -1,5 +1,5 @@
-/* One HTTP request of a test, answered later; also raw bytes over TCP, for
-   what no proper client would send.  */
+/* Asynchronous HTTP client for tests. Can also send raw bytes over TCP, to
+   test malformed requests.  */
 #ifndef MARJORAM_TEST_CALL_H
 #define MARJORAM_TEST_CALL_H
 
@@ -19,32 +19,33 @@
 struct call_request
 {
   const char *address; /* IP:port */
-  const char *method;  /* null for raw bytes in BODY */
+  const char *method;  /* NULL sends BODY as raw bytes */
   const char *path;
   const struct call_header *headers;
   size_t header_count;
   const char *body;
   size_t size;
-  int64_t timeout_ms; /* without progress */
+  int64_t timeout_ms; /* inactivity timeout */
 };
 
 struct call *call_start (struct event_base *base,
                          const struct call_request *request);
-/* Closes its connection if it is not yet done.  */
+/* Closes the connection if the call is still in progress.  */
 void call_destroy (struct call *call);
 
-/* Answered in full, broken off, timed out, or closed by the other side.  */
+/* True once the call completed, failed, timed out or was closed by the
+   peer.  */
 bool call_done (const struct call *call);
-/* The answer came with its end marked, and up to that end.  */
+/* True if the response was explicitly framed and received completely.  */
 bool call_whole (const struct call *call);
-/* 0 if no head came.  */
+/* Returns 0 if no response header was received.  */
 int call_status (const struct call *call);
-/* The answer's header, null if there is none.  */
+/* Returns the value of a response header, or NULL.  */
 const char *call_header_value (const struct call *call, const char *name);
-/* What has come of the body.  */
+/* Returns the part of the response body received so far.  */
 const char *call_body (struct call *call, size_t *size);
-/* Milliseconds from the start to the first byte of the body, -1 if none, and
-   to the end.  */
+/* Milliseconds from the start of the call to the first body byte, or -1 if
+   there is none, and to completion.  */
 double call_first_ms (const struct call *call);
 double call_whole_ms (const struct call *call);
 
