--- a/test/lib_process.c
+++ b/test/lib_process.c
@@ -26,7 +26,7 @@
 static int process_count;
 
 static void
-become (char *const *argv, const char *log, pid_t parent)
+exec_child (char *const *argv, const char *log, pid_t parent)
 {
   int fd = open (log, O_WRONLY | O_CREAT | O_APPEND, 0644);
 
@@ -51,14 +51,14 @@
     return -1;
   pid = fork ();
   if (pid == 0)
-    become (argv, log, parent);
+    exec_child (argv, log, parent);
   if (pid > 0)
     processes[process_count++] = (struct process){ .pid = pid };
   return pid;
 }
 
 static struct process *
-find (pid_t pid)
+find_process (pid_t pid)
 {
   for (int i = process_count - 1; i >= 0; i--)
     if (processes[i].pid == pid)
@@ -69,7 +69,7 @@
 bool
 process_ended (pid_t pid, int *status)
 {
-  struct process *process = find (pid);
+  struct process *process = find_process (pid);
   int raw;
 
   if (!process)
--- a/test/lib_process.h
+++ b/test/lib_process.h
@@ -1,18 +1,18 @@
-/* Starts our own programs and ends them by process id, also when the one that
-   started them dies.  */
+/* Starts child processes and kills them by process ID. Children are also
+   killed when the parent dies.  */
 #ifndef MARJORAM_TEST_PROCESS_H
 #define MARJORAM_TEST_PROCESS_H
 
 #include <stdbool.h>
 #include <sys/types.h>
 
-/* ARGV ends with a null pointer; both outputs are appended to LOG.  Returns
-   -1 on failure.  */
+/* ARGV is NULL-terminated. Appends stdout and stderr to LOG. Returns -1 on
+   failure.  */
 pid_t process_start (char *const *argv, const char *log);
-/* Whether PID has ended; STATUS then gets its exit status, or 128 and the
-   signal that ended it.  */
+/* Returns whether PID has exited and stores its exit status, or 128 plus the
+   signal number, in STATUS.  */
 bool process_ended (pid_t pid, int *status);
-/* Ends all that were started and still run.  */
+/* Kills all started processes that are still running.  */
 void process_kill_all (void);
 
 #endif
