--- a/test/lib_relay.c
+++ b/test/lib_relay.c
@@ -20,12 +20,12 @@
   USEC_PER_MS = 1000
 };
 
-/* A queue for each direction, first in, first out, that takes all that is
-   sent: what comes waits behind what came before, on whichever connection.  */
+/* One unbounded FIFO per direction, shared by all connections on the
+   link.  */
 struct relay_link
 {
   int64_t bytes_per_second;
-  int64_t free_us[2]; /* when all before is through: to the host, from it */
+  int64_t free_us[2]; /* end of transmission to and from the host */
 };
 
 struct pair;
@@ -36,7 +36,7 @@
   struct bufferevent *stream;
 };
 
-/* Bytes, or the end of a side if there are none, on their way.  */
+/* Data in transit; an empty parcel is end of file.  */
 struct parcel
 {
   STAILQ_ENTRY (parcel) entries;
@@ -49,10 +49,10 @@
 {
   LIST_ENTRY (pair) entries;
   struct relay *relay;
-  struct side side[2]; /* the one that connected, the target */
+  struct side side[2]; /* client, target */
   STAILQ_HEAD (parcels, parcel) parcels;
   struct event *timer;
-  bool connected; /* to the target, or connecting */
+  bool connected; /* connected or connecting to the target */
   bool silent;
   bool stalled;
   bool closing;
@@ -62,15 +62,15 @@
 {
   struct event_base *base;
   struct evconnlistener *listener;
-  struct event *watch; /* for a dead target to come back */
+  struct event *watch; /* polls for the target to come back */
   struct sockaddr_storage address;
   struct sockaddr_storage target;
   int address_size;
   int target_size;
   enum relay_mode mode;
   int64_t delay_ms;
-  struct relay_link *link; /* or null */
-  bool link_at_target;     /* the link's host is the target */
+  struct relay_link *link; /* or NULL */
+  bool link_at_target;     /* the link belongs to the target */
   uint64_t connections;
   uint64_t bytes;
   LIST_HEAD (pairs, pair) pairs;
@@ -84,8 +84,8 @@
   return marjoram_clock_now (marjoram_clock_system ());
 }
 
-/* Whether connections to the target are refused now, as its process is gone.
-   The answer comes at once on a loopback address.  */
+/* Returns whether the target refuses connections. On a loopback address,
+   connect returns immediately.  */
 static bool
 target_refuses (const struct relay *relay)
 {
@@ -113,25 +113,25 @@
 }
 
 static void
-watch_later (struct relay *relay)
+schedule_watch (struct relay *relay)
 {
   event_add (relay->watch, &(struct timeval){ 0, WATCH_MS * 1000L });
 }
 
-/* A dead process's machine refuses connections; a relay that went on taking
-   them would hide the death.  It is looked for before the end of a connection
-   is passed on, so that whoever learns of the end finds the refusal.  */
+/* Stops listening when the target process is dead, so that the relay does not
+   hide it. Checked before end of file is forwarded, so that a client that
+   reconnects at once is refused.  */
 static void
-look_at_target (struct relay *relay)
+check_target (struct relay *relay)
 {
   if (relay->mode != RELAY_PASS || !relay->listener || !target_refuses (relay))
     return;
   stop_listening (relay);
-  watch_later (relay);
+  schedule_watch (relay);
 }
 
 static void
-look_again (evutil_socket_t fd, short what, void *context)
+on_watch_timer (evutil_socket_t fd, short what, void *context)
 {
   struct relay *relay = context;
 
@@ -141,7 +141,7 @@
     return;
   if ((relay->mode == RELAY_PASS && target_refuses (relay))
       || !start_listening (relay))
-    watch_later (relay);
+    schedule_watch (relay);
 }
 
 static void
@@ -164,28 +164,28 @@
 }
 
 static struct side *
-other (struct side *side)
+opposite_side (struct side *side)
 {
   struct pair *pair = side->pair;
 
   return side == &pair->side[0] ? &pair->side[1] : &pair->side[0];
 }
 
-/* Closes both sides once what was said is written.  */
+/* Closes both sides once pending output is written.  */
 static void
-finish (struct side *to)
+close_after_flush (struct side *to)
 {
   struct evbuffer *output = bufferevent_get_output (to->stream);
 
   to->pair->closing = true;
   bufferevent_disable (to->stream, EV_READ);
-  bufferevent_disable (other (to)->stream, EV_READ | EV_WRITE);
+  bufferevent_disable (opposite_side (to)->stream, EV_READ | EV_WRITE);
   if (!evbuffer_get_length (output))
     pair_destroy (to->pair);
 }
 
 static void
-arm (struct pair *pair)
+schedule_delivery (struct pair *pair)
 {
   struct parcel *first = STAILQ_FIRST (&pair->parcels);
   int64_t wait;
@@ -200,7 +200,7 @@
 }
 
 static void
-deliver (evutil_socket_t fd, short what, void *context)
+deliver_due_parcels (evutil_socket_t fd, short what, void *context)
 {
   struct pair *pair = context;
   struct parcel *parcel;
@@ -218,18 +218,18 @@
       free (parcel);
       if (!bytes)
         {
-          finish (to);
+          close_after_flush (to);
           return;
         }
       bufferevent_write_buffer (to->stream, bytes);
       evbuffer_free (bytes);
     }
-  arm (pair);
+  schedule_delivery (pair);
 }
 
-/* When SIZE bytes that go TO a side now are through the link, if any.  */
+/* Returns when SIZE bytes sent to TO now have passed the link, if any.  */
 static int64_t
-through_ms (const struct side *to, size_t size)
+link_delivery_ms (const struct side *to, size_t size)
 {
   const struct relay *relay = to->pair->relay;
   struct relay_link *link = relay->link;
@@ -246,8 +246,8 @@
   return *free_us / USEC_PER_MS;
 }
 
-/* In the order of sending in each direction, by the time between the two: a
-   slow direction doesn't hold the other back.  */
+/* Inserts PARCEL by delivery time. Order is kept within a direction; a slow
+   direction does not delay the other.  */
 static void
 enqueue (struct pair *pair, struct parcel *parcel)
 {
@@ -265,15 +265,15 @@
     STAILQ_INSERT_HEAD (&pair->parcels, parcel, entries);
 }
 
-/* Takes all of FROM's input, or its end, on its way to the other side.  */
+/* Queues all input of FROM, or its end of file, for the other side.  */
 static void
-take (struct side *from, bool end)
+forward_input (struct side *from, bool end)
 {
   struct pair *pair = from->pair;
   struct parcel *parcel = marjoram_alloc (sizeof *parcel);
   size_t size = 0;
 
-  *parcel = (struct parcel){ .to = other (from) };
+  *parcel = (struct parcel){ .to = opposite_side (from) };
   if (!end)
     {
       parcel->bytes = evbuffer_new ();
@@ -282,25 +282,25 @@
       size = evbuffer_get_length (parcel->bytes);
       pair->relay->bytes += size;
     }
-  parcel->due = through_ms (parcel->to, size) + pair->relay->delay_ms;
+  parcel->due = link_delivery_ms (parcel->to, size) + pair->relay->delay_ms;
   enqueue (pair, parcel);
   if (parcel->due <= now_ms () && STAILQ_FIRST (&pair->parcels) == parcel)
-    deliver (-1, 0, pair);
+    deliver_due_parcels (-1, 0, pair);
   else
-    arm (pair);
+    schedule_delivery (pair);
 }
 
 static void
-readable (struct bufferevent *stream, void *context)
+on_read (struct bufferevent *stream, void *context)
 {
   struct side *side = context;
 
   (void)stream;
-  take (side, false);
+  forward_input (side, false);
 }
 
 static void
-written (struct bufferevent *stream, void *context)
+on_write (struct bufferevent *stream, void *context)
 {
   struct side *side = context;
 
@@ -310,7 +310,7 @@
 }
 
 static void
-ended (struct bufferevent *stream, short what, void *context)
+on_event (struct bufferevent *stream, short what, void *context)
 {
   struct side *side = context;
 
@@ -318,11 +318,11 @@
   if (what & BEV_EVENT_CONNECTED)
     return;
   if (side == &side->pair->side[1])
-    look_at_target (side->pair->relay);
+    check_target (side->pair->relay);
   if (side->pair->closing || (what & BEV_EVENT_ERROR))
     pair_destroy (side->pair);
   else
-    take (side, true);
+    forward_input (side, true);
 }
 
 static void
@@ -338,8 +338,8 @@
 }
 
 static void
-accepted (struct evconnlistener *listener, evutil_socket_t fd,
-          struct sockaddr *address, int size, void *context)
+on_accept (struct evconnlistener *listener, evutil_socket_t fd,
+           struct sockaddr *address, int size, void *context)
 {
   struct relay *relay = context;
   struct pair *pair = marjoram_alloc (sizeof *pair);
@@ -350,14 +350,14 @@
   (void)size;
   *pair = (struct pair){ .relay = relay };
   STAILQ_INIT (&pair->parcels);
-  pair->timer = event_new (relay->base, -1, 0, deliver, pair);
+  pair->timer = event_new (relay->base, -1, 0, deliver_due_parcels, pair);
   for (int i = 0; i < 2; i++)
     {
       pair->side[i].pair = pair;
       pair->side[i].stream = bufferevent_socket_new (
           relay->base, fds[i],
           BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-      bufferevent_setcb (pair->side[i].stream, readable, written, ended,
+      bufferevent_setcb (pair->side[i].stream, on_read, on_write, on_event,
                          &pair->side[i]);
     }
   LIST_INSERT_HEAD (&relay->pairs, pair, entries);
@@ -371,7 +371,7 @@
 {
   if (!relay->listener)
     relay->listener = evconnlistener_new_bind (
-        relay->base, accepted, relay,
+        relay->base, on_accept, relay,
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
         BACKLOG, (struct sockaddr *)&relay->address, relay->address_size);
   return relay->listener;
@@ -385,7 +385,7 @@
   *relay = (struct relay){ .base = base,
                            .address_size = sizeof relay->address,
                            .target_size = sizeof relay->target };
-  relay->watch = event_new (base, -1, 0, look_again, relay);
+  relay->watch = event_new (base, -1, 0, on_watch_timer, relay);
   LIST_INIT (&relay->pairs);
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&relay->address,
                                   &relay->address_size)
@@ -401,7 +401,7 @@
 }
 
 static void
-each_pair (struct relay *relay, void (*change) (struct pair *))
+for_each_pair (struct relay *relay, void (*change) (struct pair *))
 {
   struct pair *pair;
   struct pair *next;
@@ -414,7 +414,7 @@
 }
 
 static void
-hold (struct pair *pair)
+pause_reading (struct pair *pair)
 {
   if (pair->closing)
     return;
@@ -423,16 +423,16 @@
 }
 
 static void
-silence (struct pair *pair)
+silence_pair (struct pair *pair)
 {
   pair->silent = true;
-  hold (pair);
+  pause_reading (pair);
   bufferevent_disable (pair->side[0].stream, EV_WRITE);
   bufferevent_disable (pair->side[1].stream, EV_WRITE);
 }
 
 static void
-let_go (struct pair *pair)
+resume_pair (struct pair *pair)
 {
   if (pair->silent || pair->stalled || pair->closing)
     return;
@@ -443,7 +443,7 @@
     }
   bufferevent_enable (pair->side[0].stream, EV_READ);
   bufferevent_enable (pair->side[1].stream, EV_READ);
-  arm (pair);
+  schedule_delivery (pair);
 }
 
 void
@@ -451,7 +451,7 @@
 {
   if (!relay)
     return;
-  each_pair (relay, pair_destroy);
+  for_each_pair (relay, pair_destroy);
   stop_listening (relay);
   event_free (relay->watch);
   free (relay);
@@ -466,9 +466,9 @@
       stop_listening (relay);
       return;
     }
-  each_pair (relay, mode == RELAY_HOLD ? hold : let_go);
+  for_each_pair (relay, mode == RELAY_HOLD ? pause_reading : resume_pair);
   if (!start_listening (relay))
-    watch_later (relay);
+    schedule_watch (relay);
 }
 
 void
@@ -502,39 +502,39 @@
 void
 relay_silence (struct relay *relay)
 {
-  each_pair (relay, silence);
+  for_each_pair (relay, silence_pair);
 }
 
 static void
-stall (struct pair *pair)
+stall_pair (struct pair *pair)
 {
   pair->stalled = true;
-  hold (pair);
+  pause_reading (pair);
 }
 
 static void
-release (struct pair *pair)
+release_pair (struct pair *pair)
 {
   pair->stalled = false;
-  let_go (pair);
+  resume_pair (pair);
 }
 
 void
 relay_stall (struct relay *relay)
 {
-  each_pair (relay, stall);
+  for_each_pair (relay, stall_pair);
 }
 
 void
 relay_release (struct relay *relay)
 {
-  each_pair (relay, release);
+  for_each_pair (relay, release_pair);
 }
 
 void
 relay_drop (struct relay *relay)
 {
-  each_pair (relay, pair_destroy);
+  for_each_pair (relay, pair_destroy);
 }
 
 uint64_t
--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -1,6 +1,5 @@
-/* Carries TCP connections for the demonstration: each argument is
-   LISTEN=TARGET, both IP:port.  SIGUSR1 cuts all of them, as a network
-   partition does, and SIGUSR2 lets them through again.  */
+/* TCP relay for demo.sh. Each argument is LISTEN=TARGET, both IP:port.
+   SIGUSR1 simulates a network partition on all relays, SIGUSR2 ends it.  */
 #include "lib_relay.h"
 
 #include <event2/event.h>
@@ -20,7 +19,7 @@
 static int relay_count;
 
 static bool
-add (struct event_base *base, const char *pair)
+add_relay (struct event_base *base, const char *pair)
 {
   char listen[ADDRESS_SIZE];
   const char *sign = strchr (pair, '=');
@@ -33,7 +32,7 @@
 }
 
 static void
-change (evutil_socket_t number, short what, void *context)
+on_mode_signal (evutil_socket_t number, short what, void *context)
 {
   (void)what;
   (void)context;
@@ -42,7 +41,7 @@
 }
 
 static void
-stop (evutil_socket_t number, short what, void *base)
+on_sigterm (evutil_socket_t number, short what, void *base)
 {
   (void)number;
   (void)what;
@@ -56,15 +55,15 @@
 
   signal (SIGPIPE, SIG_IGN);
   for (int i = 1; i < argc; i++)
-    if (!add (base, argv[i]))
+    if (!add_relay (base, argv[i]))
       {
         fprintf (stderr, "tool_relay: can't relay %s\n", argv[i]);
         return EXIT_FAILURE;
       }
-  event_add (evsignal_new (base, SIGUSR1, change, NULL), NULL);
-  event_add (evsignal_new (base, SIGUSR2, change, NULL), NULL);
-  event_add (evsignal_new (base, SIGTERM, stop, base), NULL);
+  event_add (evsignal_new (base, SIGUSR1, on_mode_signal, NULL), NULL);
+  event_add (evsignal_new (base, SIGUSR2, on_mode_signal, NULL), NULL);
+  event_add (evsignal_new (base, SIGTERM, on_sigterm, base), NULL);
   event_base_dispatch (base);
   fflush (NULL);
-  _exit (EXIT_SUCCESS); /* frees all at once */
+  _exit (EXIT_SUCCESS); /* skips cleanup */
 }
