--- a/test/fake_engine.c
+++ b/test/fake_engine.c
@@ -1,8 +1,7 @@
-/* Stands in for a model engine or, with --service, for a plain service.  It
-   batches continuously, answers what lib_answer.h says, keeps a small prefix
-   cache, can be asked for an answer again, and writes a line for each start
-   and end of a run, so that a test can count them.  Faults are switched on by
-   --fault or by POST /fake/fault.  */
+/* Fake model engine or, with --service, fake plain service. Implements
+   continuous batching, a prefix cache and resumption of answers, and logs the
+   start and end of each run to a history file. Responses are defined in
+   lib_answer.h. Faults are injected with --fault or POST /fake/fault.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "lib_engine.h"
@@ -94,11 +93,11 @@
 
   snprintf (run->id, NAME_SIZE, "%s", header (request, "Marjoram-Request"));
   snprintf (run->key, NAME_SIZE, "%s", header (request, "Idempotency-Key"));
-  stand_in_digest (run->digest, method_of (request),
-                   evhttp_request_get_uri (request), text, strlen (text));
+  fake_digest (run->digest, method_of (request),
+               evhttp_request_get_uri (request), text, strlen (text));
   run->priority = atoi (header (request, "Marjoram-Priority"));
   run->tokens = json_is_integer (tokens) ? (int)json_integer_value (tokens)
-                                         : STAND_IN_TOKENS;
+                                         : FAKE_DEFAULT_TOKENS;
   run->stream = json_is_true (json_object_get (body, "stream"));
   if (engine->options.service)
     {
@@ -109,7 +108,7 @@
   else if (!engine_cache_use (engine, prompt_of (body)))
     run->prefill_us = (int64_t)(strlen (text) / BYTES_PER_TOKEN)
                       * engine->options.prefill_us;
-  run->answer = stand_in_answer (run->digest, run->tokens, run->stream);
+  run->answer = fake_answer (run->digest, run->tokens, run->stream);
   run->size = strlen (run->answer);
   json_decref (body);
 }
@@ -121,7 +120,7 @@
 }
 
 static void
-work (struct evhttp_request *request, void *context)
+handle_work (struct evhttp_request *request, void *context)
 {
   struct engine *engine = context;
   marjoram_auto_free char *text = body_text (request);
@@ -145,7 +144,8 @@
   engine_add (run, request);
 }
 
-/* GET /v1/requests/ID: the rest of an answer, never a second run.  */
+/* GET /v1/requests/ID: resumes an answer at an offset without running the
+   request again.  */
 static void
 resume (struct engine *engine, struct evhttp_request *request, const char *id)
 {
@@ -175,7 +175,7 @@
 }
 
 static void
-end_loading (evutil_socket_t fd, short what, void *context)
+on_load_timer (evutil_socket_t fd, short what, void *context)
 {
   struct engine *engine = context;
   size_t used = strlen (engine->loaded);
@@ -187,10 +187,10 @@
   engine_record (engine, "loaded", engine->loading, "", "", 0);
 }
 
-/* The weight store stands behind the engine: while it is busy, so is the
-   engine.  */
+/* Starts loading a model, or returns 429 while the simulated weight store is
+   busy.  */
 static int
-begin_loading (struct engine *engine, struct evhttp_request *request,
+start_loading (struct engine *engine, struct evhttp_request *request,
                const char *model)
 {
   struct timeval time = marjoram_clock_timeval (engine->options.load_ms);
@@ -204,13 +204,13 @@
     }
   snprintf (engine->loading, sizeof engine->loading, "%s", model);
   if (!engine->load_end)
-    engine->load_end = evtimer_new (engine->base, end_loading, engine);
+    engine->load_end = evtimer_new (engine->base, on_load_timer, engine);
   evtimer_add (engine->load_end, &time);
   return HTTP_OK;
 }
 
 static void
-order (struct engine *engine, struct evhttp_request *request)
+handle_order (struct engine *engine, struct evhttp_request *request)
 {
   int status = HTTP_OK;
 
@@ -229,14 +229,14 @@
   if (old && engine->options.fences)
     status = 409;
   else if (word && model && strcmp (word, "load") == 0)
-    status = begin_loading (engine, request, model);
+    status = start_loading (engine, request, model);
   json_decref (body);
   evhttp_send_reply (request, status, NULL, NULL);
 }
 
 /* POST /fake/fault {"fault": NAME, "count": N, "match": TEXT}.  */
 static void
-change_fault (struct engine *engine, struct evhttp_request *request)
+handle_fault (struct engine *engine, struct evhttp_request *request)
 {
   marjoram_auto_free char *text = body_text (request);
   json_t *body = json_loads (text, 0, NULL);
@@ -250,10 +250,10 @@
   evhttp_send_reply (request, HTTP_OK, NULL, NULL);
 }
 
-/* POST /fake/leave: says that it leaves, and still takes what comes, so that
-   new work shows.  */
+/* POST /fake/leave: announces leaving but keeps accepting requests, so that a
+   test can detect requests routed to it afterwards.  */
 static void
-leave (struct engine *engine, struct evhttp_request *request)
+handle_leave (struct engine *engine, struct evhttp_request *request)
 {
   announcer_leave (engine->announcer);
   engine_record (engine, "leave", "", "", "", 0);
@@ -261,7 +261,7 @@
 }
 
 static void
-handle (struct evhttp_request *request, void *context)
+on_http_request (struct evhttp_request *request, void *context)
 {
   static const char requests[] = "/v1/requests/";
   struct engine *engine = context;
@@ -270,19 +270,19 @@
   if (strcmp (uri, "/healthz") == 0)
     evhttp_send_reply (request, HTTP_OK, NULL, NULL);
   else if (strcmp (uri, "/fake/fault") == 0)
-    change_fault (engine, request);
+    handle_fault (engine, request);
   else if (strcmp (uri, "/fake/leave") == 0)
-    leave (engine, request);
+    handle_leave (engine, request);
   else if (!engine->options.service && strcmp (uri, "/v1/orders") == 0)
-    order (engine, request);
+    handle_order (engine, request);
   else if (!engine->options.service
            && strncmp (uri, requests, sizeof requests - 1) == 0)
     resume (engine, request, uri + sizeof requests - 1);
   else
-    work (request, engine);
+    handle_work (request, engine);
 }
 
-/* Announcing.  */
+/* Announcements.  */
 
 static void
 append_names (json_t *array, const char *names)
@@ -323,7 +323,7 @@
 }
 
 static void
-look_at_load (evutil_socket_t fd, short what, void *context)
+sample_load (evutil_socket_t fd, short what, void *context)
 {
   struct engine *engine = context;
 
@@ -334,7 +334,7 @@
 }
 
 static void
-stop (evutil_socket_t fd, short what, void *context)
+on_sigterm (evutil_socket_t fd, short what, void *context)
 {
   struct engine *engine = context;
 
@@ -347,7 +347,7 @@
 }
 
 static struct event *
-every (struct engine *engine, int ms, event_callback_fn callback)
+add_periodic_timer (struct engine *engine, int ms, event_callback_fn callback)
 {
   struct event *event
       = event_new (engine->base, -1, EV_PERSIST, callback, engine);
@@ -371,17 +371,18 @@
   event_config_free (config);
   engine->http = evhttp_new (engine->base);
   evhttp_set_max_body_size (engine->http, MAX_BODY);
-  evhttp_set_gencb (engine->http, handle, engine);
+  evhttp_set_gencb (engine->http, on_http_request, engine);
   *colon = 0;
   if (evhttp_bind_socket (engine->http, address,
                           (uint16_t)strtoul (colon + 1, NULL, 10)))
     return false;
   engine->announcer = announcer_create (engine->base, options->entries,
                                         options->lease_ms, describe, engine);
-  engine->step = every (engine, options->token_ms, engine_step);
-  engine->lag = every (engine, options->lag_ms, look_at_load);
-  engine->cache_event = every (engine, options->cache_ms, engine_cache_tell);
-  event_add (evsignal_new (engine->base, SIGTERM, stop, engine), NULL);
+  engine->step = add_periodic_timer (engine, options->token_ms, engine_step);
+  engine->lag = add_periodic_timer (engine, options->lag_ms, sample_load);
+  engine->cache_event
+      = add_periodic_timer (engine, options->cache_ms, engine_report_cache);
+  event_add (evsignal_new (engine->base, SIGTERM, on_sigterm, engine), NULL);
   return true;
 }
 
@@ -393,59 +394,59 @@
   OPTION_FLAG
 };
 
-struct option_place
+struct option_spec
 {
   const char *name;
   enum option_kind kind;
   size_t offset;
 };
 
-#define PLACE(name, kind, member)                                             \
+#define OPTION_SPEC(name, kind, member)                                       \
   {                                                                           \
     name, kind, offsetof (struct options, member)                             \
   }
 
-static const struct option_place places[]
-    = { PLACE ("name", OPTION_TEXT, name),
-        PLACE ("zone", OPTION_TEXT, zone),
-        PLACE ("listen", OPTION_TEXT, listen),
-        PLACE ("address", OPTION_TEXT, address),
-        PLACE ("entry", OPTION_TEXT, entries),
-        PLACE ("works", OPTION_TEXT, works),
-        PLACE ("history", OPTION_TEXT, history),
-        PLACE ("crash-on", OPTION_TEXT, crash_on),
-        PLACE ("fault", OPTION_TEXT, fault),
-        PLACE ("service", OPTION_FLAG, service),
-        PLACE ("fences", OPTION_YES, fences),
-        PLACE ("resume", OPTION_YES, resume),
-        PLACE ("slots", OPTION_NUMBER, slots),
-        PLACE ("lease-ms", OPTION_NUMBER, lease_ms),
-        PLACE ("token-ms", OPTION_NUMBER, token_ms),
-        PLACE ("prefill-us", OPTION_NUMBER, prefill_us),
-        PLACE ("work-ms", OPTION_NUMBER, work_ms),
-        PLACE ("linger-ms", OPTION_NUMBER, linger_ms),
-        PLACE ("lag-ms", OPTION_NUMBER, lag_ms),
-        PLACE ("cache", OPTION_NUMBER, cache_size),
-        PLACE ("cache-ms", OPTION_NUMBER, cache_ms),
-        PLACE ("cache-gap", OPTION_NUMBER, cache_gap),
-        PLACE ("loadable", OPTION_TEXT, loadable),
-        PLACE ("load-ms", OPTION_NUMBER, load_ms),
-        PLACE ("store-busy", OPTION_NUMBER, store_busy) };
+static const struct option_spec option_specs[]
+    = { OPTION_SPEC ("name", OPTION_TEXT, name),
+        OPTION_SPEC ("zone", OPTION_TEXT, zone),
+        OPTION_SPEC ("listen", OPTION_TEXT, listen),
+        OPTION_SPEC ("address", OPTION_TEXT, address),
+        OPTION_SPEC ("entry", OPTION_TEXT, entries),
+        OPTION_SPEC ("works", OPTION_TEXT, works),
+        OPTION_SPEC ("history", OPTION_TEXT, history),
+        OPTION_SPEC ("crash-on", OPTION_TEXT, crash_on),
+        OPTION_SPEC ("fault", OPTION_TEXT, fault),
+        OPTION_SPEC ("service", OPTION_FLAG, service),
+        OPTION_SPEC ("fences", OPTION_YES, fences),
+        OPTION_SPEC ("resume", OPTION_YES, resume),
+        OPTION_SPEC ("slots", OPTION_NUMBER, slots),
+        OPTION_SPEC ("lease-ms", OPTION_NUMBER, lease_ms),
+        OPTION_SPEC ("token-ms", OPTION_NUMBER, token_ms),
+        OPTION_SPEC ("prefill-us", OPTION_NUMBER, prefill_us),
+        OPTION_SPEC ("work-ms", OPTION_NUMBER, work_ms),
+        OPTION_SPEC ("linger-ms", OPTION_NUMBER, linger_ms),
+        OPTION_SPEC ("lag-ms", OPTION_NUMBER, lag_ms),
+        OPTION_SPEC ("cache", OPTION_NUMBER, cache_size),
+        OPTION_SPEC ("cache-ms", OPTION_NUMBER, cache_ms),
+        OPTION_SPEC ("cache-gap", OPTION_NUMBER, cache_gap),
+        OPTION_SPEC ("loadable", OPTION_TEXT, loadable),
+        OPTION_SPEC ("load-ms", OPTION_NUMBER, load_ms),
+        OPTION_SPEC ("store-busy", OPTION_NUMBER, store_busy) };
 
 enum
 {
-  PLACE_COUNT = sizeof places / sizeof places[0]
+  OPTION_COUNT = sizeof option_specs / sizeof option_specs[0]
 };
 
 static void
-take (struct options *options, const struct option_place *place,
-      const char *value)
+set_option (struct options *options, const struct option_spec *spec,
+            const char *value)
 {
-  char *member = (char *)options + place->offset;
+  char *member = (char *)options + spec->offset;
 
-  if (place->kind == OPTION_TEXT)
+  if (spec->kind == OPTION_TEXT)
     *(const char **)member = value;
-  else if (place->kind == OPTION_NUMBER)
+  else if (spec->kind == OPTION_NUMBER)
     *(int *)member = (int)strtol (value, NULL, 10);
   else
     *(bool *)member = !value || strcmp (value, "yes") == 0;
@@ -454,18 +455,19 @@
 static bool
 read_options (struct options *options, int argc, char **argv)
 {
-  struct option table[PLACE_COUNT + 1] = { { 0 } };
+  struct option table[OPTION_COUNT + 1] = { { 0 } };
   int index;
   int option;
 
-  for (int i = 0; i < PLACE_COUNT; i++)
-    table[i] = (struct option){
-      places[i].name,
-      places[i].kind == OPTION_FLAG ? no_argument : required_argument, NULL, 0
-    };
+  for (int i = 0; i < OPTION_COUNT; i++)
+    table[i] = (struct option){ option_specs[i].name,
+                                option_specs[i].kind == OPTION_FLAG
+                                    ? no_argument
+                                    : required_argument,
+                                NULL, 0 };
   while ((option = getopt_long (argc, argv, "", table, &index)) != -1)
     if (option == 0)
-      take (options, &places[index], optarg);
+      set_option (options, &option_specs[index], optarg);
     else
       return false;
   if (!options->address)
@@ -515,5 +517,5 @@
     }
   event_base_dispatch (engine.base);
   fflush (NULL);
-  _exit (EXIT_SUCCESS); /* frees all at once */
+  _exit (EXIT_SUCCESS); /* skips cleanup */
 }
--- a/test/lib_answer.c
+++ b/test/lib_answer.c
@@ -9,16 +9,17 @@
 
 enum
 {
-  PIECE_SIZE = 18, /* sixteen hex digits, a space, the final NUL */
+  TOKEN_SIZE = 18, /* 16 hex digits, a space, the terminating NUL */
   EVENT_SIZE = 256,
-  STREAM_EPOCH = 1000000 /* keeps all events of a stream at one size */
+  STREAM_EPOCH
+  = 1000000 /* fixed number of digits, so all events have equal size */
 };
 
 static const char stream_end[] = "data: [DONE]\n\n";
 
 void
-stand_in_digest (char *digest, const char *method, const char *path,
-                 const void *body, size_t size)
+fake_digest (char *digest, const char *method, const char *path,
+             const void *body, size_t size)
 {
   XXH3_state_t *state = XXH3_createState ();
   XXH128_hash_t hash;
@@ -30,23 +31,23 @@
     XXH3_128bits_update (state, body, size);
   hash = XXH3_128bits_digest (state);
   XXH3_freeState (state);
-  snprintf (digest, STAND_IN_DIGEST_SIZE, "%016" PRIx64 "%016" PRIx64,
+  snprintf (digest, FAKE_DIGEST_SIZE, "%016" PRIx64 "%016" PRIx64,
             (uint64_t)hash.high64, (uint64_t)hash.low64);
 }
 
 static void
-piece (char *text, const char *digest, int index)
+format_token (char *text, const char *digest, int index)
 {
-  snprintf (text, PIECE_SIZE, "%016" PRIx64 " ",
+  snprintf (text, TOKEN_SIZE, "%016" PRIx64 " ",
             (uint64_t)XXH64 (digest, strlen (digest), (XXH64_hash_t)index));
 }
 
 static size_t
-event (char *text, const char *digest, int index)
+format_event (char *text, const char *digest, int index)
 {
-  char content[PIECE_SIZE];
+  char content[TOKEN_SIZE];
 
-  piece (content, digest, index);
+  format_token (content, digest, index);
   return (size_t)snprintf (text, EVENT_SIZE,
                            "data: {\"id\":\"%s\",\"created\":%d,\"choices\":"
                            "[{\"index\":0,\"delta\":{\"content\":\"%s\"}}]}"
@@ -55,22 +56,22 @@
 }
 
 size_t
-stand_in_stream_size (const char *digest, int count)
+fake_stream_size (const char *digest, int count)
 {
   char text[EVENT_SIZE];
 
-  return (size_t)count * event (text, digest, 0);
+  return (size_t)count * format_event (text, digest, 0);
 }
 
 static char *
 stream_answer (const char *digest, int tokens)
 {
-  size_t size = stand_in_stream_size (digest, tokens);
+  size_t size = fake_stream_size (digest, tokens);
   char *answer = marjoram_alloc (size + EVENT_SIZE);
   char *end = answer;
 
   for (int i = 0; i < tokens; i++)
-    end += event (end, digest, i);
+    end += format_event (end, digest, i);
   memcpy (end, stream_end, sizeof stream_end);
   return answer;
 }
@@ -78,7 +79,7 @@
 static char *
 whole_answer (const char *digest, int tokens)
 {
-  size_t size = (size_t)tokens * PIECE_SIZE + EVENT_SIZE;
+  size_t size = (size_t)tokens * TOKEN_SIZE + EVENT_SIZE;
   char *answer = marjoram_alloc (size);
   char *end = answer;
 
@@ -88,8 +89,8 @@
                    digest);
   for (int i = 0; i < tokens; i++)
     {
-      piece (end, digest, i);
-      end += PIECE_SIZE - 1;
+      format_token (end, digest, i);
+      end += TOKEN_SIZE - 1;
     }
   snprintf (end, size - (size_t)(end - answer),
             "\"}}],\"usage\":{\"completion_tokens\":%d}}", tokens);
@@ -97,7 +98,7 @@
 }
 
 char *
-stand_in_answer (const char *digest, int tokens, bool stream)
+fake_answer (const char *digest, int tokens, bool stream)
 {
   return stream ? stream_answer (digest, tokens)
                 : whole_answer (digest, tokens);
--- a/test/lib_answer.h
+++ b/test/lib_answer.h
@@ -1,6 +1,5 @@
-/* What stand-ins answer: a text worked out from the request alone, so that
-   whoever sent a request can tell its own whole answer from a part of it and
-   from another's.  */
+/* Response bodies of fake upstreams, derived from the request alone so that a
+   test can detect truncated or misrouted responses.  */
 #ifndef MARJORAM_TEST_ANSWER_H
 #define MARJORAM_TEST_ANSWER_H
 
@@ -9,19 +8,19 @@
 
 enum
 {
-  STAND_IN_DIGEST_SIZE = 33, /* with the final NUL */
-  STAND_IN_TOKENS = 16       /* where the request names no max_tokens */
+  FAKE_DIGEST_SIZE = 33,   /* including the terminating NUL */
+  FAKE_DEFAULT_TOKENS = 16 /* default when max_tokens is absent */
 };
 
-/* DIGEST gets the hex hash of method, path and body.  */
-void stand_in_digest (char *digest, const char *method, const char *path,
-                      const void *body, size_t size);
+/* Writes the hex hash of method, path and body to DIGEST.  */
+void fake_digest (char *digest, const char *method, const char *path,
+                  const void *body, size_t size);
 
-/* The whole answer, malloc'd: a JSON object, or, if STREAM, server-sent
-   events.  */
-char *stand_in_answer (const char *digest, int tokens, bool stream);
+/* Returns the complete response body, allocated with malloc: server-sent
+   events if STREAM, otherwise a JSON object.  */
+char *fake_answer (const char *digest, int tokens, bool stream);
 
-/* How many bytes of a streamed answer its first COUNT tokens take.  */
-size_t stand_in_stream_size (const char *digest, int count);
+/* Size in bytes of the first COUNT tokens of a streamed response.  */
+size_t fake_stream_size (const char *digest, int count);
 
 #endif
--- a/test/lib_engine.c
+++ b/test/lib_engine.c
@@ -54,7 +54,7 @@
                  run->produced);
 }
 
-/* Faults.  */
+/* Fault injection.  */
 
 void
 engine_set_fault (struct engine *engine, const char *name, int count,
@@ -81,10 +81,10 @@
   return engine->fault;
 }
 
-/* The prefix cache.  */
+/* Prefix cache.  */
 
 static void
-cache_drop (struct engine *engine, int index)
+cache_remove (struct engine *engine, int index)
 {
   memmove (engine->cache + index, engine->cache + index + 1,
            (size_t)(engine->cached - index - 1) * sizeof engine->cache[0]);
@@ -97,7 +97,6 @@
   return json_sprintf ("%016" PRIx64, hash);
 }
 
-/* Whether PROMPT's prefix was there; it is, and last used, afterwards.  */
 bool
 engine_cache_use (struct engine *engine, const char *prompt)
 {
@@ -111,7 +110,7 @@
     if (engine->cache[i] == hash)
       {
         found = true;
-        cache_drop (engine, i);
+        cache_remove (engine, i);
       }
   if (!found)
     json_array_append_new (engine->cache_added, hash_text (hash));
@@ -119,14 +118,14 @@
     {
       json_array_append_new (engine->cache_removed,
                              hash_text (engine->cache[0]));
-      cache_drop (engine, 0);
+      cache_remove (engine, 0);
     }
   engine->cache[engine->cached++] = hash;
   return found;
 }
 
 void
-engine_cache_tell (evutil_socket_t fd, short what, void *context)
+engine_report_cache (evutil_socket_t fd, short what, void *context)
 {
   struct engine *engine = context;
   json_t *body;
@@ -154,7 +153,7 @@
 /* Runs.  */
 
 static void
-detach (struct run *run)
+detach_reader (struct run *run)
 {
   struct evhttp_connection *connection;
 
@@ -168,7 +167,7 @@
 }
 
 static void
-reader_closed (struct evhttp_connection *connection, void *context)
+on_reader_close (struct evhttp_connection *connection, void *context)
 {
   struct run *run = context;
 
@@ -182,31 +181,31 @@
 engine_attach (struct run *run, struct evhttp_request *request, size_t offset,
                bool chunked)
 {
-  detach (run);
+  detach_reader (run);
   run->chunked = chunked;
   run->reader = request;
   run->offset = offset;
   run->gone_ms = 0;
   evhttp_connection_set_closecb (evhttp_request_get_connection (request),
-                                 reader_closed, run);
+                                 on_reader_close, run);
 }
 
-/* Forgets runs that ended long ago.  */
+/* Frees runs that ended more than KEEP_MS ago.  */
 static void
-expire (struct engine *engine, int64_t now)
+free_expired_runs (struct engine *engine, int64_t now)
 {
   struct run *run;
 
   while ((run = STAILQ_FIRST (&engine->kept)) && now - run->done_ms >= KEEP_MS)
     {
       STAILQ_REMOVE_HEAD (&engine->kept, kept);
-      detach (run);
+      detach_reader (run);
       free (run->answer);
       free (run);
     }
 }
 
-/* Ends the run's hold on a slot or a place in the queue.  */
+/* Releases the run's batch slot or queue entry.  */
 static void
 finish (struct run *run, enum run_state state)
 {
@@ -220,8 +219,8 @@
   STAILQ_INSERT_TAIL (&run->engine->kept, run, kept);
 }
 
-/* Sends HEAD and SIZE bytes of BODY around evhttp, which would frame them
-   properly, and closes the connection if CUT.  */
+/* Writes HEAD and SIZE bytes of BODY directly to the socket, bypassing the
+   framing of evhttp, and closes the connection if CUT.  */
 static void
 send_raw (struct run *run, const char *head, const char *body, size_t size,
           bool cut)
@@ -233,14 +232,14 @@
   if (send (fd, head, strlen (head), MSG_NOSIGNAL) < 0
       || send (fd, body, size, MSG_NOSIGNAL) < 0)
     perror ("send");
-  detach (run);
+  detach_reader (run);
   if (cut)
     evhttp_connection_free (connection);
 }
 
-/* Breaks the answer off, or garbles its framing, as the run's fault says.  */
+/* Sends a truncated or misframed response, according to the run's fault.  */
 static void
-answer_wrongly (struct run *run)
+send_broken_response (struct run *run)
 {
   size_t half = run->size / 2;
   char head[NAME_SIZE * 2];
@@ -279,7 +278,7 @@
 }
 
 static void
-answer_twice (struct run *run)
+send_response_twice (struct run *run)
 {
   char head[NAME_SIZE];
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (
@@ -307,7 +306,7 @@
     evhttp_send_reply_start (run->reader, HTTP_OK, NULL);
 }
 
-/* Passes on what the reader has not got yet.  */
+/* Sends the reader the part of the answer that it has not received yet.  */
 void
 engine_deliver (struct run *run)
 {
@@ -319,7 +318,7 @@
     return;
   if (run->fault == FAULT_DOUBLE && run->state == RUN_DONE)
     {
-      answer_twice (run);
+      send_response_twice (run);
       return;
     }
   if (!run->replied)
@@ -329,7 +328,7 @@
   run->offset = run->ready;
   if (!run->chunked)
     {
-      detach (run);
+      detach_reader (run);
       evhttp_send_reply (request, HTTP_OK, NULL, buffer);
     }
   else
@@ -338,7 +337,7 @@
         evhttp_send_reply_chunk (request, buffer);
       if (run->reader && run->state == RUN_DONE)
         {
-          detach (run);
+          detach_reader (run);
           evhttp_send_reply_end (request);
         }
     }
@@ -355,7 +354,7 @@
   finish (run, RUN_DONE);
 }
 
-/* One step of the batch for RUN.  */
+/* Advances RUN by one batch iteration.  */
 static void
 advance (struct run *run, int64_t step_us)
 {
@@ -377,20 +376,20 @@
   if (run->fault >= FAULT_CUT_LENGTH && run->fault <= FAULT_TWO_LENGTHS
       && 2 * run->produced >= run->tokens && run->reader)
     {
-      answer_wrongly (run);
+      send_broken_response (run);
       return;
     }
   if (run->produced >= run->tokens)
     complete (run);
   else if (run->stream)
-    run->ready = stand_in_stream_size (run->digest, run->produced);
+    run->ready = fake_stream_size (run->digest, run->produced);
   engine_deliver (run);
 }
 
-/* Whether the reader closed its side, which evhttp does not look for while a
-   request is held.  */
+/* Detects a connection closed by the reader. evhttp does not read from the
+   socket while a request is pending.  */
 static bool
-reader_left (struct run *run)
+reader_disconnected (struct run *run)
 {
   char byte;
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (
@@ -399,9 +398,9 @@
   return recv (fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-/* Lets go of what nobody wants any more.  */
+/* Cancels runs whose reader disconnected more than linger_ms ago.  */
 static void
-sweep (struct engine *engine, int64_t now)
+cancel_abandoned_runs (struct engine *engine, int64_t now)
 {
   struct run *run;
   struct run *next;
@@ -409,7 +408,7 @@
   for (run = TAILQ_FIRST (&engine->active); run; run = next)
     {
       next = TAILQ_NEXT (run, active);
-      if (run->reader && reader_left (run))
+      if (run->reader && reader_disconnected (run))
         evhttp_connection_free (evhttp_request_get_connection (run->reader));
       if (run->gone_ms && now - run->gone_ms >= engine->options.linger_ms)
         {
@@ -418,7 +417,7 @@
           finish (run, RUN_ENDED);
         }
     }
-  expire (engine, now);
+  free_expired_runs (engine, now);
 }
 
 static struct run *
@@ -472,7 +471,7 @@
 
   (void)fd;
   (void)what;
-  sweep (engine, now);
+  cancel_abandoned_runs (engine, now);
   if (now - engine->stepped_ms > LATE_MS)
     engine->stepped_ms = now - LATE_MS;
   for (; engine->stepped_ms < now;
--- a/test/lib_steady.c
+++ b/test/lib_steady.c
@@ -18,11 +18,11 @@
 struct caller
 {
   struct steady *steady;
-  struct bufferevent *bev; /* null once nobody listens */
+  struct bufferevent *bev; /* NULL once the host refuses connections */
   struct event *pause;
   marjoram_http_reader *reader;
   bool connected;
-  bool asked;
+  bool request_sent;
   bool whole;
 };
 
@@ -30,13 +30,13 @@
 {
   struct event_base *base;
   marjoram_random *random;
-  struct steady_terms terms;
+  struct steady_options options;
   struct steady_counts counts;
   struct caller *callers;
   int64_t requests;
 };
 
-/* ---- Reading an answer.  ---- */
+/* Response parsing.  */
 
 static bool
 on_head (void *context, bool *skip_body)
@@ -67,10 +67,10 @@
 static const struct marjoram_http_reader_ops reader_ops
     = { .head = on_head, .body = on_body, .complete = on_complete };
 
-/* ---- A caller's course.  ---- */
+/* Caller state machine.  */
 
 static void
-hang_up (struct caller *caller)
+close_connection (struct caller *caller)
 {
   if (caller->bev)
     bufferevent_free (caller->bev);
@@ -81,11 +81,11 @@
 }
 
 static void
-rest (struct caller *caller)
+start_pause (struct caller *caller)
 {
   struct steady *steady = caller->steady;
   struct timeval pause = marjoram_clock_timeval (marjoram_random_below (
-      steady->random, (uint32_t)steady->terms.pause_ms + 1));
+      steady->random, (uint32_t)steady->options.pause_ms + 1));
 
   event_add (caller->pause, &pause);
 }
@@ -98,33 +98,33 @@
 
   (void)fd;
   (void)what;
-  caller->asked = true;
-  evbuffer_add_printf (bufferevent_get_output (caller->bev),
-                       "%s%s: steady-%" PRId64 "\r\n\r\n", steady->terms.start,
-                       steady->terms.number, ++steady->requests);
+  caller->request_sent = true;
+  evbuffer_add_printf (
+      bufferevent_get_output (caller->bev), "%s%s: steady-%" PRId64 "\r\n\r\n",
+      steady->options.start, steady->options.number, ++steady->requests);
 }
 
-static void call_host (struct caller *caller);
+static void connect_to_host (struct caller *caller);
 
 static void
-on_answer (struct caller *caller)
+on_response (struct caller *caller)
 {
   struct steady_counts *counts = &caller->steady->counts;
   const struct http_parser *parser
       = marjoram_http_reader_parser (caller->reader);
 
-  caller->asked = caller->whole = false;
+  caller->request_sent = caller->whole = false;
   if (parser->status_code == STATUS_OK)
     counts->served++;
   else
     counts->refused++;
   if (http_should_keep_alive (parser))
     {
-      rest (caller);
+      start_pause (caller);
       return;
     }
-  hang_up (caller);
-  call_host (caller);
+  close_connection (caller);
+  connect_to_host (caller);
 }
 
 static void
@@ -134,7 +134,7 @@
 
   marjoram_http_reader_feed (caller->reader, bufferevent_get_input (bev));
   if (caller->whole)
-    on_answer (caller);
+    on_response (caller);
 }
 
 static void
@@ -147,67 +147,67 @@
   if (events & BEV_EVENT_CONNECTED)
     {
       caller->connected = true;
-      rest (caller);
+      start_pause (caller);
       return;
     }
-  hang_up (caller);
+  close_connection (caller);
   if (!caller->connected)
     {
       counts->away++;
       return;
     }
-  if (caller->asked)
+  if (caller->request_sent)
     counts->lost++;
   else
     counts->idle++;
-  call_host (caller);
+  connect_to_host (caller);
 }
 
 static void
-call_host (struct caller *caller)
+connect_to_host (struct caller *caller)
 {
   struct steady *steady = caller->steady;
   struct sockaddr_storage where;
   int size = sizeof where;
 
-  caller->connected = caller->asked = caller->whole = false;
+  caller->connected = caller->request_sent = caller->whole = false;
   caller->reader
       = marjoram_http_reader_create (HTTP_RESPONSE, &reader_ops, caller);
   caller->bev
       = bufferevent_socket_new (steady->base, -1, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb (caller->bev, on_read, NULL, on_event, caller);
   bufferevent_enable (caller->bev, EV_READ | EV_WRITE);
-  evutil_parse_sockaddr_port (steady->terms.address, (struct sockaddr *)&where,
-                              &size);
+  evutil_parse_sockaddr_port (steady->options.address,
+                              (struct sockaddr *)&where, &size);
   if (bufferevent_socket_connect (caller->bev, (struct sockaddr *)&where, size)
       != 0)
     bufferevent_trigger_event (caller->bev, BEV_EVENT_ERROR,
                                BEV_TRIG_DEFER_CALLBACKS);
 }
 
-/* ---- All of them.  ---- */
+/* Public interface.  */
 
 struct steady *
 steady_start (struct event_base *base, marjoram_random *random,
-              const struct steady_terms *terms)
+              const struct steady_options *options)
 {
   struct steady *steady = marjoram_alloc (sizeof *steady);
 
   steady->base = base;
   steady->random = random;
-  steady->terms = *terms;
-  steady->terms.address = marjoram_strdup (terms->address);
-  steady->terms.start = marjoram_strdup (terms->start);
-  steady->terms.number = marjoram_strdup (terms->number);
+  steady->options = *options;
+  steady->options.address = marjoram_strdup (options->address);
+  steady->options.start = marjoram_strdup (options->start);
+  steady->options.number = marjoram_strdup (options->number);
   steady->callers
-      = marjoram_alloc ((size_t)terms->callers * sizeof *steady->callers);
-  for (int i = 0; i < terms->callers; i++)
+      = marjoram_alloc ((size_t)options->callers * sizeof *steady->callers);
+  for (int i = 0; i < options->callers; i++)
     {
       struct caller *caller = &steady->callers[i];
 
       caller->steady = steady;
       caller->pause = event_new (base, -1, 0, on_pause_end, caller);
-      call_host (caller);
+      connect_to_host (caller);
     }
   return steady;
 }
@@ -215,15 +215,15 @@
 void
 steady_destroy (struct steady *steady)
 {
-  for (int i = 0; i < steady->terms.callers; i++)
+  for (int i = 0; i < steady->options.callers; i++)
     {
-      hang_up (&steady->callers[i]);
+      close_connection (&steady->callers[i]);
       event_free (steady->callers[i].pause);
     }
   free (steady->callers);
-  free ((char *)steady->terms.address);
-  free ((char *)steady->terms.start);
-  free ((char *)steady->terms.number);
+  free ((char *)steady->options.address);
+  free ((char *)steady->options.start);
+  free ((char *)steady->options.number);
   free (steady);
 }
 
--- a/test/lib_steady.h
+++ b/test/lib_steady.h
@@ -1,7 +1,6 @@
-/* Callers that keep connections open and send on them all the time, until
-   their host refuses connections: each sends a request after a short pause,
-   waits for the whole answer and goes on, on the same connection if it may.
-   Counts what became of the requests.  */
+/* Closed-loop load generator with persistent connections. Each caller sends a
+   request, waits for the response, pauses and repeats, until its host refuses
+   connections. Counts the outcomes.  */
 #ifndef MARJORAM_TEST_STEADY_H
 #define MARJORAM_TEST_STEADY_H
 
@@ -12,26 +11,26 @@
 
 struct steady;
 
-struct steady_terms
+struct steady_options
 {
   const char *address; /* IP:port */
-  const char *start;   /* of each request, up to its last header's end */
-  const char *number;  /* the header that gets the request's number */
+  const char *start;   /* request line and headers */
+  const char *number;  /* name of the header with the request number */
   int callers;
-  int64_t pause_ms; /* the longest before a request */
+  int64_t pause_ms; /* maximum pause before a request */
 };
 
 struct steady_counts
 {
-  int64_t served;  /* 200 */
-  int64_t refused; /* any other answer */
-  int64_t lost;    /* sent, and its connection ended without a whole answer */
-  int64_t idle;    /* connections that the host closed without a request */
-  int64_t away;    /* callers that found nobody listening any more */
+  int64_t served;  /* status 200 */
+  int64_t refused; /* any other status */
+  int64_t lost;    /* connection ended before the response was complete */
+  int64_t idle;    /* idle connections closed by the host */
+  int64_t away;    /* callers stopped by a refused connection */
 };
 
 struct steady *steady_start (struct event_base *base, marjoram_random *random,
-                             const struct steady_terms *terms);
+                             const struct steady_options *options);
 void steady_destroy (struct steady *steady);
 const struct steady_counts *steady_counts (const struct steady *steady);
 
--- a/test/tool_scenario.c
+++ b/test/tool_scenario.c
@@ -1,8 +1,7 @@
-/* Runs one scenario: a Lua script that starts our programs, stands between
-   them with relays, sends requests and looks at the answers.  This file gives
-   Lua the verbs that need the system; test/scenarios/prelude.lua builds the
-   verbs of the scenarios on them.  All that was started is ended by process
-   id at the end, whatever happened.  */
+/* Runs one scenario: a Lua script that starts programs connected through
+   relays, sends requests and checks the responses. This file provides the
+   system functions; test/scenarios/prelude.lua builds the scenario functions
+   on top of them. All started processes are killed on exit.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "lib_answer.h"
@@ -32,9 +31,9 @@
   ARGUMENTS_MAX = 64,
   HEADERS_MAX = 32,
   CALL_TIMEOUT_MS = 30000,
-  LIMIT_MS = 120000, /* without --limit SECONDS */
+  LIMIT_MS = 120000, /* default of --limit */
   MSEC_PER_SEC = 1000,
-  NETWORK = 20 /* relays and programs use 127.20.0.0/16 */
+  NETWORK = 20 /* relays and programs listen in 127.20.0.0/16 */
 };
 
 static struct event_base *base;
@@ -42,7 +41,7 @@
 static int64_t limit_ms;
 static int64_t allowed_ms = LIMIT_MS;
 static struct event *pause_end;
-static struct relay_link *slow_link; /* the one of this scenario, or null */
+static struct relay_link *slow_link; /* slow link of this scenario, or NULL */
 
 static int64_t
 now_ms (void)
@@ -52,7 +51,7 @@
 
 /* Processes.  */
 
-/* spawn (arguments, log): process id.  */
+/* spawn (arguments, log): returns the process ID.  */
 static int
 verb_spawn (lua_State *lua)
 {
@@ -107,7 +106,7 @@
   return 0;
 }
 
-/* ended (pid): exit status, or nil while it runs.  */
+/* ended (pid): returns the exit status, or nil while the process runs.  */
 static int
 verb_ended (lua_State *lua)
 {
@@ -122,7 +121,8 @@
 
 /* Relays.  */
 
-/* relay (address, target): relay, or nil if the address is taken.  */
+/* relay (address, target): returns a relay, or nil if the address is in
+   use.  */
 static int
 verb_relay (lua_State *lua)
 {
@@ -136,18 +136,19 @@
   return 1;
 }
 
-/* Puts RELAY on the scenario's one slow link.  */
+/* Attaches RELAY to the slow link, creating it on first use.  */
 static void
-slow_down (struct relay *relay, lua_Integer bytes_per_second, bool at_target)
+attach_to_slow_link (struct relay *relay, lua_Integer bytes_per_second,
+                     bool at_target)
 {
   if (!slow_link)
     slow_link = relay_link_create (bytes_per_second);
   relay_set_link (relay, slow_link, at_target);
 }
 
-/* relay_set (relay, word, milliseconds or bytes per second).  "rate" puts it
-   on the one slow link of the scenario, as a connection that the link's host
-   makes, "rate_in" as one that it takes; the first rate given holds.  */
+/* relay_set (relay, word, milliseconds or bytes per second). "rate" attaches
+   the relay to the slow link for outgoing connections of the link's host,
+   "rate_in" for incoming ones. The first call sets the rate.  */
 static int
 verb_relay_set (lua_State *lua)
 {
@@ -171,13 +172,13 @@
   else if (word == DELAY)
     relay_set_delay (changed, luaL_checkinteger (lua, 3));
   else if (word < CHANGES)
-    slow_down (changed, luaL_checkinteger (lua, 3), word == RATE_IN);
+    attach_to_slow_link (changed, luaL_checkinteger (lua, 3), word == RATE_IN);
   else
     changes[word - CHANGES](changed);
   return 0;
 }
 
-/* relay_counts (relay): connections ever made, bytes carried.  */
+/* relay_counts (relay): returns total connections and bytes forwarded.  */
 static int
 verb_relay_counts (lua_State *lua)
 {
@@ -195,7 +196,7 @@
 {
   const char *text;
 
-  lua_getfield (lua, 1, name); /* the table keeps it alive */
+  lua_getfield (lua, 1, name); /* still referenced by the table */
   text = lua_tolstring (lua, -1, size);
   lua_pop (lua, 1);
   return text;
@@ -215,8 +216,8 @@
   return count;
 }
 
-/* call {address, method, path, headers, body, timeout}: call; without a
-   method, BODY is sent as it is.  */
+/* call {address, method, path, headers, body, timeout}: returns a call.
+   Without a method, BODY is sent as raw bytes.  */
 static int
 verb_call (lua_State *lua)
 {
@@ -235,7 +236,7 @@
   return 1;
 }
 
-/* answer (call): nil while it is open; else whole, status, body.  */
+/* answer (call): returns nil while in progress, then whole, status, body.  */
 static int
 verb_answer (lua_State *lua)
 {
@@ -252,7 +253,7 @@
   return 3;
 }
 
-/* header (call, name).  */
+/* header (call, name): returns a response header or nil.  */
 static int
 verb_header (lua_State *lua)
 {
@@ -261,7 +262,7 @@
   return 1;
 }
 
-/* received (call): bytes of the body that have come so far.  */
+/* received (call): returns the number of body bytes received so far.  */
 static int
 verb_received (lua_State *lua)
 {
@@ -272,7 +273,7 @@
   return 1;
 }
 
-/* hang_up (call).  */
+/* hang_up (call): closes the connection.  */
 static int
 verb_hang_up (lua_State *lua)
 {
@@ -282,26 +283,27 @@
 
 /* Steady callers.  */
 
-/* steady {address, start, number, callers, pause}: the callers.  */
+/* steady {address, start, number, callers, pause}: starts and returns steady
+   callers.  */
 static int
 verb_steady (lua_State *lua)
 {
-  struct steady_terms terms = { 0 };
+  struct steady_options options = { 0 };
 
-  terms.address = text_field (lua, "address", NULL);
-  terms.start = text_field (lua, "start", NULL);
-  terms.number = text_field (lua, "number", NULL);
-  luaL_argcheck (lua, terms.address && terms.start && terms.number, 1,
+  options.address = text_field (lua, "address", NULL);
+  options.start = text_field (lua, "start", NULL);
+  options.number = text_field (lua, "number", NULL);
+  luaL_argcheck (lua, options.address && options.start && options.number, 1,
                  "no address, start or number");
   lua_getfield (lua, 1, "callers");
-  terms.callers = (int)luaL_checkinteger (lua, -1);
+  options.callers = (int)luaL_checkinteger (lua, -1);
   lua_getfield (lua, 1, "pause");
-  terms.pause_ms = luaL_checkinteger (lua, -1);
-  lua_pushlightuserdata (lua, steady_start (base, source, &terms));
+  options.pause_ms = luaL_checkinteger (lua, -1);
+  lua_pushlightuserdata (lua, steady_start (base, source, &options));
   return 1;
 }
 
-/* steady_counts (callers): a table.  */
+/* steady_counts (callers): returns a table of counts.  */
 static int
 verb_steady_counts (lua_State *lua)
 {
@@ -329,29 +331,30 @@
   return 0;
 }
 
-/* Texts.  */
+/* Digests, expected responses and JSON.  */
 
-/* digest (method, path, body): what a stand-in calls this request.  */
+/* digest (method, path, body): returns the digest that a fake upstream
+   computes for this request.  */
 static int
 verb_digest (lua_State *lua)
 {
-  char digest[STAND_IN_DIGEST_SIZE];
+  char digest[FAKE_DIGEST_SIZE];
   size_t size;
   const char *body = luaL_checklstring (lua, 3, &size);
 
-  stand_in_digest (digest, luaL_checkstring (lua, 1),
-                   luaL_checkstring (lua, 2), body, size);
+  fake_digest (digest, luaL_checkstring (lua, 1), luaL_checkstring (lua, 2),
+               body, size);
   lua_pushstring (lua, digest);
   return 1;
 }
 
-/* right_answer (digest, tokens, stream).  */
+/* right_answer (digest, tokens, stream): returns the expected body.  */
 static int
 verb_right_answer (lua_State *lua)
 {
-  marjoram_auto_free char *text = stand_in_answer (
-      luaL_checkstring (lua, 1), (int)luaL_checkinteger (lua, 2),
-      lua_toboolean (lua, 3));
+  marjoram_auto_free char *text
+      = fake_answer (luaL_checkstring (lua, 1),
+                     (int)luaL_checkinteger (lua, 2), lua_toboolean (lua, 3));
 
   lua_pushstring (lua, text);
   return 1;
@@ -396,7 +399,8 @@
     lua_pushnil (lua);
 }
 
-/* json (text): its value, nil if it is none.  */
+/* json (text): returns the parsed value, or nil if TEXT is not valid
+   JSON.  */
 static int
 verb_json (lua_State *lua)
 {
@@ -408,9 +412,9 @@
   return 1;
 }
 
-/* Time and chance.  */
+/* Time and randomness.  */
 
-/* now (): milliseconds.  */
+/* now (): returns the time in milliseconds.  */
 static int
 verb_now (lua_State *lua)
 {
@@ -419,14 +423,14 @@
 }
 
 static void
-nothing (evutil_socket_t fd, short what, void *context)
+ignore_timer (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
   (void)context;
 }
 
-/* turn (milliseconds): lets events happen, one round of them or that long.  */
+/* turn (milliseconds): runs the event loop once, or for the given time.  */
 static int
 verb_turn (lua_State *lua)
 {
@@ -441,7 +445,7 @@
   return 0;
 }
 
-/* random (n): 1 to n.  */
+/* random (n): returns an integer from 1 to n.  */
 static int
 verb_random (lua_State *lua)
 {
@@ -453,7 +457,7 @@
 
 /* Files.  */
 
-/* make_folder (path).  */
+/* make_folder (path): creates a directory.  */
 static int
 verb_make_folder (lua_State *lua)
 {
@@ -462,7 +466,7 @@
   return 0;
 }
 
-/* make_private (path): readable by its owner only.  */
+/* make_private (path): makes a file accessible to its owner only.  */
 static int
 verb_make_private (lua_State *lua)
 {
@@ -481,7 +485,7 @@
   return remove (path);
 }
 
-/* remove_all (path): a folder with all that is in it.  */
+/* remove_all (path): removes a directory recursively.  */
 static int
 verb_remove_all (lua_State *lua)
 {
@@ -521,7 +525,7 @@
   lua_setfield (lua, -2, name);
 }
 
-/* Puts the verbs and what the script has to know into the table "system".  */
+/* Fills the Lua table "system" with functions and parameters.  */
 static void
 open_system (lua_State *lua, const char *programs, const char *folder,
              uint64_t seed)
@@ -529,8 +533,8 @@
   char network[PATH_SIZE];
   int pid = (int)getpid ();
 
-  /* Each runner has an address of its own, so that any number of them can
-     use the same ports side by side.  */
+  /* Each runner uses its own loopback address, so that concurrent runs can
+     use the same ports.  */
   snprintf (network, sizeof network, "127.%d.%d.%d", NETWORK, pid / 250 % 250,
             1 + pid % 250);
   luaL_newlib (lua, verbs);
@@ -563,7 +567,8 @@
   return good;
 }
 
-/* Runs PATH between prelude.lua and ending.lua of the folder VERBS.  */
+/* Runs prelude.lua, PATH and ending.lua. The preludes are in
+   VERBS_FOLDER.  */
 static bool
 run_scenario (const char *path, const char *verbs_folder, const char *programs,
               const char *folder, uint64_t seed)
@@ -629,7 +634,7 @@
     }
   signal (SIGPIPE, SIG_IGN);
   base = event_base_new ();
-  pause_end = event_new (base, -1, 0, nothing, NULL);
+  pause_end = event_new (base, -1, 0, ignore_timer, NULL);
   source = marjoram_random_create (seed);
   limit_ms = now_ms () + allowed_ms;
   copy = marjoram_strdup (argv[optind]);
