--- a/test/fake_replica.c
+++ b/test/fake_replica.c
@@ -1,8 +1,8 @@
-/* Stands in for an upstream of the platform: heartbeats to a keeper, health,
-   plain answers and streams, and the faults that a path names.  Writes a line
-   for each run, so that a test can count them.  On SIGTERM it says that it
-   leaves, serves on until that was acknowledged and a while longer, and says
-   that it is gone.  */
+/* Fake platform upstream: sends heartbeats to a keeper, answers health
+   checks, plain requests and streams, and injects the fault named in the
+   request path. Logs each run. On SIGTERM it reports that it is draining,
+   keeps serving until SHUTDOWN_DELAY_MS after the acknowledgement, and
+   deregisters.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "http_server.h"
@@ -24,9 +24,9 @@
   BEAT_MS = 300,
   EVENT_MS = 20,
   EVENTS = 5,
-  LONG_EVENTS = 150, /* three seconds */
+  LONG_EVENTS = 150, /* 3 s of events */
   CALL_TIMEOUT_S = 1,
-  SERVE_ON_MS = 500, /* after a leave was acknowledged */
+  SHUTDOWN_DELAY_MS = 500, /* after draining was acknowledged */
   ADDRESS_MAX = 64,
   PATH_MAX_BYTES = 256,
   KEEPERS_MAX = 8,
@@ -41,11 +41,11 @@
   const char *id;
   const char *service;
   const char *zone;
-  const char *address; /* as it is announced */
+  const char *address; /* announced address */
   const char *listen;
   char *keepers[KEEPERS_MAX];
   int keeper_count;
-  int keeper; /* the one that is called next */
+  int keeper; /* index of the current keeper */
   int sequence;
   int64_t born;
   bool leaving;
@@ -54,19 +54,19 @@
   struct event *beat;
 };
 
-/* One stream that is under way.  */
+/* Event stream in progress.  */
 struct stream
 {
   struct replica *replica;
   uint64_t call;
   int next;
   int last;
-  bool cut; /* in the middle of its third event */
+  bool cut; /* cut the connection within the third event */
   struct event *timer;
 };
 
 static void
-note (struct replica *replica, const char *what, const char *id)
+log_event (struct replica *replica, const char *what, const char *id)
 {
   char line[256];
   int size = snprintf (line, sizeof line, "%s replica=%s id=%s\n", what,
@@ -76,10 +76,10 @@
     abort ();
 }
 
-/* ---- Heartbeats.  ---- */
+/* Heartbeats.  */
 
 static void
-on_answer (struct evhttp_request *answer, void *context)
+on_keeper_response (struct evhttp_request *answer, void *context)
 {
   struct replica *replica = context;
 
@@ -90,13 +90,14 @@
 }
 
 static void
-call_keeper (struct replica *replica, const char *what)
+post_to_keeper (struct replica *replica, const char *what)
 {
   char ip[ADDRESS_MAX];
   unsigned int port;
   char path[PATH_MAX_BYTES];
   struct evhttp_connection *connection;
-  struct evhttp_request *request = evhttp_request_new (on_answer, replica);
+  struct evhttp_request *request
+      = evhttp_request_new (on_keeper_response, replica);
 
   if (sscanf (replica->keepers[replica->keeper], "%63[^:]:%u", ip, &port) != 2)
     abort ();
@@ -118,7 +119,7 @@
 }
 
 static void
-on_gone (evutil_socket_t fd, short what, void *context)
+on_exit_timer (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
@@ -126,36 +127,38 @@
 }
 
 static void
-on_beat (evutil_socket_t fd, short what, void *context)
+on_heartbeat_timer (evutil_socket_t fd, short what, void *context)
 {
   struct replica *replica = context;
-  struct timeval wait = marjoram_clock_timeval (SERVE_ON_MS);
+  struct timeval wait = marjoram_clock_timeval (SHUTDOWN_DELAY_MS);
 
   (void)fd;
   (void)what;
   if (!replica->acknowledged)
     {
-      call_keeper (replica, "heartbeat");
+      post_to_keeper (replica, "heartbeat");
       return;
     }
-  note (replica, "acknowledged", NULL);
+  log_event (replica, "acknowledged", NULL);
   event_del (replica->beat);
-  call_keeper (replica, "deregister");
-  event_base_once (replica->base, -1, EV_TIMEOUT, on_gone, replica, &wait);
+  post_to_keeper (replica, "deregister");
+  event_base_once (replica->base, -1, EV_TIMEOUT, on_exit_timer, replica,
+                   &wait);
 }
 
 static void
-on_term (evutil_socket_t fd, short what, void *context)
+on_sigterm (evutil_socket_t fd, short what, void *context)
 {
   (void)fd;
   (void)what;
   ((struct replica *)context)->leaving = true;
 }
 
-/* ---- Requests.  ---- */
+/* Requests.  */
 
 static void
-add_head (struct marjoram_header_list *headers, const char *id, bool is_signed)
+add_response_headers (struct marjoram_header_list *headers, const char *id,
+                      bool is_signed)
 {
   marjoram_header_list_add (headers, "Marjoramproxy-Attempt-Id", id);
   if (is_signed)
@@ -168,7 +171,7 @@
 {
   struct marjoram_header_list headers = { 0 };
 
-  add_head (&headers, id, status != 503);
+  add_response_headers (&headers, id, status != 503);
   if (status == 503 || status == 421)
     marjoram_header_list_add (&headers, "Marjoramproxy-Not-Executed", "1");
   marjoram_http_server_head (replica->server, call, status, &headers,
@@ -218,7 +221,7 @@
   struct stream *stream = marjoram_alloc (sizeof *stream);
   struct timeval wait = marjoram_clock_timeval (EVENT_MS);
 
-  add_head (&headers, id, true);
+  add_response_headers (&headers, id, true);
   marjoram_header_list_add (&headers, "Content-Type", "text/event-stream");
   marjoram_http_server_head (replica->server, call, 200, &headers, -1);
   marjoram_header_list_clear (&headers);
@@ -232,33 +235,34 @@
 }
 
 static bool
-asks_for (const struct marjoram_http_request *request, const char *fault)
+target_contains (const struct marjoram_http_request *request,
+                 const char *fault)
 {
   return strstr (request->target, fault) != NULL;
 }
 
 static void
-run (struct replica *replica, uint64_t call,
-     const struct marjoram_http_request *request, const char *id)
+handle_request (struct replica *replica, uint64_t call,
+                const struct marjoram_http_request *request, const char *id)
 {
   const struct marjoram_header_list *headers = &request->headers;
 
-  note (replica, "run", id);
-  if (asks_for (request, "hang"))
+  log_event (replica, "run", id);
+  if (target_contains (request, "hang"))
     return;
-  if (asks_for (request, "crash"))
+  if (target_contains (request, "crash"))
     _exit (EXIT_FAILURE);
-  if (asks_for (request, "break"))
+  if (target_contains (request, "break"))
     marjoram_http_server_cut (replica->server, call);
-  else if (asks_for (request, "fail"))
+  else if (target_contains (request, "fail"))
     reply (replica, call, 500, id, "failed");
-  else if (asks_for (request, "stray"))
+  else if (target_contains (request, "stray"))
     reply (replica, call, 200, "another", "not yours");
-  else if (asks_for (request, "/stream/"))
+  else if (target_contains (request, "/stream/"))
     start_stream (replica, call, id,
                   marjoram_header_list_get (headers, "Last-Event-Id"),
-                  asks_for (request, "cut"),
-                  asks_for (request, "long") ? LONG_EVENTS : EVENTS);
+                  target_contains (request, "cut"),
+                  target_contains (request, "long") ? LONG_EVENTS : EVENTS);
   else
     reply (replica, call, 200, id, replica->id);
 }
@@ -280,32 +284,33 @@
   else if (target && strcmp (target, replica->id) != 0)
     reply (replica, call, 421, id, "");
   else if (marjoram_header_list_get (headers, "Marjoramproxy-Hold"))
-    note (replica, "smuggled", id);
-  else if (asks_for (request, "full"))
+    log_event (replica, "smuggled", id);
+  else if (target_contains (request, "full"))
     reply (replica, call, 503, id, "");
   else
-    run (replica, call, request, id);
+    handle_request (replica, call, request, id);
   marjoram_http_request_destroy (request);
 }
 
 static void
-on_left (void *context, uint64_t call)
+on_caller_disconnect (void *context, uint64_t call)
 {
   (void)call;
-  note (context, "caller-left", NULL);
+  log_event (context, "caller-left", NULL);
 }
 
 static void
 on_rejected (void *context, int status, const char *why)
 {
   (void)status;
-  note (context, "rejected", why);
+  log_event (context, "rejected", why);
 }
 
-static const struct marjoram_http_server_ops ops
-    = { .request = on_request, .gone = on_left, .rejected = on_rejected };
+static const struct marjoram_http_server_ops ops = {
+  .request = on_request, .gone = on_caller_disconnect, .rejected = on_rejected
+};
 
-/* ---- Start.  ---- */
+/* Startup.  */
 
 static void
 add_keepers (struct replica *replica, char *list)
@@ -390,11 +395,12 @@
       fprintf (stderr, "fake_replica: %s\n", err.message);
       return EXIT_FAILURE;
     }
-  replica.beat = event_new (replica.base, -1, EV_PERSIST, on_beat, &replica);
+  replica.beat
+      = event_new (replica.base, -1, EV_PERSIST, on_heartbeat_timer, &replica);
   event_add (replica.beat, &every);
-  event_add (evsignal_new (replica.base, SIGTERM, on_term, &replica), NULL);
-  note (&replica, "start", NULL);
+  event_add (evsignal_new (replica.base, SIGTERM, on_sigterm, &replica), NULL);
+  log_event (&replica, "start", NULL);
   event_base_dispatch (replica.base);
-  note (&replica, "stop", NULL);
+  log_event (&replica, "stop", NULL);
   return EXIT_SUCCESS;
 }
--- a/test/suite.c
+++ b/test/suite.c
@@ -1,4 +1,4 @@
-/* Runs the one suite of a test program.  */
+/* Runs the suite of a test program.  */
 #include "suite.h"
 
 #include <stdlib.h>
--- a/test/suite.h
+++ b/test/suite.h
@@ -1,10 +1,10 @@
-/* What each test program gives to the common runner.  */
+/* Interface between a test program and suite.c.  */
 #ifndef MARJORAM_TEST_SUITE_H
 #define MARJORAM_TEST_SUITE_H
 
 #include <check.h>
 
-/* The suite of this program's test file.  */
+/* Returns the test suite of this program.  */
 Suite *suite (void);
 
 #endif
--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -1,6 +1,6 @@
-/* Sends requests at a fixed mean rate, whether or not earlier ones are
-   answered (open loop), and prints one JSON line: how many were answered, how
-   they ended, and quantiles of the time from when each was due.  */
+/* Open-loop load generator. Sends requests at a fixed mean rate and prints
+   one line of JSON with counts by outcome and latency quantiles, measured
+   from the scheduled send time.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "random.h"
@@ -33,13 +33,13 @@
   char address[64];
   uint16_t port;
   char host[72];
-  SLIST_HEAD (idle_lines, line) idle;
+  SLIST_HEAD (idle_channels, channel) idle;
 };
 
-/* One connection, with one request on it at most.  */
-struct line
+/* A connection with at most one request in progress.  */
+struct channel
 {
-  SLIST_ENTRY (line) entries;
+  SLIST_ENTRY (channel) entries;
   struct target *target;
   struct evhttp_connection *connection;
   double due;
@@ -53,7 +53,7 @@
   struct target targets[TARGETS_MAX];
   int target_count;
   const char *path;
-  const char *body; /* each "#" becomes the request's number */
+  const char *body; /* each "#" is replaced by the request number */
   const char *token;
   const char *key_prefix;
   double rate;
@@ -62,11 +62,11 @@
   double next;
   int sent;
   int open;
-  int most_open;
+  int max_open;
   bool sending;
   double *samples;
   size_t sample_count;
-  size_t sample_room;
+  size_t sample_capacity;
   json_t *outcomes;
   int failed;
 };
@@ -83,13 +83,14 @@
 }
 
 static void
-keep_sample (double seconds)
+add_sample (double seconds)
 {
-  if (load.sample_count == load.sample_room)
+  if (load.sample_count == load.sample_capacity)
     {
-      load.sample_room = load.sample_room ? 2 * load.sample_room : TEXT_SIZE;
-      load.samples
-          = realloc (load.samples, load.sample_room * sizeof load.samples[0]);
+      load.sample_capacity
+          = load.sample_capacity ? 2 * load.sample_capacity : TEXT_SIZE;
+      load.samples = realloc (load.samples,
+                              load.sample_capacity * sizeof load.samples[0]);
       if (!load.samples)
         abort ();
     }
@@ -106,15 +107,15 @@
 }
 
 static void
-answered (struct evhttp_request *request, void *context)
+on_response (struct evhttp_request *request, void *context)
 {
-  struct line *line = context;
+  struct channel *channel = context;
   int status = request ? evhttp_request_get_response_code (request) : 0;
   const char *outcome;
 
   load.open--;
   if (status == HTTP_OK)
-    keep_sample (now_s () - line->due);
+    add_sample (now_s () - channel->due);
   else
     load.failed++;
   if (status)
@@ -125,27 +126,27 @@
     }
   else
     count_outcome ("broken");
-  SLIST_INSERT_HEAD (&line->target->idle, line, entries);
+  SLIST_INSERT_HEAD (&channel->target->idle, channel, entries);
   if (!load.sending && !load.open)
     event_base_loopexit (load.base, NULL);
 }
 
-static struct line *
-take_line (struct target *target)
+static struct channel *
+acquire_channel (struct target *target)
 {
-  struct line *line = SLIST_FIRST (&target->idle);
+  struct channel *channel = SLIST_FIRST (&target->idle);
 
-  if (line)
+  if (channel)
     {
       SLIST_REMOVE_HEAD (&target->idle, entries);
-      return line;
+      return channel;
     }
-  line = marjoram_alloc (sizeof *line);
-  *line = (struct line){ .target = target };
-  line->connection = evhttp_connection_base_new (
+  channel = marjoram_alloc (sizeof *channel);
+  *channel = (struct channel){ .target = target };
+  channel->connection = evhttp_connection_base_new (
       load.base, NULL, target->address, target->port);
-  evhttp_connection_set_timeout (line->connection, TIMEOUT_S);
-  return line;
+  evhttp_connection_set_timeout (channel->connection, TIMEOUT_S);
+  return channel;
 }
 
 static void
@@ -187,21 +188,22 @@
 send_one (double due)
 {
   struct target *target = &load.targets[load.sent % load.target_count];
-  struct line *line = take_line (target);
-  struct evhttp_request *request = evhttp_request_new (answered, line);
+  struct channel *channel = acquire_channel (target);
+  struct evhttp_request *request = evhttp_request_new (on_response, channel);
 
-  line->due = due;
+  channel->due = due;
   add_headers (evhttp_request_get_output_headers (request), target);
   add_body (evhttp_request_get_output_buffer (request), load.sent);
   load.sent++;
   load.open++;
-  if (load.open > load.most_open)
-    load.most_open = load.open;
-  evhttp_make_request (line->connection, request, EVHTTP_REQ_POST, load.path);
+  if (load.open > load.max_open)
+    load.max_open = load.open;
+  evhttp_make_request (channel->connection, request, EVHTTP_REQ_POST,
+                       load.path);
 }
 
 static void
-arm (void)
+schedule_next (void)
 {
   double wait = load.next - now_s ();
   struct timeval delay = { 0, 0 };
@@ -228,7 +230,7 @@
           return;
         }
     }
-  arm ();
+  schedule_next ();
 }
 
 static void
@@ -270,7 +272,7 @@
     gsl_sort (load.samples, 1, load.sample_count);
   result = json_pack ("{si si si si sf sf sf sf so}", "sent", load.sent,
                       "answered", (int)load.sample_count, "failed",
-                      load.failed, "most_open", load.most_open, "p50_ms",
+                      load.failed, "most_open", load.max_open, "p50_ms",
                       quantile (0.5), "p99_ms", quantile (0.99), "max_ms",
                       quantile (1), "seconds", now_s () - load.started,
                       "outcomes", load.outcomes);
@@ -357,9 +359,9 @@
   load.random = marjoram_random_create (seed);
   load.timer = event_new (load.base, -1, 0, due, NULL);
   load.started = load.next = now_s ();
-  arm ();
+  schedule_next ();
   event_base_dispatch (load.base);
   print_result ();
   fflush (NULL);
-  _exit (EXIT_SUCCESS); /* frees all at once */
+  _exit (EXIT_SUCCESS); /* skips cleanup */
 }
