--- a/bench/bench_claim.c
+++ b/bench/bench_claim.c
@@ -1,6 +1,6 @@
-/* Cost of claims: memory of a kept one, processor time of an acquire through
-   three hosts' decisions (messages packed and unpacked as on the links), and
-   messages by the number of a zone's hosts.  Links are without delay here.  */
+/* Cost of claims: memory per retained claim, CPU time of an acquisition
+   across three hosts including message encoding, and number of messages by
+   hosts per zone. Links have no delay.  */
 #include "claim.h"
 #include "cleanup.h"
 
@@ -25,7 +25,7 @@
   NSEC_PER_USEC = 1000
 };
 
-struct letter
+struct queued_message
 {
   int from;
   int to;
@@ -42,7 +42,7 @@
     struct zone *zone;
     int ordinal;
   } hosts[SLOTS_MAX];
-  struct letter queue[QUEUE_MAX];
+  struct queued_message queue[QUEUE_MAX];
   int first;
   int last;
   long messages;
@@ -51,7 +51,8 @@
 };
 
 static void
-post (void *context, int ordinal, const struct marjoram_claim_message *message)
+send_message (void *context, int ordinal,
+              const struct marjoram_claim_message *message)
 {
   const struct host *host = context;
   struct zone *zone = host->zone;
@@ -59,13 +60,15 @@
 
   zone->messages++;
   zone->bytes += (long)marjoram_bytes_size (bytes);
-  zone->queue[zone->last] = (struct letter){ host->ordinal, ordinal, bytes };
+  zone->queue[zone->last]
+      = (struct queued_message){ host->ordinal, ordinal, bytes };
   zone->last = (zone->last + 1) % QUEUE_MAX;
 }
 
 static void
-decided (void *context, uint64_t attempt, enum marjoram_claim_verdict verdict,
-         const struct marjoram_kept_answer *kept)
+on_decision (void *context, uint64_t attempt,
+             enum marjoram_claim_verdict verdict,
+             const struct marjoram_kept_answer *kept)
 {
   struct host *host = context;
 
@@ -79,17 +82,17 @@
 {
   while (zone->first != zone->last)
     {
-      struct letter letter = zone->queue[zone->first];
+      struct queued_message queued_message = zone->queue[zone->first];
       void *message;
 
       zone->first = (zone->first + 1) % QUEUE_MAX;
       message = marjoram_wire_unpack (
-          &marjoram_claim_layout, marjoram_bytes_data (letter.bytes),
-          marjoram_bytes_size (letter.bytes), NULL);
-      marjoram_claims_receive (zone->claims[letter.to], zone->now, letter.from,
-                               message);
+          &marjoram_claim_layout, marjoram_bytes_data (queued_message.bytes),
+          marjoram_bytes_size (queued_message.bytes), NULL);
+      marjoram_claims_receive (zone->claims[queued_message.to], zone->now,
+                               queued_message.from, message);
       marjoram_wire_destroy (&marjoram_claim_layout, message);
-      marjoram_bytes_release (letter.bytes);
+      marjoram_bytes_release (queued_message.bytes);
     }
 }
 
@@ -106,7 +109,7 @@
 static struct zone *
 create_zone (int count)
 {
-  static const struct marjoram_claims_ops ops = { post, decided };
+  static const struct marjoram_claims_ops ops = { send_message, on_decision };
   struct zone *zone = marjoram_alloc (sizeof *zone);
 
   zone->count = count;
@@ -172,7 +175,8 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* Bytes of one host's heap, measured by the allocator in a zone of one.  */
+/* Heap bytes per claim in a zone of one host, as reported by the
+   allocator.  */
 static void
 measure_memory (long claims)
 {
@@ -199,9 +203,9 @@
   destroy_zone (zone);
 }
 
-/* What the same call costs without a claim: its key is made and read.  */
+/* Baseline: the cost of building and parsing a key without a claim.  */
 static int64_t
-hash_only (long number)
+time_key_only (long number)
 {
   int64_t start = now_ns ();
   char key[MARJORAM_KEY_MAX];
@@ -230,7 +234,7 @@
 
       run_claim (zone, i, body);
       with[i] = now_ns () - start;
-      without[i] = hash_only (i);
+      without[i] = time_key_only (i);
     }
   if (zone->granted != ACQUIRES)
     abort ();
--- a/bench/bench_config.c
+++ b/bench/bench_config.c
@@ -1,5 +1,5 @@
 /* Cost of a configuration at three sizes, the middle one being the target:
-   time to parse and check it, memory that it holds, time of one lookup.  */
+   time to parse and check it, memory usage, time of a lookup.  */
 #include "cleanup.h"
 #include "config.h"
 
--- a/bench/bench_keeper.c
+++ b/bench/bench_keeper.c
@@ -1,9 +1,8 @@
-/* Agreement among three keepers with real stores on one disk, messages passed
-   on at once: what an apply costs in syncs, how a restart and the disk's size
-   go with the number of changes, and what a customer costs in the state.  The
-   baseline rewrites and syncs every file at every host for each change.  Then
-   six keepers on connections as between regions: what one changed route costs
-   in bytes between them and in processor time, by the number of routes.  */
+/* Consensus among three keepers with stores on one disk and no message delay:
+   rate of applies, restart time and disk usage by number of changes, and
+   state size per customer. The baseline rewrites and syncs every file at
+   every host for each change. Also, for six keepers with inter-region
+   latency, bytes and CPU time per changed route by number of routes.  */
 #include "cleanup.h"
 #include "keeper.h"
 #include "lib_keeper_net.h"
@@ -37,9 +36,9 @@
   PATH_SIZE = 256
 };
 
-struct flight
+struct queued_message
 {
-  STAILQ_ENTRY (flight) link;
+  STAILQ_ENTRY (queued_message) link;
   int from, to;
   marjoram_bytes *packed;
 };
@@ -59,7 +58,7 @@
 struct net
 {
   struct host hosts[KEEPERS];
-  STAILQ_HEAD (, flight) flights;
+  STAILQ_HEAD (, queued_message) message_queue;
   marjoram_random *random;
   int64_t now;
   uint64_t answered;
@@ -86,13 +85,14 @@
          const struct marjoram_keeper_message *message)
 {
   struct host *host = context;
-  struct flight *flight = marjoram_alloc (sizeof *flight);
+  struct queued_message *queued_message
+      = marjoram_alloc (sizeof *queued_message);
 
-  flight->from = host->index;
-  flight->to = slot[1] - '0';
-  flight->packed
+  queued_message->from = host->index;
+  queued_message->to = slot[1] - '0';
+  queued_message->packed
       = marjoram_wire_pack (&marjoram_keeper_message_layout, message);
-  STAILQ_INSERT_TAIL (&host->net->flights, flight, link);
+  STAILQ_INSERT_TAIL (&host->net->message_queue, queued_message, link);
 }
 
 static void
@@ -171,39 +171,40 @@
 }
 
 static void
-pass_on (struct net *net)
+deliver_messages (struct net *net)
 {
-  while (!STAILQ_EMPTY (&net->flights))
+  while (!STAILQ_EMPTY (&net->message_queue))
     {
-      struct flight *flight = STAILQ_FIRST (&net->flights);
+      struct queued_message *queued_message
+          = STAILQ_FIRST (&net->message_queue);
       struct marjoram_keeper_message *message;
 
-      STAILQ_REMOVE_HEAD (&net->flights, link);
-      message
-          = marjoram_wire_unpack (&marjoram_keeper_message_layout,
-                                  marjoram_bytes_data (flight->packed),
-                                  marjoram_bytes_size (flight->packed), NULL);
-      marjoram_keeper_receive (net->hosts[flight->to].keeper, net->now,
-                               net->hosts[flight->from].slot, message);
+      STAILQ_REMOVE_HEAD (&net->message_queue, link);
+      message = marjoram_wire_unpack (
+          &marjoram_keeper_message_layout,
+          marjoram_bytes_data (queued_message->packed),
+          marjoram_bytes_size (queued_message->packed), NULL);
+      marjoram_keeper_receive (net->hosts[queued_message->to].keeper, net->now,
+                               net->hosts[queued_message->from].slot, message);
       marjoram_wire_destroy (&marjoram_keeper_message_layout, message);
-      marjoram_bytes_release (flight->packed);
-      free (flight);
+      marjoram_bytes_release (queued_message->packed);
+      free (queued_message);
     }
 }
 
 static void
-step (struct net *net)
+run_tick (struct net *net)
 {
   net->now += TICK_MS;
   for (int i = 0; i < KEEPERS; i++)
     {
       marjoram_keeper_tick (net->hosts[i].keeper, net->now);
-      pass_on (net);
+      deliver_messages (net);
     }
 }
 
 static bool
-agree (const struct net *net)
+all_agree (const struct net *net)
 {
   uint64_t number = 0;
 
@@ -224,7 +225,7 @@
 open_net (struct net *net, const char *folder)
 {
   memset (net, 0, sizeof *net);
-  STAILQ_INIT (&net->flights);
+  STAILQ_INIT (&net->message_queue);
   net->random = marjoram_random_create (1);
   for (int i = 0; i < KEEPERS; i++)
     {
@@ -236,8 +237,8 @@
       snprintf (host->folder, sizeof host->folder, "%s/k%d", folder, i);
       open_host (net, i);
     }
-  while (!agree (net))
-    step (net);
+  while (!all_agree (net))
+    run_tick (net);
 }
 
 static void
@@ -260,7 +261,8 @@
   marjoram_random_destroy (net->random);
 }
 
-/* Applies COUNT new versions, AT_ONCE at a time, at the keepers in turn.  */
+/* Applies COUNT new versions, AT_ONCE concurrently, round-robin over the
+   keepers.  */
 static void
 apply (struct net *net, uint64_t first_version, uint64_t count,
        uint64_t at_once)
@@ -283,9 +285,9 @@
       marjoram_keeper_apply (net->hosts[index].keeper, net->now, i, id, &file);
       if ((i + 1) % at_once != 0 && i + 1 < count)
         continue;
-      pass_on (net);
+      deliver_messages (net);
       while (net->answered <= i)
-        step (net);
+        run_tick (net);
     }
   free (text);
 }
@@ -377,8 +379,8 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* From opening the stores until all keepers vote and hold the same state,
-   median of RESTARTS; the clock of the messages is not counted.  */
+/* Median time over RESTARTS from opening the stores until all keepers vote
+   and have the same state. Simulated message time is not included.  */
 static double
 restart_ms (struct net *net, const char *folder)
 {
@@ -458,30 +460,30 @@
   print (metric, value, unit, baseline, baseline_name);
 }
 
-/* Of the changes, their costs together.  */
-struct route_changes
+/* Totals over all route changes.  */
+struct route_change_totals
 {
-  int64_t took_ms;
+  int64_t total_ms;
   int answered;
   int agreed;
 };
 
 static void
 change_route (struct keeper_net *net, int routes, int changed,
-              struct route_changes *sum)
+              struct route_change_totals *sum)
 {
   marjoram_auto_free char *text = keeper_net_routes (routes, changed);
   int64_t took
       = keeper_net_change (net, changed % REGION_KEEPERS, text, AGREE_MS);
 
   sum->answered += took >= 0;
-  sum->took_ms += took < 0 ? AGREE_MS : took;
+  sum->total_ms += took < 0 ? AGREE_MS : took;
   sum->agreed += keeper_net_wait_agreement (net, AGREE_MS);
 }
 
 static void
 print_route_changes (const struct keeper_net *net, int routes,
-                     const struct route_changes *sum, clock_t cpu)
+                     const struct route_change_totals *sum, clock_t cpu)
 {
   marjoram_auto_free char *text = keeper_net_routes (routes, -1);
 
@@ -491,7 +493,7 @@
   print_routes ("cpu", routes,
                 (double)cpu * 1e3 / CLOCKS_PER_SEC / ROUTE_CHANGES, "ms", 0,
                 "none");
-  print_routes ("answer", routes, (double)sum->took_ms / ROUTE_CHANGES, "ms",
+  print_routes ("answer", routes, (double)sum->total_ms / ROUTE_CHANGES, "ms",
                 4.0 * ONE_WAY_MS, "two_round_trips");
   print_routes ("answered", routes, sum->answered, "changes", ROUTE_CHANGES,
                 "all");
@@ -499,15 +501,15 @@
                 "all");
 }
 
-/* One route changed among ROUTES, mean of ROUTE_CHANGES; with the greetings of
-   the time until all hold it.  */
+/* Mean cost of changing one of ROUTES routes, over ROUTE_CHANGE_TOTALS
+   changes. Includes heartbeats sent until all keepers have the change.  */
 static void
 measure_route_change (int routes)
 {
   static const struct keeper_net_options options
       = { REGION_KEEPERS, ONE_WAY_MS, BYTES_PER_S };
   struct keeper_net *net = keeper_net_create (&options);
-  struct route_changes first = { 0 }, sum = { 0 };
+  struct route_change_totals first = { 0 }, sum = { 0 };
   clock_t cpu;
 
   if (!keeper_net_wait_agreement (net, AGREE_MS))
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,6 +1,6 @@
-/* Of a hundred callers with long prompts, how many are served in time, placed
-   by the hosts or by simple rules, at four loads of four simulated engines;
-   and how many thousand tokens of shared parts the engines read again.  */
+/* Share of requests with long prompts that are served in time, placed by the
+   hosts or by baseline policies, at four loads of four simulated engines, and
+   thousands of shared prefix tokens that the engines recomputed.  */
 #include "lib_load.h"
 
 #include <inttypes.h>
@@ -28,7 +28,7 @@
 }
 
 static struct load_result
-play (enum load_policy way, double reviews_per_s, double chats_per_s)
+run_all_seeds (enum load_policy way, double reviews_per_s, double chats_per_s)
 {
   struct load_result sum = { 0 };
 
@@ -62,12 +62,12 @@
 compare (double reviews_per_s, double chats_per_s)
 {
   struct load_result ours
-      = play (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
+      = run_all_seeds (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
 
   for (int way = 0; way < LOAD_PLACED_COPYING; way++)
     {
       struct load_result theirs
-          = play ((enum load_policy)way, reviews_per_s, chats_per_s);
+          = run_all_seeds ((enum load_policy)way, reviews_per_s, chats_per_s);
 
       printf ("metric=placement_in_time_%.0f_reviews value=%.1f unit=%% "
               "baseline=%.1f baseline_name=%s\n",
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,6 +1,6 @@
-/* Measures the routing policy against plain ones in virtual time: the same
-   requests go to each, and each line names the best plain policy of the run.
-   Usage: bench_policy [--seed N] [--verbose] [WORKLOAD...]  */
+/* Compares the routing policy with baseline policies in virtual time on
+   identical requests. Each output line names the best baseline of the run.
+   Usage: bench_policy [--seed N] [--verbose] [WORKLOAD...] */
 #include "cleanup.h"
 #include "lib_world.h"
 
@@ -19,25 +19,25 @@
   POLICIES_MAX = 8,
   HOTELS = 120,
   CALLERS = 40,
-  OTHERS = 12,           /* callers of each zone */
-  OBEDIENT_RESENDS = 50, /* of callers that come when they are told to */
-  GREEDY = 1,            /* index of the caller that asks too much */
+  OTHERS = 12,              /* callers per zone */
+  RETRY_AFTER_RESENDS = 50, /* resends of callers that honour Retry-After */
+  GREEDY = 1,               /* index of the caller that exceeds its limit */
   RATE_MAX = 1000,
   LOSS_S = 240,
   RETURN_S = 420,
   SLOWNESS = 5,
-  AFTER_S = 120, /* for the last requests to end */
+  GRACE_S = 120, /* grace period after the last request */
   FAR_DEADLINE_MS = 100000000
 };
 
-/* What each request of one kind is like.  */
+/* Properties of one kind of request.  */
 struct kind
 {
-  double share; /* of the requests */
+  double share; /* fraction of all requests */
   enum marjoram_class class;
   int prompt;
   int prefix_tokens;
-  int prefixes; /* different ones in each region */
+  int prefixes; /* distinct prefixes per region */
   int answer;
   int deadline_ms;
 };
@@ -49,7 +49,7 @@
   bool ignore_retry_after;
 };
 
-/* The router first, the plain ones after it.  */
+/* The router must be first.  */
 static const struct policy policies[] = {
   { "router", WORLD_ROUTER, false },
   { "round-robin", WORLD_ROUND_ROBIN, true },
@@ -66,33 +66,34 @@
   const char *name;
   const struct kind *kinds;
   void (*change) (struct world *world);
-  double load[WORLD_ZONES_MAX]; /* of the zone's capacity */
-  double rate_part; /* a caller's limit, of the whole capacity; 0 for none */
-  double greedy;    /* how many times its limit one caller asks */
+  double
+      load[WORLD_ZONES_MAX]; /* offered load relative to the zone's capacity */
+  double rate_part; /* caller limit relative to total capacity, 0 for none */
+  double greedy;    /* load of the greedy caller relative to its limit */
   int engines[WORLD_ZONES_MAX];
   int kind_count;
   int regions;
   int duration_s;
-  int attempt_ms; /* patience of a caller; 0 for the deadline */
+  int attempt_ms; /* caller timeout, 0 for the deadline */
   int resends;
-  bool no_limits; /* not asked all the same */
+  bool no_limits; /* limits are configured but not enforced */
 };
 
-/* What one run gave.  */
+/* Results of one run.  */
 struct result
 {
   double p50_ms;
-  double p99_ms;     /* interactive; unanswered ones count as their deadline */
-  double first99_ms; /* the same of the first token */
-  double answered;   /* part of the interactive requests */
-  double goodput;    /* answers in time, a second */
-  double tokens;     /* the same in answer tokens */
-  double outside;    /* part of the answers that ran outside the home zone */
-  double prefill;    /* prefill tokens computed for each answer */
-  double retries;    /* of hosts, for each request */
-  double attempts;   /* of callers, for each request */
+  double p99_ms; /* interactive requests; failures count as their deadline */
+  double first99_ms; /* p99 of time to first token */
+  double answered;   /* answered fraction of interactive requests */
+  double goodput;    /* requests answered in time per second */
+  double tokens;     /* answer tokens per second */
+  double outside;    /* fraction of answers from outside the home zone */
+  double prefill;    /* prefill tokens computed per answer */
+  double retries;    /* host retries per request */
+  double attempts;   /* caller attempts per request */
   double crossed;
-  double overnight; /* answers a second */
+  double overnight; /* overnight answers per second */
   int64_t limited;
 };
 
@@ -172,8 +173,8 @@
   return workload->rate_part * capacity * engines;
 }
 
-/* Poisson arrivals of one caller, or of the others in turn if CALLER is
-   negative.  */
+/* Poisson arrivals of CALLER, or round-robin over the other callers if CALLER
+   is negative.  */
 static size_t
 add_stream (const struct workload *workload, marjoram_random *random, int zone,
             double rate, int caller, struct world_request *requests,
@@ -197,7 +198,7 @@
   return count;
 }
 
-/* CAPACITY is that of one engine, requests a second.  */
+/* CAPACITY is that of one engine in requests per second.  */
 static size_t
 make_requests (const struct workload *workload, double capacity, uint64_t seed,
                struct world_request *requests)
@@ -316,7 +317,7 @@
     .no_limits = workload->rate_part <= 0 || workload->no_limits,
     .ignore_retry_after = policy->ignore_retry_after,
     .attempt_ms = workload->attempt_ms,
-    .resends = workload->attempt_ms ? workload->resends : OBEDIENT_RESENDS,
+    .resends = workload->attempt_ms ? workload->resends : RETRY_AFTER_RESENDS,
     .seed = seed,
   };
 
@@ -336,7 +337,7 @@
   if (workload->change)
     workload->change (world);
   world_run (world, copies, count,
-             (int64_t)(workload->duration_s + AFTER_S) * SECOND);
+             (int64_t)(workload->duration_s + GRACE_S) * SECOND);
   summarize (workload, copies, count, result);
   result->prefill = (double)world_prefilled (world)
                     / fmax (1, result->goodput * workload->duration_s);
@@ -345,8 +346,8 @@
   free (copies);
 }
 
-/* Answers a second of one engine that always has work, under least in flight:
-   what 100 per cent means in a workload.  */
+/* Saturated throughput of one engine under the least-in-flight policy, in
+   answers per second. Defines 100 % load.  */
 static double
 capacity_of (const struct workload *workload, uint64_t seed,
              struct world_request *requests)
@@ -379,26 +380,26 @@
 }
 
 static void
-lose_one (struct world *world)
+kill_one_engine (struct world *world)
 {
   world_kill_engine (world, (int64_t)LOSS_S * SECOND, 0, 0);
 }
 
 static void
-lose_and_return (struct world *world)
+kill_and_restart_engines (struct world *world)
 {
-  lose_one (world);
+  kill_one_engine (world);
   world_start_engine (world, (int64_t)RETURN_S * SECOND, 0, 0);
 }
 
 static void
-slow_one (struct world *world)
+slow_one_engine (struct world *world)
 {
   world_slow_engine (world, (int64_t)LOSS_S * SECOND, 0, 0, SLOWNESS);
 }
 
 static void
-cut_and_heal (struct world *world)
+partition_and_heal (struct world *world)
 {
   world_cut (world, (int64_t)LOSS_S * SECOND, 0, true);
   world_cut (world, (int64_t)RETURN_S * SECOND, 0, false);
@@ -419,7 +420,7 @@
     .engines = { 3, 3, 3 },
     .duration_s = 900,
     .load = { 0.9, 0.6, 0.6 },
-    .change = lose_one },
+    .change = kill_one_engine },
   { .name = "twice-the-capacity",
     .kinds = tatranska,
     .kind_count = 2,
@@ -450,7 +451,7 @@
     .engines = { 3, 3, 3 },
     .duration_s = 600,
     .load = { 0.8, 0.6, 0.6 },
-    .change = lose_and_return },
+    .change = kill_and_restart_engines },
   { .name = "slow-replica",
     .kinds = tatranska,
     .kind_count = 2,
@@ -458,7 +459,7 @@
     .engines = { 4, 4, 4 },
     .duration_s = 600,
     .load = { 0.6, 0.6, 0.6 },
-    .change = slow_one },
+    .change = slow_one_engine },
   { .name = "link-heals",
     .kinds = tatranska,
     .kind_count = 2,
@@ -466,7 +467,7 @@
     .engines = { 3, 3, 3 },
     .duration_s = 600,
     .load = { 1.3, 0.6, 0.6 },
-    .change = cut_and_heal },
+    .change = partition_and_heal },
   { .name = "greedy-caller",
     .kinds = tatranska,
     .kind_count = 2,
@@ -499,7 +500,7 @@
           r->attempts, r->crossed);
 }
 
-/* One line: the router against the best plain policy.  */
+/* Prints one line comparing the router with the best baseline policy.  */
 static void
 compare (const struct workload *workload, uint64_t seed, const char *what,
          const char *unit, size_t offset, bool more_is_better,
@@ -524,7 +525,7 @@
           (int)seed);
 }
 
-/* The same measure of the router against a policy that leaves home too.  */
+/* Same, against a baseline that also uses other zones.  */
 static void
 compare_outside (const struct workload *workload, uint64_t seed,
                  const struct result *results)
@@ -545,7 +546,7 @@
           workload->name, what, value, unit, baseline, name, (int)seed);
 }
 
-/* Overload against the same callers at capacity.  */
+/* Compares overload with the same callers at capacity.  */
 static void
 compare_with_capacity (const struct workload *workload, double capacity,
                        uint64_t seed, struct world_request *requests,
@@ -567,7 +568,7 @@
                 0.1, "budget");
 }
 
-/* Well-behaved callers beside the greedy one against themselves alone.  */
+/* Compares well-behaved callers with and without the greedy one.  */
 static void
 compare_without_greedy (const struct workload *workload, double capacity,
                         uint64_t seed, struct world_request *requests,
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -1,5 +1,5 @@
-/* Measures what routing costs an entry host: time of a decision, memory, and
-   bytes of the messages, at three sizes or more each.  */
+/* Cost of routing at an entry host: decision time, memory and message sizes,
+   each at three sizes or more.  */
 #include "cleanup.h"
 #include "config_spec.h"
 #include "frame.h"
@@ -116,8 +116,8 @@
   marjoram_config_release (node->config);
 }
 
-/* Each request is admitted, placed, started, ended and measured; reports come
-   once a second.  */
+/* Time per request for admission, routing and latency accounting, with load
+   reports once per second.  */
 static double
 decide_ns (struct node *node, int upstreams, int64_t *now)
 {
@@ -153,7 +153,7 @@
   return (now_ns () - start) / DECISIONS;
 }
 
-/* The plain policy: the least loaded of all.  */
+/* Baseline: linear scan for the least loaded upstream.  */
 static double
 scan_ns (struct node *node, int64_t now)
 {
@@ -350,8 +350,8 @@
       }
 }
 
-/* The agreed state as keepers store it and as a host that starts gets it:
-   CALLERS callers in one file, and the results of CHANGES changes.  */
+/* Size of the replicated state as stored by keepers and as sent to a starting
+   host: CALLERS callers in one file, and the results of CHANGES changes.  */
 static void
 measure_state (void)
 {
--- a/bench/bench_state.c
+++ b/bench/bench_state.c
@@ -1,6 +1,6 @@
-/* What one changed route costs on its way to an entry host, by the number of
-   routes: bytes as a difference and whole, and the steps of the event loops of
-   keeper and host.  */
+/* Cost of propagating one changed route to an entry host, by number of
+   routes: size as a delta and in full, and time of each event loop step at
+   the keeper and the host.  */
 #include "agreed.h"
 #include "cleanup.h"
 #include "compress.h"
@@ -29,7 +29,8 @@
   return (int64_t)ts.tv_sec * 1000000000 + ts.tv_nsec;
 }
 
-/* ROUTES routes; the one in the middle has TIMEOUT_MS.  */
+/* Returns a configuration with ROUTES routes; the middle one has
+   TIMEOUT_MS.  */
 static char *
 config_text (int routes, uint64_t version, int timeout_ms)
 {
@@ -95,12 +96,12 @@
 
 struct steps
 {
-  int64_t pack[RUNS];   /* the keeper's, once a change */
-  int64_t unpack[RUNS]; /* the host's, to the state */
-  int64_t build[RUNS];  /* the host's, to the routes */
+  int64_t pack[RUNS];   /* at the keeper, once per change */
+  int64_t unpack[RUNS]; /* at the host, decoding the state */
+  int64_t build[RUNS];  /* at the host, building the routes */
 };
 
-/* One change from BASE to STATE, run I.  */
+/* Measures run I of a change from BASE to STATE.  */
 static void
 measure_steps (const struct marjoram_packed_state *base,
                const struct marjoram_state *state, struct steps *steps, int i)
@@ -170,7 +171,7 @@
 int
 main (void)
 {
-  /* The last are about as many as one file takes.  */
+  /* The largest is close to the maximum of one file.  */
   static const int sizes[] = { 100, 1400, 5600, 16000 };
 
   for (size_t i = 0; i < sizeof sizes / sizeof *sizes; i++)
