--- a/test/fake_engine.c
+++ b/test/fake_engine.c
@@ -512,7 +512,8 @@
   engine_set_fault (&engine, engine.options.fault, -1, NULL);
   if (!start (&engine))
     {
-      fprintf (stderr, "can't listen on %s\n", engine.options.listen);
+      fprintf (stderr, "fake_engine: cannot listen on %s\n",
+               engine.options.listen);
       return EXIT_FAILURE;
     }
   event_base_dispatch (engine.base);
--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -57,7 +57,7 @@
   for (int i = 1; i < argc; i++)
     if (!add_relay (base, argv[i]))
       {
-        fprintf (stderr, "tool_relay: can't relay %s\n", argv[i]);
+        fprintf (stderr, "tool_relay: cannot listen for relay %s\n", argv[i]);
         return EXIT_FAILURE;
       }
   event_add (evsignal_new (base, SIGUSR1, on_mode_signal, NULL), NULL);
--- a/test/tool_scenario.c
+++ b/test/tool_scenario.c
@@ -67,7 +67,7 @@
     }
   pid = process_start (argv, luaL_checkstring (lua, 2));
   if (pid < 0)
-    return luaL_error (lua, "can't start %s", argv[0]);
+    return luaL_error (lua, "cannot start %s", argv[0]);
   lua_pushinteger (lua, pid);
   return 1;
 }
@@ -228,7 +228,7 @@
   request.method = text_field (lua, "method", NULL);
   request.path = text_field (lua, "path", NULL);
   request.body = text_field (lua, "body", &request.size);
-  luaL_argcheck (lua, request.address, 1, "no address");
+  luaL_argcheck (lua, request.address, 1, "missing address");
   lua_getfield (lua, 1, "timeout");
   request.timeout_ms = luaL_optinteger (lua, -1, CALL_TIMEOUT_MS);
   request.header_count = read_headers (lua, headers);
@@ -294,7 +294,7 @@
   options.start = text_field (lua, "start", NULL);
   options.number = text_field (lua, "number", NULL);
   luaL_argcheck (lua, options.address && options.start && options.number, 1,
-                 "no address, start or number");
+                 "missing address, start or number");
   lua_getfield (lua, 1, "callers");
   options.callers = (int)luaL_checkinteger (lua, -1);
   lua_getfield (lua, 1, "pause");
@@ -440,7 +440,7 @@
   event_add (pause_end, &wait);
   event_base_loop (base, EVLOOP_ONCE);
   if (now_ms () > limit_ms)
-    return luaL_error (lua, "the scenario took longer than %d s",
+    return luaL_error (lua, "scenario exceeded its time limit of %d s",
                        (int)(allowed_ms / MSEC_PER_SEC));
   return 0;
 }
@@ -462,7 +462,8 @@
 verb_make_folder (lua_State *lua)
 {
   if (mkdir (luaL_checkstring (lua, 1), 0700))
-    return luaL_error (lua, "can't make %s", lua_tostring (lua, 1));
+    return luaL_error (lua, "cannot create directory %s",
+                       lua_tostring (lua, 1));
   return 0;
 }
 
@@ -471,7 +472,8 @@
 verb_make_private (lua_State *lua)
 {
   if (chmod (luaL_checkstring (lua, 1), 0600))
-    return luaL_error (lua, "can't change %s", lua_tostring (lua, 1));
+    return luaL_error (lua, "cannot change permissions of %s",
+                       lua_tostring (lua, 1));
   return 0;
 }
 
@@ -592,7 +594,7 @@
 static void
 show_logs (const char *folder)
 {
-  fprintf (stderr, "all files of this run: %s\n", folder);
+  fprintf (stderr, "files of this run are kept in %s\n", folder);
 }
 
 static const struct option long_options[]
@@ -648,5 +650,5 @@
   printf ("%s %s seed %llu\n", good ? "PASS" : "FAIL", argv[optind],
           (unsigned long long)seed);
   fflush (NULL);
-  _exit (good ? EXIT_SUCCESS : EXIT_FAILURE); /* frees all at once */
+  _exit (good ? EXIT_SUCCESS : EXIT_FAILURE); /* skips cleanup */
 }
