--- a/bench/bench_claim.c
+++ b/bench/bench_claim.c
@@ -1,6 +1,6 @@
 /* Cost of claims: memory per retained claim, CPU time of an acquisition
    across three hosts including message encoding, and number of messages by
-   hosts per zone. Links have no delay.  */
+   hosts per zone.  Links have no delay.  */
 #include "claim.h"
 #include "cleanup.h"
 
--- a/bench/bench_keeper.c
+++ b/bench/bench_keeper.c
@@ -1,7 +1,7 @@
 /* Consensus among three keepers with stores on one disk and no message delay:
    rate of applies, restart time and disk usage by number of changes, and
-   state size per customer. The baseline rewrites and syncs every file at
-   every host for each change. Also, for six keepers with inter-region
+   state size per customer.  The baseline rewrites and syncs every file at
+   every host for each change.  Also, for six keepers with inter-region
    latency, bytes and CPU time per changed route by number of routes.  */
 #include "cleanup.h"
 #include "keeper.h"
@@ -380,7 +380,7 @@
 }
 
 /* Median time over RESTARTS from opening the stores until all keepers vote
-   and have the same state. Simulated message time is not included.  */
+   and have the same state.  Simulated message time is not included.  */
 static double
 restart_ms (struct net *net, const char *folder)
 {
@@ -502,7 +502,7 @@
 }
 
 /* Mean cost of changing one of ROUTES routes, over ROUTE_CHANGE_TOTALS
-   changes. Includes heartbeats sent until all keepers have the change.  */
+   changes.  Includes heartbeats sent until all keepers have the change.  */
 static void
 measure_route_change (int routes)
 {
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,5 +1,5 @@
 /* Compares the routing policy with baseline policies in virtual time on
-   identical requests. Each output line names the best baseline of the run.
+   identical requests.  Each output line names the best baseline of the run.
    Usage: bench_policy [--seed N] [--verbose] [WORKLOAD...] */
 #include "cleanup.h"
 #include "lib_world.h"
@@ -347,7 +347,7 @@
 }
 
 /* Saturated throughput of one engine under the least-in-flight policy, in
-   answers per second. Defines 100 % load.  */
+   answers per second.  Defines 100 % load.  */
 static double
 capacity_of (const struct workload *workload, uint64_t seed,
              struct world_request *requests)
--- a/test/fake_engine.c
+++ b/test/fake_engine.c
@@ -1,7 +1,7 @@
-/* Fake model engine or, with --service, fake plain service. Implements
+/* Fake model engine or, with --service, fake plain service.  Implements
    continuous batching, a prefix cache and resumption of answers, and logs the
-   start and end of each run to a history file. Responses are defined in
-   lib_answer.h. Faults are injected with --fault or POST /fake/fault.  */
+   start and end of each run to a history file.  Responses are defined in
+   lib_answer.h.  Faults are injected with --fault or POST /fake/fault.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "lib_engine.h"
--- a/test/fake_replica.c
+++ b/test/fake_replica.c
@@ -1,6 +1,6 @@
 /* Fake platform upstream: sends heartbeats to a keeper, answers health
    checks, plain requests and streams, and injects the fault named in the
-   request path. Logs each run. On SIGTERM it reports that it is draining,
+   request path.  Logs each run.  On SIGTERM it reports that it is draining,
    keeps serving until SHUTDOWN_DELAY_MS after the acknowledgement, and
    deregisters.  */
 #include "cleanup.h"
--- a/test/lib_announce.h
+++ b/test/lib_announce.h
@@ -10,7 +10,7 @@
 
 typedef struct announcer announcer;
 
-/* ENTRIES is a comma-separated list of IP:port. DESCRIBE returns the body of
+/* ENTRIES is a comma-separated list of IP:port.  DESCRIBE returns the body of
    an announcement without its sequence number.  */
 announcer *announcer_create (struct event_base *base, const char *entries,
                              int64_t lease_ms,
@@ -24,7 +24,7 @@
    twice.  */
 bool announcer_left (const announcer *announcer);
 
-/* Posts BODY to PATH on the current entry host, without retry. Steals the
+/* Posts BODY to PATH on the current entry host, without retry.  Steals the
    reference to BODY.  */
 void announcer_post (announcer *announcer, const char *path, json_t *body);
 
--- a/test/lib_batch.h
+++ b/test/lib_batch.h
@@ -1,5 +1,5 @@
 /* Simulated model engine in virtual time, with continuous batching, chunked
-   prefill, a bounded prefix cache, priorities and cancellation. A process can
+   prefill, a bounded prefix cache, priorities and cancellation.  A process can
    hold any number of them.  */
 #ifndef MARJORAM_TEST_LIB_BATCH_H
 #define MARJORAM_TEST_LIB_BATCH_H
@@ -46,7 +46,7 @@
 /* Returns false if the job is not queued or running.  */
 bool batch_cancel (struct batch_engine *engine, struct batch_job *job);
 /* Runs one iteration starting at NOW_US and calls DONE for each job that
-   completes. Returns its duration in microseconds, or 0 if the engine is
+   completes.  Returns its duration in microseconds, or 0 if the engine is
    idle.  */
 int64_t batch_step (struct batch_engine *engine, int64_t now_us,
                     void (*done) (void *context, struct batch_job *job),
--- a/test/lib_call.h
+++ b/test/lib_call.h
@@ -1,4 +1,4 @@
-/* Asynchronous HTTP client for tests. Can also send raw bytes over TCP, to
+/* Asynchronous HTTP client for tests.  Can also send raw bytes over TCP, to
    test malformed requests.  */
 #ifndef MARJORAM_TEST_CALL_H
 #define MARJORAM_TEST_CALL_H
--- a/test/lib_relay.c
+++ b/test/lib_relay.c
@@ -84,7 +84,7 @@
   return marjoram_clock_now (marjoram_clock_system ());
 }
 
-/* Returns whether the target refuses connections. On a loopback address,
+/* Returns whether the target refuses connections.  On a loopback address,
    connect returns immediately.  */
 static bool
 target_refuses (const struct relay *relay)
@@ -119,7 +119,7 @@
 }
 
 /* Stops listening when the target process is dead, so that the relay does not
-   hide it. Checked before end of file is forwarded, so that a client that
+   hide it.  Checked before end of file is forwarded, so that a client that
    reconnects at once is refused.  */
 static void
 check_target (struct relay *relay)
@@ -246,7 +246,7 @@
   return *free_us / USEC_PER_MS;
 }
 
-/* Inserts PARCEL by delivery time. Order is kept within a direction; a slow
+/* Inserts PARCEL by delivery time.  Order is kept within a direction; a slow
    direction does not delay the other.  */
 static void
 enqueue (struct pair *pair, struct parcel *parcel)
--- a/test/lib_relay.h
+++ b/test/lib_relay.h
@@ -19,7 +19,7 @@
   RELAY_REFUSE /* machine down: connections are refused */
 };
 
-/* Listens on ADDRESS and forwards to TARGET, both IP:port. Returns NULL if it
+/* Listens on ADDRESS and forwards to TARGET, both IP:port.  Returns NULL if it
    cannot listen.  */
 struct relay *relay_create (struct event_base *base, const char *address,
                             const char *target);
--- a/test/lib_steady.h
+++ b/test/lib_steady.h
@@ -1,6 +1,6 @@
-/* Closed-loop load generator with persistent connections. Each caller sends a
+/* Closed-loop load generator with persistent connections.  Each caller sends a
    request, waits for the response, pauses and repeats, until its host refuses
-   connections. Counts the outcomes.  */
+   connections.  Counts the outcomes.  */
 #ifndef MARJORAM_TEST_STEADY_H
 #define MARJORAM_TEST_STEADY_H
 
--- a/test/lib_world.h
+++ b/test/lib_world.h
@@ -1,7 +1,7 @@
 /* Discrete-event simulation for comparing routing policies under load: zones
    with entry hosts that run the real router, links with latency, simulated
    engines with delayed load reports, and callers that time out and retry.
-   Baseline policies can replace the router. Host failures and message loss
+   Baseline policies can replace the router.  Host failures and message loss
    are not modelled; the scenarios test those.  */
 #ifndef MARJORAM_TEST_LIB_WORLD_H
 #define MARJORAM_TEST_LIB_WORLD_H
@@ -69,10 +69,10 @@
 
 struct world *world_create (const struct world_options *options);
 void world_destroy (struct world *world);
-/* Runs the simulation until END_US. REQUESTS must be ordered by time.  */
+/* Runs the simulation until END_US.  REQUESTS must be ordered by time.  */
 void world_run (struct world *world, struct world_request *requests,
                 size_t count, int64_t end_us);
-/* Schedules changes at AT_US. Must be called before world_run.  */
+/* Schedules changes at AT_US.  Must be called before world_run.  */
 void world_kill_engine (struct world *world, int64_t at_us, int zone,
                         int engine);
 void world_start_engine (struct world *world, int64_t at_us, int zone,
--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -1,4 +1,4 @@
-/* Open-loop load generator. Sends requests at a fixed mean rate and prints
+/* Open-loop load generator.  Sends requests at a fixed mean rate and prints
    one line of JSON with counts by outcome and latency quantiles, measured
    from the scheduled send time.  */
 #include "cleanup.h"
--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -1,4 +1,4 @@
-/* TCP relay for demo.sh. Each argument is LISTEN=TARGET, both IP:port.
+/* TCP relay for demo.sh.  Each argument is LISTEN=TARGET, both IP:port.
    SIGUSR1 simulates a network partition on all relays, SIGUSR2 ends it.  */
 #include "lib_relay.h"
 
--- a/test/tool_scenario.c
+++ b/test/tool_scenario.c
@@ -1,7 +1,7 @@
 /* Runs one scenario: a Lua script that starts programs connected through
-   relays, sends requests and checks the responses. This file provides the
+   relays, sends requests and checks the responses.  This file provides the
    system functions; test/scenarios/prelude.lua builds the scenario functions
-   on top of them. All started processes are killed on exit.  */
+   on top of them.  All started processes are killed on exit.  */
 #include "cleanup.h"
 #include "clock.h"
 #include "lib_answer.h"
@@ -146,9 +146,9 @@
   relay_set_link (relay, slow_link, at_target);
 }
 
-/* relay_set (relay, word, milliseconds or bytes per second). "rate" attaches
+/* relay_set (relay, word, milliseconds or bytes per second).  "rate" attaches
    the relay to the slow link for outgoing connections of the link's host,
-   "rate_in" for incoming ones. The first call sets the rate.  */
+   "rate_in" for incoming ones.  The first call sets the rate.  */
 static int
 verb_relay_set (lua_State *lua)
 {
@@ -569,7 +569,7 @@
   return good;
 }
 
-/* Runs prelude.lua, PATH and ending.lua. The preludes are in
+/* Runs prelude.lua, PATH and ending.lua.  The preludes are in
    VERBS_FOLDER.  */
 static bool
 run_scenario (const char *path, const char *verbs_folder, const char *programs,
