--- a/test/scenarios/config.lua
+++ b/test/scenarios/config.lua
@@ -1,9 +1,9 @@
--- Verbs for the scenarios of the agreed configuration.  A reader notes the
--- number that each host has in force: it never goes down.
+-- Functions for configuration scenarios.  The active configuration number of
+-- each host must never decrease.
 
 read_numbers = {}
 
--- Status of HOST, or nil if it does not answer.
+-- Returns the status of HOST, or nil if it is unavailable.
 function status_of (host)
   local it = hosts[host]
   if not it.pid or it.frozen then return nil end
@@ -18,7 +18,8 @@
   return value
 end
 
--- Waits until all running hosts have the file's VERSION, and one number.
+-- Waits until all running hosts have VERSION of the file and the same
+-- configuration number.
 function in_force (version, limit)
   wait_until (function ()
     local number
@@ -40,7 +41,7 @@
 
 local commands = 0
 
--- Starts marjoramctl without waiting; HOST applies TEXT under the change ID.
+-- Starts marjoramctl in the background to apply TEXT at HOST with change ID.
 function begin_apply (host, id, text)
   commands = commands + 1
   local base = system.folder .. "/begun-" .. commands
@@ -53,7 +54,8 @@
     "--change-id", id, "apply", base .. ".ini" }, base .. ".out") }
 end
 
--- The exit status and the answer of a begun command.
+-- Waits for a command from begin_apply.  Returns its exit status, parsed
+-- response and output.
 function finish_apply (command)
   local code = wait_until (function () return system.ended (command.pid) end,
                            "marjoramctl", 40000)
@@ -67,12 +69,13 @@
   return finish_apply (begin_apply (host, id, text))
 end
 
--- The site's file with a line that tells it from others of its VERSION.
+-- Returns the operators' file with a comment that makes it differ from others
+-- of the same VERSION.
 function variant (version, word)
   return operators_file (version) .. "# " .. word .. "\n"
 end
 
--- Applies until the outcome is known.
+-- Retries an apply until its outcome is known.
 function apply_surely (host, id, text)
   local code, answer
   wait_until (function ()
--- a/test/scenarios/gateway.lua
+++ b/test/scenarios/gateway.lua
@@ -1,5 +1,5 @@
--- Verbs for the roles entry and keeper, over stand-ins of the platform's
--- upstreams: two regions, each with a keeper and entry hosts, a third keeper.
+-- Scenario functions for the roles entry and keeper with fake platform
+-- upstreams: two regions, each with keepers and entry hosts.
 
 local folder = system.folder
 local octets = system.address:match ("^127%.%d+%.(%d+%.%d+)$")
@@ -25,10 +25,10 @@
   return text
 end
 
--- With SLOW_ENTRY, the index of an entry host, that one has a link of LINK_RATE
--- bytes a second.  Hosts dial each other at the port of their own link: the
--- slow one at 7660, where relays stand for the others, these at 7670, where one
--- stands for it.
+-- SLOW_ENTRY is the index of an entry host whose link is limited to LINK_RATE
+-- bytes per second, or nil.  Hosts connect to peers on their own link port:
+-- the slow host on 7660, which relays serve for the other hosts; the others on
+-- 7670, which a relay serves for the slow host.
 local SLOW_PORT, PORT = 7660, SLOW_ENTRY and 7670 or 7660
 
 local function is_slow (host)
@@ -67,7 +67,8 @@
     .. table.concat (seeds, ", ") .. "\n[zones]\nza = ra\nzb = rb\n"
 end
 
--- Writes the settings of HOST, or TEXT in their place.
+-- Writes TEXT, by default the generated settings, to the settings file of
+-- HOST.
 function write_settings (host, text)
   host.path = folder .. "/" .. host.name .. ".ini"
   host.log = folder .. "/" .. host.name .. ".log"
@@ -80,7 +81,8 @@
                              host.path }, host.log)
 end
 
--- The same on a disk that takes no file of more than BLOCKS x 512 bytes.
+-- Starts HOST with file size limited to BLOCKS x 512 bytes, to simulate a full
+-- disk.
 function start_on_small_disk (host, blocks)
   write_settings (host)
   host.pid = system.spawn (
@@ -112,8 +114,8 @@
     folder .. "/" .. replica.id .. ".log")
 end
 
--- With REPLICA_RELAYS a relay stands before it, for faults of connections.  It
--- stands on the slow link, if there is one, unless APART.
+-- With REPLICA_RELAYS, the replica is reached through a relay for fault
+-- injection, attached to the slow link, if any, unless APART.
 function add_replica (id, service, zone, index, apart)
   local replica = { id = id, service = service, zone = zone,
                     address = ip (index) .. ":8080",
@@ -147,7 +149,7 @@
   return finished (call)
 end
 
--- A caller's request, as a call under way.
+-- Starts a caller's request and returns the call.
 function begin (host, path, headers)
   attempt_number = attempt_number + 1
   local all = { ["Host"] = "a.example",
@@ -211,8 +213,8 @@
   return count
 end
 
--- Three keepers, two entry hosts in za, one in zb, a replica of "app" in each,
--- the usual routes in force at all hosts.
+-- Starts three keepers, two entry hosts in za, one in zb and a replica of
+-- "app" in each zone, and waits until all hosts serve usual_routes.
 function open_gateway ()
   add_host ("keeper", 1, "za")
   add_host ("keeper", 2, "zb")
--- a/test/scenarios/prelude.lua
+++ b/test/scenarios/prelude.lua
@@ -1,6 +1,6 @@
--- The verbs of the scenarios, built on the table "system" of tool_scenario.c.
--- A site is described by zones, models, services, callers and upstreams; every
--- connection between two of its processes runs through a relay of its own.
+-- Scenario functions, built on the table "system" of tool_scenario.c.  A site
+-- consists of zones, models, services, callers and upstreams.  Each pair of
+-- connected processes communicates through its own relay.
 
 hosts, upstreams, zones, attempts, extra_logs = {}, {}, {}, {}, {}
 local links, next_port, made, history, history_read = {}, 20000, 0, {}, 0
@@ -26,7 +26,7 @@
   return text
 end
 
--- Keys in order, so that a seed repeats a run.
+-- Returns the keys of SET in sorted order, for reproducible runs.
 function sorted (set)
   local keys = {}
   for key in pairs (set) do keys[#keys + 1] = key end
@@ -40,9 +40,9 @@
 
 -- Time ---------------------------------------------------------------------
 
--- The number of the configuration that a host has in force never goes down,
--- across restarts too; none in force is 0.
-local function take_number (host, body)
+-- Checks that the active configuration number of a host never decreases, not
+-- even across restarts.  It is 0 while there is no active configuration.
+local function check_config_number (host, body)
   local number = tonumber (body:match ("\nmarjoram_config_number (%d+)")) or 0
   if number > 0 and number < host.number then
     error (string.format ("%s went back from configuration %d to %d",
@@ -51,14 +51,14 @@
   host.number = math.max (host.number, number)
 end
 
--- A reader of each host's metrics page, beside whatever the scenario does.
-local function watch_numbers ()
+-- Polls the metrics page of each host in the background.
+local function poll_metrics ()
   local now = system.now ()
   for _, host in pairs (hosts) do
     if host.reader then
       local whole, _, body = system.answer (host.reader)
       if whole ~= nil then
-        if whole then take_number (host, body) end
+        if whole then check_config_number (host, body) end
         system.hang_up (host.reader)
         host.reader = nil
       end
@@ -72,7 +72,7 @@
 
 local function turn (ms)
   system.turn (ms)
-  watch_numbers ()
+  poll_metrics ()
 end
 
 function wait_until (condition, what, limit)
@@ -81,13 +81,13 @@
     local value = condition ()
     if value then return value end
     if system.now () > last then
-      error ("waited in vain for " .. (what or "a condition"), 2)
+      error ("timed out waiting for " .. (what or "a condition"), 2)
     end
     turn (20)
   end
 end
 
--- Lets the site work on; never a verdict.
+-- Runs the event loop for MS milliseconds.
 function pause (ms)
   local last = system.now () + ms
   while system.now () < last do turn (last - system.now ()) end
@@ -95,8 +95,9 @@
 
 -- Processes ----------------------------------------------------------------
 
-local function machine (name)
-  return hosts[name] or upstreams[name] or error ("no machine " .. name, 3)
+local function find_process (name)
+  return hosts[name] or upstreams[name]
+    or error ("unknown process " .. name, 3)
 end
 
 local function each_link_to (name, change)
@@ -106,20 +107,20 @@
 end
 
 local function refresh (link)
-  local gone = not machine (link.to).pid
-  system.relay_set (link.relay, gone and "refuse"
+  local down = not find_process (link.to).pid
+  system.relay_set (link.relay, down and "refuse"
                     or link.held and "hold" or "pass")
 end
 
 function start (name)
-  local it = machine (name)
+  local it = find_process (name)
   it.pid = system.spawn (it.arguments, it.log)
   it.status = nil
   it.frozen = false
   each_link_to (name, refresh)
 end
 
-local function gone (it)
+local function has_exited (it)
   it.status = it.pid and system.ended (it.pid) or it.status
   if it.pid and it.status then
     it.pid = nil
@@ -128,43 +129,44 @@
   return not it.pid
 end
 
--- The machine is lost at once.
+-- Kills the process without warning.
 function kill (name)
-  local it = machine (name)
+  local it = find_process (name)
   it.killed = true
   system.signal (it.pid, "kill")
-  wait_until (function () return gone (it) end, name .. " to die")
+  wait_until (function () return has_exited (it) end, name .. " to die")
 end
 
--- Asks it to stop when all is done.
+-- Requests a graceful shutdown.
 function stop (name)
-  system.signal (machine (name).pid, "terminate")
+  system.signal (find_process (name).pid, "terminate")
 end
 
 function stopped (name, limit)
-  local it = machine (name)
-  wait_until (function () return gone (it) end, name .. " to stop", limit)
+  local it = find_process (name)
+  wait_until (function () return has_exited (it) end, name .. " to stop",
+              limit)
   return it.status
 end
 
 function freeze (name)
-  machine (name).frozen = true
-  system.signal (machine (name).pid, "stop")
+  find_process (name).frozen = true
+  system.signal (find_process (name).pid, "stop")
 end
 
 function thaw (name)
-  machine (name).frozen = false
-  system.signal (machine (name).pid, "continue")
+  find_process (name).frozen = false
+  system.signal (find_process (name).pid, "continue")
 end
 
--- Whether a machine died that was not told to.
+-- Returns whether the process has exited.
 function died (name)
-  return gone (machine (name))
+  return has_exited (find_process (name))
 end
 
 -- Links --------------------------------------------------------------------
 
--- With "direct" in the site's description, nothing stands between.
+-- Creates a relay, or returns TARGET if the site is "direct".
 local function relay (from, to, target)
   if site_of.direct then return target end
   local link = { from = from, to = to, address = address () }
@@ -173,13 +175,14 @@
   return link.address
 end
 
--- The machines that NAME means: a machine's own, or a zone's hosts.
+-- Resolves NAME, a process or a zone, to a set of process names.
 local function members (name)
   if name == "caller" or hosts[name] or upstreams[name] then
     return { [name] = true }
   end
   local set = {}
-  for _, host in ipairs (zones[name] or error ("no place " .. name, 3)) do
+  for _, host in ipairs (zones[name]
+                         or error ("unknown zone or process " .. name, 3)) do
     set[host.name] = true
   end
   return set
@@ -197,7 +200,7 @@
   end
 end
 
--- A partition: bytes wait, nobody is told.
+-- Starts a network partition: data is buffered and neither side is notified.
 function cut (a, b)
   between (a, b, function (link) link.held = true refresh (link) end)
 end
@@ -206,13 +209,12 @@
   between (a, b, function (link) link.held = false refresh (link) end)
 end
 
--- The present connections carry nothing any more; new ones work.
+-- Existing connections stay open but deliver nothing; new ones work.
 function silence (a, b)
   between (a, b, function (link) system.relay_set (link.relay, "silence") end)
 end
 
--- The present connections carry nothing until they are released, and then
--- deliver late what was sent meanwhile; new ones work.
+-- Existing connections buffer data until release; new ones work.
 function stall (a, b)
   between (a, b, function (link) system.relay_set (link.relay, "stall") end)
 end
@@ -261,7 +263,7 @@
   zones[zone][index] = host
 end
 
--- Keepers are spread over the zones.
+-- Distributes COUNT keepers over the zones.
 local function choose_keepers (count)
   local names, ordinal = {}, 1
   while #names < count do
@@ -322,7 +324,7 @@
   return "token-of-" .. caller .. "-0123456789"
 end
 
--- The operators' file that describes the site as it is now.
+-- Returns the operators' file for the current site.
 function operators_file (version)
   local all = table.concat (regions (), ", ")
   local lines = { "[file]\nname = site\nversion = " .. version,
@@ -389,7 +391,7 @@
   for _, up in ipairs (site_of.upstreams or {}) do add_upstream (up) end
 end
 
--- Runs marjoramctl against HOST; its exit status and output.
+-- Runs marjoramctl against HOST.  Returns its exit status and output.
 function ctl (host, ...)
   made = made + 1
   local output = folder .. "/ctl-" .. made
@@ -402,7 +404,7 @@
 
 local applied = 0
 
--- Applies the site's file, or TEXT, at HOST.
+-- Applies TEXT, by default the site's current file, at HOST.
 function apply (host, text)
   applied = applied + 1
   local path = folder .. "/site-" .. applied .. ".ini"
@@ -410,7 +412,7 @@
   return ctl (host or sorted (hosts)[1], "apply", path)
 end
 
--- One answer of HOST, waited for: status and body.
+-- Sends a GET request to HOST.  Returns the status and body.
 function get (host, path)
   local call = system.call { address = hosts[host].entry, method = "GET",
                              path = path, timeout = 5000 }
@@ -420,7 +422,7 @@
   return status, body
 end
 
--- The value of a line of HOST's metrics page whose name holds NAME.
+-- Returns the first metric of HOST whose name contains NAME.
 function counter (host, name)
   local _, body = get (host, "/metrics")
   for line in body:gmatch ("[^\n]+") do
@@ -436,12 +438,11 @@
 end
 
 -- Starts all hosts, applies the configuration, starts all upstreams and waits
--- until every host can use its zone's upstreams.
+-- until every host can route to them.
 function open_site (description)
   site (description)
   for _, name in ipairs (sorted (hosts)) do start (name) end
-  -- One version for all tries: a site that is slow to start must not leave
-  -- those behind that scenarios count on.
+  -- Retries must not use up version numbers that scenarios rely on.
   local first = operators_file (1)
   wait_until (function () return apply (nil, first) == 0 end,
               "the first apply")
@@ -461,7 +462,8 @@
   return false
 end
 
--- Whether REGION may run what CALLER asks of WORK, a model or a service.
+-- Returns whether requests of CALLER for WORK, a model or service, may run in
+-- REGION.
 function allowed (caller, work, region)
   local described = (site_of.models or {})[work]
     or (site_of.services or {})[work]
@@ -470,7 +472,7 @@
     and has (site_of.callers[caller].regions, region)
 end
 
--- The works that a running upstream may run for CALLER.
+-- Returns the models and services that a running upstream may serve to CALLER.
 local function runnable (caller)
   local works = {}
   for _, up in pairs (upstreams) do
@@ -483,7 +485,7 @@
   return sorted (works)
 end
 
--- Whether every running host knows a way for all that can be run somewhere.
+-- Returns whether every running host can route all runnable work.
 function reachable ()
   for _, name in ipairs (sorted (hosts)) do
     for _, caller in ipairs (sorted (site_of.callers)) do
@@ -498,7 +500,7 @@
   return true
 end
 
--- Whether every running host knows the running upstreams of its zone.
+-- Returns whether every running host knows the running upstreams of its zone.
 function settled ()
   for _, name in ipairs (sorted (hosts)) do
     local host, known = hosts[name], {}
@@ -519,28 +521,29 @@
   return true
 end
 
-local function tell_upstream (name, path, body)
+local function post_to_upstream (name, path, body)
   local call = system.call { address = upstreams[name].listen, timeout = 5000,
                              method = "POST", path = path, body = body }
   wait_until (function () return system.answer (call) ~= nil end, path)
   system.hang_up (call)
 end
 
--- Switches a fault of an upstream on for the next COUNT runs with MATCH.
+-- Injects a fault into the next COUNT runs of an upstream whose body contains
+-- MATCH.
 function fault (name, word, count, match)
-  tell_upstream (name, "/fake/fault", string.format (
+  post_to_upstream (name, "/fake/fault", string.format (
     '{"fault":"%s","count":%d,"match":"%s"}', word, count or -1, match or ""))
 end
 
--- It says that it leaves, and goes on taking what comes.
+-- Makes an upstream announce that it leaves while it keeps accepting requests.
 function leave (name)
-  tell_upstream (name, "/fake/leave", "{}")
+  post_to_upstream (name, "/fake/leave", "{}")
   upstreams[name].left = system.now ()
 end
 
 -- Requests -----------------------------------------------------------------
 
--- The key's prefix as HOST gives it out, and a part of its own.
+-- Returns a unique idempotency key with the key prefix of HOST.
 function new_key (host)
   local _, body = get (host, "/v1/entries")
   made = made + 1
@@ -569,8 +572,8 @@
 end
 
 -- send {to, model or service, stream, tokens, key, idempotent, class,
--- deadline, text, caller, first}: an attempt, answered later.  With "first"
--- false the caller does not say that the key is new.
+-- deadline, text, caller, first}: starts an attempt and returns it.  With
+-- "first" false, Marjoram-Resend is not sent.
 function send (request)
   made = made + 1
   request.caller = request.caller or sorted (site_of.callers)[1]
@@ -591,7 +594,7 @@
   end
   request.digest = system.digest (request.method, request.service and "/do"
                                   or request.path, request.body)
-  request.regions = {} -- where it may run, as the rules are now
+  request.regions = {} -- where it may run when sent
   for _, region in ipairs (regions ()) do
     request.regions[region] = allowed (request.caller, request.service
                                        or request.model, region)
@@ -602,20 +605,20 @@
   return transmit { request = request, host = request.to }
 end
 
--- The same request again, at another entry host or the same.
+-- Resends a request, by default to the same entry host.
 function resend (attempt, host)
   return transmit { request = attempt.request, host = host or attempt.host,
                     again = true }
 end
 
--- The caller goes away.
+-- Closes the caller's connection.
 function hang_up (attempt)
   system.hang_up (attempt.call)
   attempt.call = nil
   attempt.abandoned = true
 end
 
--- Looks whether an answer is there and takes it down.
+-- Returns whether the response is complete, and records it in ATTEMPT.
 function answered (attempt)
   if attempt.done or not attempt.call then return attempt.done end
   local whole, status, body = system.answer (attempt.call)
@@ -641,8 +644,8 @@
   return attempt
 end
 
--- Sends a request made by MAKE each EVERY milliseconds until CONDITION holds
--- or MS have passed; all attempts.
+-- Calls MAKE every EVERY milliseconds until CONDITION holds or MS have passed.
+-- Returns all attempts.
 function keep_sending (every, make, ms, condition)
   local sent, last = {}, system.now () + ms
   while system.now () < last and not (condition and condition ()) do
@@ -656,8 +659,8 @@
   for _, attempt in ipairs (list) do expect (attempt, wanted or {}) end
 end
 
--- A caller as docs/CALLERS.md wants it: when a host refuses, or can't be
--- reached, it asks the next one.  The last attempt.
+-- Retries at the next host when a host refuses or is unreachable, as specified
+-- in docs/CALLERS.md.  Returns the last attempt.
 function persist (attempt, order, limit)
   for _, host in ipairs (order) do
     wait_for (attempt, limit)
@@ -669,8 +672,8 @@
   return wait_for (attempt, limit)
 end
 
--- As docs/CALLERS.md wants it while a key is in use: asks again until there is
--- another answer than that.
+-- Resends while the key is in use, as specified in docs/CALLERS.md.  Returns
+-- the last attempt.
 function ask (attempt, host, limit)
   local last
   wait_until (function ()
@@ -680,17 +683,17 @@
   return last
 end
 
--- A caller that was refused for want of room comes back.
-local function comes_back (attempt)
+-- Returns whether an attempt was refused for lack of capacity.
+local function refused_for_capacity (attempt)
   return answered (attempt) and attempt.outcome == "not-run"
     and (attempt.reason == "overload" or attempt.reason == "no-upstream")
 end
 
--- Comes back to the same host until it is not refused for want of room; the
--- last attempt, answered.
+-- Resends to the same host until the request is not refused for lack of
+-- capacity.  Returns the last attempt.
 function insist (attempt, limit)
   wait_until (function ()
-    if comes_back (attempt) then
+    if refused_for_capacity (attempt) then
       pause (50)
       attempt = resend (attempt)
     end
@@ -699,15 +702,15 @@
   return attempt
 end
 
--- Waits until all run, coming back for those that are refused for want of
--- room; the last attempts.
+-- Waits until all requests are running, resending those refused for lack of
+-- capacity.  Returns the last attempts.
 function get_running (list, limit)
   local last = {}
   for i, attempt in ipairs (list) do last[i] = attempt end
   wait_until (function ()
     local all = true
     for i, attempt in ipairs (last) do
-      if comes_back (attempt) then last[i] = resend (attempt) end
+      if refused_for_capacity (attempt) then last[i] = resend (attempt) end
       all = all and runs (attempt) > 0
     end
     if not all then pause (50) end
@@ -720,8 +723,8 @@
   return attempt.call and system.received (attempt.call) or #attempt.body
 end
 
--- Waits for the answer and compares what WANTED names: outcome, reason, zone,
--- upstream, status, replayed.  A value may be a list of allowed ones.
+-- Waits for the response and checks the fields in WANTED: outcome, reason,
+-- zone, upstream, status, replayed.  A list as value names the allowed ones.
 function expect (attempt, wanted, limit)
   wait_for (attempt, limit)
   for _, name in ipairs (sorted (wanted)) do
@@ -746,7 +749,7 @@
 
 -- History ------------------------------------------------------------------
 
--- All lines that the stand-ins have written so far.
+-- Returns all events that the fake upstreams have logged so far.
 function events ()
   local file = io.open (history_file)
   if not file then return history end
@@ -760,7 +763,7 @@
   return history
 end
 
--- How many events match WANTED, a table of fields.
+-- Returns the number of events whose fields match WANTED.
 function count (wanted)
   local total = 0
   for _, event in ipairs (events ()) do
@@ -782,11 +785,11 @@
   check (known[attempt.outcome], "'%s' at %s: status %s without an outcome",
          request.text, attempt.host, attempt.status)
   if attempt.outcome == "done" then
-    -- A stand-in that refuses says so in an empty answer of its own.
+    -- Fake upstreams refuse with 503 and an empty body.
     local wanted = attempt.status == 503 and ""
       or system.right_answer (request.digest, request.tokens,
                               request.stream == true)
-    check (attempt.body == wanted, "'%s' at %s: a wrong answer: status %s, "
+    check (attempt.body == wanted, "'%s' at %s: wrong response: status %s, "
            .. "request %s from %s, replayed %s, key %s, wanted digest %s: %s",
            request.text, attempt.host, attempt.status, attempt.id,
            attempt.upstream, attempt.replayed, request.key, request.digest,
@@ -794,10 +797,10 @@
   end
 end
 
--- What was said to be not run has no run by that sending.  For a key that may
--- run once, neither has it one by an earlier sending: the word must hold at
--- some time between its sending and its coming, as other sendings of the key
--- may be under way and run it just after it was given.
+-- A request reported as not run must have no run under its ID.  A
+-- non-idempotent key must have no run that started before this attempt was
+-- sent either.  Later runs are legal, since concurrent attempts with the same
+-- key may run.
 local function check_not_run (attempt)
   for _, event in ipairs (events ()) do
     if event.event == "start" then
@@ -822,7 +825,7 @@
     if event.event == "start" and event.digest == request.digest then
       starts = starts + 1
       check (request.regions[zones[event.zone][1].region],
-             "'%s' ran at %s of %s, where it may not", request.text,
+             "'%s' ran at %s of %s, outside its allowed regions", request.text,
              event.upstream, event.zone)
     end
   end
@@ -830,20 +833,21 @@
          "'%s' may run at most once, and ran %d times", request.text, starts)
 end
 
--- Each forwarded request crosses once: a host says so in its log lines.
+-- Checks host logs for sanitizer reports, and that no host exited with an
+-- error.
 local function check_logs ()
   for _, name in ipairs (sorted (hosts)) do
     local text = read (hosts[name].log)
     local fault = text:match ("[^\n]*Sanitizer[^\n]*")
       or text:match ("[^\n]*runtime error[^\n]*")
     check (not fault, "%s: %s", name, fault)
-    check (not gone (hosts[name]) or hosts[name].killed
+    check (not has_exited (hosts[name]) or hosts[name].killed
            or (hosts[name].status or 0) == 0, "%s ended with status %s", name,
            hosts[name].status)
   end
 end
 
--- Runs by itself at the end of every scenario.
+-- Checks all attempts.  Called by ending.lua at the end of every scenario.
 function check_history ()
   for _, attempt in ipairs (attempts) do
     if not attempt.abandoned then wait_for (attempt) end
