--- a/test/check.sh
+++ b/test/check.sh
@@ -1,9 +1,8 @@
 #!/bin/sh
-# Runs every unit test and every scenario of the build folder $1, a few at
-# once, prints the failing ones and a closing line.  A scenario whose first
-# line is "-- seeds: N" runs with each seed from 1 to N, and with those of a line
-# "-- and seeds that once failed: N N".  Tests named in
-# KNOWN-RED.txt are printed and passed over.
+# Runs all unit tests and scenarios of the build folder $1 in parallel and
+# prints failures and a summary.  A scenario whose first line is "-- seeds: N"
+# runs with seeds 1 to N and those of a line "-- and seeds that once failed: N
+# N".  Failures listed in KNOWN-RED.txt are printed but do not fail the run.
 build=$1
 at_once=${CHECK_JOBS:-4}
 results=$build/results
@@ -15,7 +14,7 @@
   [ -f KNOWN-RED.txt ] && grep -q "^$1:" KNOWN-RED.txt
 }
 
-# One line for each test: its name and its command.
+# Prints one line per test: name and command.
 list () {
   for test in "$build"/test_* "$build"/api_test_*; do
     [ -x "$test" ] && [ -f "$test" ] && echo "$(basename "$test") $test"
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Shows the product at work: two regions of three entry hosts each on loopback
-# addresses, stand-in upstreams, a configuration applied with marjoramctl, some
-# requests, and the link between the regions cut.  Ends what it started, by
-# process id.
+# Demonstration on loopback addresses: starts two regions of three entry hosts
+# each with fake upstreams, applies a configuration, sends requests and
+# simulates a partition between the regions.  Stops all started processes on
+# exit.
 set -eu
 build=$1
 run=build/demo
@@ -37,8 +37,8 @@
   "$build/marjoramctl" --settings examples/demo/ba-1-a.ini "$@"
 }
 
-# The relays carry LISTEN=TARGET: from each host of one region to each of the
-# other, as the settings' [peers] say.
+# Prints LISTEN=TARGET for a relay from each host to each host of the other
+# region, matching [peers] in the settings.
 links () {
   from=0
   for region in 1 2; do
@@ -61,7 +61,8 @@
     --listen "$address" --entry "$entries" --history "$run/history" "$@"
 }
 
-# TOKEN HOST PATH BODY [CURL-OPTION...]: the answer and who gave it.
+# TOKEN HOST PATH BODY [CURL-OPTION...]: sends a request and prints the
+# outcome, the upstream and the response.
 ask () {
   token=$1 host=$2 path=$3 body=$4
   shift 4
@@ -84,7 +85,7 @@
   until "$@" > /dev/null 2>&1; do
     tries=$((tries + 1))
     if [ "$tries" -gt 200 ]; then
-      echo "waited in vain for: $*; see $run/*.log" >&2
+      echo "timed out waiting for: $*; see $run/*.log" >&2
       exit 1
     fi
     sleep 0.1
@@ -102,7 +103,7 @@
 rm -rf "$run"
 mkdir -p "$run"
 "$build/marjoramctl" new-secret "$run/secret"
-say "starting six entry hosts in two regions, and their upstreams"
+say "starting six entry hosts and their upstreams in two regions"
 # shellcheck disable=SC2046
 launch relay "$build/tool_relay" $(links)
 relay=$last
@@ -150,7 +151,7 @@
 echo "runs of it: $(grep '"event":"start"' "$run/history" \
   | grep -c '"upstream":"board-')"
 
-say "the link between the regions is cut; both go on answering"
+say "network partition between the regions; both keep serving"
 kill -USR1 "$relay"
 ask $desk 127.5.1.1 $chat "$summary"
 ask $bakery 127.5.2.1 $chat "$summary"
@@ -159,5 +160,5 @@
 ask $bakery 127.5.2.2 /v1/services/board/flip "$flip" \
   -H "Idempotency-Key: ${prefix}flip-2" -H 'Marjoram-Idempotent: no'
 
-say "the link works again; everything is stopped"
+say "partition healed; stopping all processes"
 kill -USR2 "$relay"
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# Shows that each guard is proved by a test: applies one patch of test/mutants/
-# at a time to a scratch copy of the tree, builds it with sanitizers and runs
-# the test named in the patch's first line, "# test: NAME", which passes
-# without the patch and must fail with it.  Arguments name single patches.  A
-# patch that does not apply any more is an error.
+# Mutation testing: applies each patch of test/mutants/ to a scratch copy of
+# the tree, builds it with sanitizers and runs the test named in the patch's
+# first line, "# test: NAME".  The test must pass without the patch and fail
+# with it.  Arguments select patches.  A patch that no longer applies is an
+# error.
 set -u
 scratch=$(mktemp -d /tmp/marjoram-mutants-XXXXXX)
 trap 'rm -rf "$scratch"' EXIT
@@ -50,7 +50,7 @@
   name=$(basename "$patch" .patch)
   test=$(sed -n '1s/^# test: *//p' "$patch")
   if [ -z "$test" ]; then
-    complain "$name" "its first line names no test"
+    complain "$name" "first line does not name a test"
     return
   fi
   if ! build "$test" || ! run "$test"; then
@@ -58,7 +58,7 @@
     return
   fi
   if ! patch -d "$scratch" -p1 -s --fuzz=0 --dry-run < "$patch" > /dev/null; then
-    complain "$name" "does not apply any more"
+    complain "$name" "patch does not apply"
     return
   fi
   patch -d "$scratch" -p1 -s --fuzz=0 < "$patch"
@@ -83,7 +83,7 @@
   if [ -f "$patch" ]; then
     try "$patch"
   else
-    complain "$patch" "is not there"
+    complain "$patch" "no such file"
   fi
 done
 echo "$killed killed, $wrong wrong"
--- a/test/soak.sh
+++ b/test/soak.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs the seeded scenarios of the build folder $1 with COUNT seeds from SEED
-# on, prints each failing seed and keeps its files.
+# Runs the seeded scenarios of the build folder $1 with COUNT seeds starting at
+# SEED.  Prints failing seeds and keeps their files.
 build=$1
 first=${SEED:-1}
 count=${COUNT:-100}
