--- a/src/gateway.c
+++ b/src/gateway.c
@@ -14,7 +14,8 @@
   STATUS_BAD_GATEWAY = 502,
   STATUS_UNAVAILABLE = 503,
   STATUS_GATEWAY_TIMEOUT = 504,
-  /* Retry-After of a host that has no configuration yet.  */
+  /* Retry-After of a host that has no configuration yet, which it obtains
+     within a few round trips.  */
   NO_CONFIG_RETRY_MS = 300,
   /* Safety margin by which the proxy answers before the caller's deadline.  */
   DEADLINE_MARGIN_MS = 20,
@@ -28,9 +29,9 @@
   STARTUP_MS = 4000,
   STARTUP_WAIT_MS = 500,
   /* An upstream that sends no data for any request of this host for this long
-     is considered stalled.  */
+     is considered stalled.  A batch of an engine takes about 10 ms.  */
   UPSTREAM_STALL_MS = 800,
-  /* Interval between checks of an idle attempt that was kept.  */
+  /* Interval between checks of an attempt that is idle but not abandoned.  */
   IDLE_CHECK_MS = 200
 };
 
@@ -279,31 +280,33 @@
                    const struct marjoram_exchange *exchange,
                    const struct marjoram_route_rule *route)
 {
-  const struct marjoram_route_rule *before = NULL;
+  const struct marjoram_route_rule *previous = NULL;
 
   if (gateway->previous_table
       && exchange->received_at
              < gateway->table_set_at + CONFIG_CHANGE_GRACE_MS)
-    before = marjoram_route_table_find (gateway->previous_table, host,
-                                        exchange->request->target);
-  return before && before->timeout_ms > route->timeout_ms ? before->timeout_ms
-                                                          : route->timeout_ms;
+    previous = marjoram_route_table_find (gateway->previous_table, host,
+                                          exchange->request->target);
+  return previous && previous->timeout_ms > route->timeout_ms
+             ? previous->timeout_ms
+             : route->timeout_ms;
 }
 
 static void
 set_deadline (struct marjoram_exchange *exchange, int64_t timeout_ms)
 {
-  int64_t patience = exchange->facts.caller_timeout_ms;
+  int64_t caller_timeout = exchange->facts.caller_timeout_ms;
 
   exchange->deadline_at = exchange->received_at + timeout_ms;
   exchange->is_caller_deadline
-      = patience > 0 && patience - DEADLINE_MARGIN_MS < timeout_ms;
+      = caller_timeout > 0 && caller_timeout - DEADLINE_MARGIN_MS < timeout_ms;
   if (exchange->is_caller_deadline)
     exchange->deadline_at
-        = exchange->received_at + patience - DEADLINE_MARGIN_MS;
+        = exchange->received_at + caller_timeout - DEADLINE_MARGIN_MS;
 }
 
-/* Whether the current configuration extends the request's deadline.  */
+/* Recomputes the deadline from the current configuration.  Returns whether it
+   lies after NOW.  */
 static bool
 extend_deadline (const marjoram_gateway *gateway,
                  struct marjoram_exchange *exchange, int64_t now)
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -14,7 +14,6 @@
   STATUS_SERVER_ERROR = 500,
   SUCCESS = 2, /* status class 2xx */
   REFUSED_RETRY_MS = 250,
-  /* Minimum time left for a retry.  */
   RETRY_TIME_MIN_MS = 30,
   /* Attempts allowed beyond max_upstreams, for upstreams that refused without
      running the request.  */
@@ -67,13 +66,13 @@
 static void
 log_attempt (const marjoram_gateway *gateway,
              const struct marjoram_exchange *exchange,
-             enum marjoram_reason reason, const char *refused)
+             enum marjoram_reason reason, const char *denial)
 {
   marjoram_event (MARJORAM_EVENT_ATTEMPT,
                   "id=%s failed=%s retry=%s service=%s upstream=%s host=%s "
                   "status=%d arrivals=%d runs=%d lag_ms=%" PRId64,
                   exchange->facts.id, marjoram_reason_name (reason),
-                  refused ? refused : "yes", exchange->service,
+                  denial ? denial : "yes", exchange->service,
                   *exchange->upstream ? exchange->upstream : "-",
                   *exchange->host ? exchange->host : "-", exchange->status,
                   exchange->arrivals, exchange->runs,
@@ -126,14 +125,14 @@
                          struct marjoram_exchange *exchange, int64_t now,
                          enum marjoram_reason reason, bool not_run)
 {
-  const char *refused = retry_denial (gateway, exchange, now, not_run);
+  const char *denial = retry_denial (gateway, exchange, now, not_run);
 
-  if (!refused)
+  if (!denial)
     {
       retry (gateway, exchange, now, reason);
       return;
     }
-  log_attempt (gateway, exchange, reason, refused);
+  log_attempt (gateway, exchange, reason, denial);
   fail (gateway, exchange, now, reason);
 }
 
@@ -241,10 +240,10 @@
 static void
 record_events (struct marjoram_exchange *exchange, int64_t now, size_t events)
 {
-  int64_t pause = exchange->last_event_at ? now - exchange->last_event_at : 0;
+  int64_t gap_ms = exchange->last_event_at ? now - exchange->last_event_at : 0;
 
-  if (pause > exchange->longest_gap_ms)
-    exchange->longest_gap_ms = pause;
+  if (gap_ms > exchange->longest_gap_ms)
+    exchange->longest_gap_ms = gap_ms;
   exchange->last_event_at = now;
   exchange->events_sent += (int)events;
 }
@@ -322,12 +321,12 @@
 end_failed (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
             int64_t now)
 {
-  const char *refused;
+  const char *denial;
 
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  MARJORAM_ATTEMPT_FAILED);
-  refused = retry_denial (gateway, exchange, now, false);
-  if (!refused)
+  denial = retry_denial (gateway, exchange, now, false);
+  if (!denial)
     retry (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
   else if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
     fail (gateway, exchange, now, MARJORAM_REASON_UPSTREAM_FAILED);
@@ -382,7 +381,8 @@
   marjoram_exchange_send (gateway, exchange, now);
 }
 
-/* Records that the upstream broke off while running this request.  */
+/* Counts the loss of the connection to the upstream that runs this request as
+   a crash of the upstream.  */
 static void
 record_crash (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
               int64_t now)
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -64,8 +64,8 @@
   return false;
 }
 
-/* HOST's offer for the exchange's service; null if it cannot be forwarded
-   there.  */
+/* HOST's offer for the exchange's service; null if the exchange cannot be
+   forwarded to HOST.  */
 static const struct marjoram_host_offer *
 find_offer (marjoram_gateway *gateway,
             const struct marjoram_exchange *exchange,
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -65,7 +65,7 @@
   uint64_t attempt; /* 0 if none */
   char upstream[MARJORAM_ID_MAX];
   char host[MARJORAM_HOST_NAME_MAX]; /* "" if not forwarded */
-  int64_t idle_deadline;             /* in input time; INT64_MAX: none */
+  int64_t idle_deadline; /* compared with input_time; INT64_MAX: none */
   int status;
   struct marjoram_header_list headers; /* of the answer */
   bool is_signed;
@@ -77,10 +77,10 @@
   /* Totals over all attempts.  */
   char tried[MARJORAM_TRIED_MAX][MARJORAM_ID_MAX];
   size_t tried_count;
-  int arrivals;           /* attempts that may have reached an upstream */
-  int runs;               /* attempts that may have run or still run */
-  int failed_connections; /* attempts without a connection */
-  bool forwarded_out;     /* forwarded to another region */
+  int arrivals; /* attempts that may have reached an upstream */
+  int runs;     /* attempts that may have run or still run */
+  int failed_connections;
+  bool forwarded_out;
   UT_hash_handle by_call;
   UT_hash_handle by_attempt;
 };
@@ -130,8 +130,9 @@
    it.  */
 void marjoram_exchange_send (marjoram_gateway *gateway,
                              struct marjoram_exchange *exchange, int64_t now);
-/* Whether an upstream that was not tried yet would accept the exchange now, or
-   another region, if nothing was sent to the caller yet.  */
+/* Whether an upstream that was not tried yet would accept the exchange now or,
+   unless the exchange is in state MARJORAM_EXCHANGE_STREAMING, another
+   region.  */
 bool
 marjoram_exchange_has_other_place (marjoram_gateway *gateway,
                                    const struct marjoram_exchange *exchange,
@@ -150,7 +151,6 @@
                                     int64_t now,
                                     enum marjoram_attempt_end how);
 
-/* Registers a new attempt under a new number.  */
 void marjoram_exchange_start_attempt (marjoram_gateway *gateway,
                                       struct marjoram_exchange *exchange);
 /* Time until the exchange's deadline, in ms.  */
@@ -191,11 +191,11 @@
 bool marjoram_exchange_is_next (const marjoram_gateway *gateway,
                                 const struct marjoram_exchange *exchange,
                                 const struct marjoram_place *chosen);
-/* Estimated wait for a place of SERVICE of a request with SORT_KEY.  */
+/* Estimated wait in ms of a request with SORT_KEY for a place at an upstream
+   of SERVICE.  */
 int64_t marjoram_gateway_wait_ms (const marjoram_gateway *gateway,
                                   const char *service, int64_t sort_key,
                                   const struct marjoram_place *place);
-/* Retries placement of queued requests in order.  */
 void marjoram_gateway_retry_queued (marjoram_gateway *gateway, int64_t now);
 
 /* gateway_answer.c */
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -23,7 +23,7 @@
   /* Minimum time left to the latency target; below it the deadline is
      used.  */
   TARGET_MIN_MS = 5,
-  FAILED_CONNECTIONS_MAX = 4, /* attempts without a connection */
+  FAILED_CONNECTIONS_MAX = 4,
   REFUSED_RETRY_MS = 250,
   URGENCY_MAX = 9
 };
--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -28,12 +28,13 @@
 marjoram_gateway_wait_ms (const marjoram_gateway *gateway, const char *service,
                           int64_t sort_key, const struct marjoram_place *place)
 {
-  int64_t ahead
+  int64_t tokens_ahead
       = marjoram_wait_queue_tokens_before (gateway->queue, service, sort_key);
 
   if (place->tokens_per_ms <= 0)
     return place->excess_ms;
-  return place->excess_ms + (int64_t)((double)ahead / place->tokens_per_ms);
+  return place->excess_ms
+         + (int64_t)((double)tokens_ahead / place->tokens_per_ms);
 }
 
 static bool
@@ -81,24 +82,23 @@
          == 0;
 }
 
-/* Whether a queued exchange may remain queued.  */
 static bool
 keep_waiting (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
               int64_t now, const struct marjoram_place *chosen)
 {
   struct marjoram_waiter *waiter = &exchange->waiter;
-  const int64_t later
+  const int64_t deadline_key
       = marjoram_wait_queue_sort_key (exchange->priority, waiter->start_by);
 
-  if (is_interrupted (exchange) && waiter->sort_key < later
+  if (is_interrupted (exchange) && waiter->sort_key < deadline_key
       && now >= exchange->queued_since + RESUME_FIRST_MS)
     {
       marjoram_wait_queue_remove (gateway->queue, waiter);
-      waiter->sort_key = later;
+      waiter->sort_key = deadline_key;
       marjoram_wait_queue_add (gateway->queue, waiter);
     }
-  /* Paused upstreams return; a service without any does not recover in
-     time.  */
+  /* Paused upstreams become usable again; a service without any does not get
+     one in time.  */
   return now < waiter->start_by && chosen->candidates > 0;
 }
 
@@ -114,8 +114,8 @@
   return chosen->outcome != MARJORAM_PLACE_NONE && chosen->tokens_per_ms > 0;
 }
 
-/* Queues requests in bursts, in which an engine's backlog lasts only some
-   hundred ms, instead of refusing them.  */
+/* Queues requests instead of refusing them, since in a burst the backlog of an
+   engine lasts only some hundred ms.  */
 bool
 marjoram_exchange_wait (marjoram_gateway *gateway,
                         struct marjoram_exchange *exchange, int64_t now,
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -6,8 +6,9 @@
 
 enum
 {
-  /* Time by which a request of the next lower priority must be more pressing
-     to go first.  Longer than a burst, shorter than the latency targets.  */
+  /* Time by which the latest useful start of a request of the next lower
+     priority must be earlier for it to go first.  Longer than a burst, shorter
+     than the latency targets.  */
   PRIORITY_STEP_MS = 1000
 };
 
