--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -20,7 +20,6 @@
   TICK_MS = 25,
   /* Validity of host state relayed by keepers, which send it every 20 s.  */
   RELAYED_VALID_MS = 27000,
-  /* Interval at which the settings file is checked for changes.  */
   SETTINGS_CHECK_MS = 1000,
   /* Time left before the drain limit for socket buffers to be written.  */
   EXIT_MARGIN_MS = 400,
@@ -43,13 +42,13 @@
   marjoram_metrics *metrics;
   marjoram_host_list *hosts;
   marjoram_host_links *links;
-  marjoram_api_server *asks;
-  struct marjoram_role_context parts;
+  marjoram_api_server *api_server;
+  struct marjoram_role_context role_context;
   struct marjoram_role *role;
   struct event *tick;
   struct event *signals[SIGNALS];
   int64_t stopping_at; /* 0 until the first signal */
-  bool cut;
+  bool drain_incomplete;
 };
 
 static int64_t
@@ -140,8 +139,8 @@
 }
 
 static void
-on_ask (void *context, uint64_t ask, const char *method, const char *target,
-        const char *body, size_t size)
+on_api_request (void *context, uint64_t request, const char *method,
+                const char *target, const char *body, size_t size)
 {
   marjoram_gateway_daemon *daemon = context;
   marjoram_auto_free char *text = NULL;
@@ -155,13 +154,14 @@
       type = STATUS_TYPE;
     }
   if (text)
-    marjoram_api_server_respond (daemon->asks, ask, STATUS_OK, type, text,
-                                 strlen (text));
+    marjoram_api_server_respond (daemon->api_server, request, STATUS_OK, type,
+                                 text, strlen (text));
   else
-    daemon->role->ops->ask (daemon->role, ask, method, target, body, size);
+    daemon->role->ops->ask (daemon->role, request, method, target, body, size);
 }
 
-static const struct marjoram_api_server_ops ask_ops = { .receive = on_ask };
+static const struct marjoram_api_server_ops api_server_ops
+    = { .receive = on_api_request };
 
 /* ---- Settings.  ---- */
 
@@ -182,7 +182,7 @@
       return;
     }
   daemon->settings = settings;
-  daemon->parts.settings = settings;
+  daemon->role_context.settings = settings;
   marjoram_host_links_set_seeds (daemon->links, settings);
   daemon->role->ops->reload (daemon->role);
   marjoram_event (MARJORAM_EVENT_PROCESS,
@@ -194,16 +194,17 @@
 static void
 check_settings_file (marjoram_gateway_daemon *daemon, int64_t now)
 {
-  struct stat is;
-  const struct stat *was = &daemon->settings_stat;
+  struct stat current;
+  const struct stat *previous = &daemon->settings_stat;
 
   if (now < daemon->settings_checked_at + SETTINGS_CHECK_MS)
     return;
   daemon->settings_checked_at = now;
-  if (stat (daemon->settings_path, &is) == 0
-      && (is.st_mtim.tv_sec != was->st_mtim.tv_sec
-          || is.st_mtim.tv_nsec != was->st_mtim.tv_nsec
-          || is.st_size != was->st_size || is.st_ino != was->st_ino))
+  if (stat (daemon->settings_path, &current) == 0
+      && (current.st_mtim.tv_sec != previous->st_mtim.tv_sec
+          || current.st_mtim.tv_nsec != previous->st_mtim.tv_nsec
+          || current.st_size != previous->st_size
+          || current.st_ino != previous->st_ino))
     reload (daemon, "changed");
 }
 
@@ -216,8 +217,8 @@
 
   if (daemon->stopping_at == 0)
     return;
-  daemon->cut = !daemon->role->ops->finished (daemon->role, now);
-  if (!daemon->cut || now >= daemon->stopping_at + limit)
+  daemon->drain_incomplete = !daemon->role->ops->finished (daemon->role, now);
+  if (!daemon->drain_incomplete || now >= daemon->stopping_at + limit)
     event_base_loopbreak (daemon->base);
 }
 
@@ -275,7 +276,7 @@
 
   for (size_t i = 0; i < sizeof addresses / sizeof *addresses; i++)
     if (addresses[i]
-        && !marjoram_api_server_listen (daemon->asks, addresses[i], err))
+        && !marjoram_api_server_listen (daemon->api_server, addresses[i], err))
       return false;
   return true;
 }
@@ -285,7 +286,7 @@
              const struct marjoram_dialect *dialect,
              struct marjoram_error *err)
 {
-  daemon->parts = (struct marjoram_role_context){
+  daemon->role_context = (struct marjoram_role_context){
     .base = daemon->base,
     .clock = daemon->clock,
     .dialect = dialect,
@@ -293,12 +294,13 @@
     .metrics = daemon->metrics,
     .hosts = daemon->hosts,
     .links = daemon->links,
-    .asks = daemon->asks,
+    .asks = daemon->api_server,
     .incarnation = new_incarnation (daemon->clock),
   };
-  daemon->role = daemon->settings->role == MARJORAM_ROLE_ENTRY
-                     ? marjoram_entry_role_create (&daemon->parts, err)
-                     : marjoram_keeper_role_create (&daemon->parts, err);
+  daemon->role
+      = daemon->settings->role == MARJORAM_ROLE_ENTRY
+            ? marjoram_entry_role_create (&daemon->role_context, err)
+            : marjoram_keeper_role_create (&daemon->role_context, err);
   return daemon->role != NULL;
 }
 
@@ -339,7 +341,8 @@
   daemon->hosts = marjoram_host_list_create ();
   if (settings->role == MARJORAM_ROLE_ENTRY)
     marjoram_host_list_set_relayed_valid (daemon->hosts, RELAYED_VALID_MS);
-  daemon->asks = marjoram_api_server_create (daemon->base, &ask_ops, daemon);
+  daemon->api_server
+      = marjoram_api_server_create (daemon->base, &api_server_ops, daemon);
   daemon->links = marjoram_host_links_create (
       daemon->base, daemon->clock, settings, new_incarnation (daemon->clock),
       daemon->hosts, &links_ops, daemon, err);
@@ -371,7 +374,7 @@
   marjoram_host_links_destroy (daemon->links);
   if (role)
     role->ops->destroy (role);
-  marjoram_api_server_destroy (daemon->asks);
+  marjoram_api_server_destroy (daemon->api_server);
   marjoram_host_list_destroy (daemon->hosts);
   marjoram_metrics_destroy (daemon->metrics);
   event_base_free (daemon->base);
@@ -391,10 +394,11 @@
                   settings->role == MARJORAM_ROLE_ENTRY ? "entry" : "keeper",
                   settings->zone, settings->region, settings->ip,
                   settings->seed_count, settings->first_start,
-                  daemon->parts.incarnation);
+                  daemon->role_context.incarnation);
   marjoram_event_log_flush ();
   event_base_dispatch (daemon->base);
-  marjoram_event (MARJORAM_EVENT_PROCESS, "state=stop cut=%d", daemon->cut);
+  marjoram_event (MARJORAM_EVENT_PROCESS, "state=stop cut=%d",
+                  daemon->drain_incomplete);
   marjoram_event_log_flush ();
-  return !daemon->cut;
+  return !daemon->drain_incomplete;
 }
