--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -25,7 +25,8 @@
 {
   char *service;
   uint64_t upstreams; /* warm upstreams */
-  uint64_t wait_ms;   /* at the least loaded, excluding own prompt */
+  uint64_t wait_ms;   /* at the least loaded, excluding the request's own
+                         prompt */
   /* Mean time to process queued prompts, averaged over all warm upstreams and
      over time.  */
   uint64_t backlog_ms;
@@ -150,7 +151,7 @@
 /* Requests the next piece of a state.  */
 struct marjoram_state_ask
 {
-  uint64_t number;      /* of the state */
+  uint64_t number;
   uint64_t base;        /* number of the state the host holds; 0: none */
   uint64_t base_digest; /* digest of that state's bytes */
   uint64_t offset;
--- a/src/gateway_report.h
+++ b/src/gateway_report.h
@@ -10,9 +10,7 @@
 
 #include <jansson.h>
 
-/* Known hosts and the time since their last heartbeat.  */
 json_t *marjoram_gateway_report_hosts (marjoram_host_list *hosts, int64_t now);
-/* Known upstreams and whether they are usable.  */
 json_t *marjoram_gateway_report_upstreams (marjoram_registry *registry,
                                            int64_t now);
 json_t *marjoram_gateway_report_zones (const struct marjoram_names *zones);
