--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -142,9 +142,9 @@
              const struct account *account, size_t hosts)
 {
   const struct marjoram_repeat_use *sums = &account->sums;
-  double heard = hosts ? (double)account->sums_hosts / (double)hosts : 1;
+  double coverage = hosts ? (double)account->sums_hosts / (double)hosts : 1;
   double bound = budget->terms.ratio * (double)sums->requests
-                 + budget->terms.allowance * (heard < 1 ? heard : 1);
+                 + budget->terms.allowance * (coverage < 1 ? coverage : 1);
 
   return bound > 0 ? (double)(sums->repeats + account->taken + 1) / bound : 0;
 }
--- a/src/repeat_budget.h
+++ b/src/repeat_budget.h
@@ -43,7 +43,7 @@
                                       int64_t now,
                                       struct marjoram_repeat_use *items,
                                       size_t max);
-/* Applies the sums that a keeper answered.  */
+/* Applies the sums received from a keeper.  */
 void
 marjoram_repeat_budget_apply_sums (marjoram_repeat_budget *budget, int64_t now,
                                    const struct marjoram_repeat_sums *sums);
--- a/src/repeat_sums.c
+++ b/src/repeat_sums.c
@@ -34,7 +34,7 @@
   int64_t updated_at;
   struct host_use *uses;
   size_t count;
-  size_t capacity; /* allocated uses */
+  size_t capacity;
   UT_hash_handle hh;
 };
 
--- a/src/retry.c
+++ b/src/retry.c
@@ -1,22 +1,22 @@
 #include "retry.h"
 
-#define RETRY_PART 0.1
+#define RETRY_RATIO 0.1
 /* Maximum number of saved tokens, which limits retry bursts after idle
    periods; also the initial balance.  */
-#define SAVED_MAX 10.0
+#define TOKENS_MAX 10.0
 
 void
 marjoram_retry_budget_init (struct marjoram_retry_budget *budget)
 {
-  budget->tokens = SAVED_MAX;
+  budget->tokens = TOKENS_MAX;
 }
 
 void
 marjoram_retry_budget_earn (struct marjoram_retry_budget *budget)
 {
-  budget->tokens += RETRY_PART;
-  if (budget->tokens > SAVED_MAX)
-    budget->tokens = SAVED_MAX;
+  budget->tokens += RETRY_RATIO;
+  if (budget->tokens > TOKENS_MAX)
+    budget->tokens = TOKENS_MAX;
 }
 
 bool
