--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -15,7 +15,7 @@
   /* Crashes after which a request is refused.  Above two, since a power loss
      of a region can hit a harmless request and its retry.  */
   CRASH_LIMIT = 3,
-  /* Covers retries by the caller within seconds and by hand within
+  /* Covers automatic retries within seconds and manual ones within
      minutes.  */
   KEEP_MS = 10 * 60 * 1000,
   /* Maximum number of entries; the oldest are evicted.  Covers 100 upstreams
@@ -35,7 +35,6 @@
   TAILQ_ENTRY (entry) link; /* least recently updated first */
 };
 
-/* One item of the next report.  */
 struct report_item
 {
   char digest[MARJORAM_DIGEST_HEX_LENGTH + 1];
@@ -65,7 +64,7 @@
 /* ---- Entries.  ---- */
 
 static struct entry *
-find (const marjoram_crash_list *list, const char *digest)
+find_entry (const marjoram_crash_list *list, const char *digest)
 {
   struct entry *entry;
 
@@ -117,12 +116,13 @@
   return entry;
 }
 
-/* Counts a crash once, although several hosts or attempts may report it.  */
+/* Counts a crash once, although several hosts or attempts may report it.
+   Returns whether it was counted.  */
 static bool
-add_death (marjoram_crash_list *list, int64_t now, const char *digest,
+add_crash (marjoram_crash_list *list, int64_t now, const char *digest,
            const char *life)
 {
-  struct entry *entry = find (list, digest);
+  struct entry *entry = find_entry (list, digest);
 
   if (!entry)
     entry = add_entry (list, digest);
@@ -161,7 +161,8 @@
 /* ---- Local events. ---- */
 
 static void
-report (marjoram_crash_list *list, const char *digest, const char *life)
+add_report_item (marjoram_crash_list *list, const char *digest,
+                 const char *life)
 {
   struct report_item *report_item = marjoram_alloc (sizeof *report_item);
 
@@ -186,28 +187,28 @@
   if (was_answered (list, digest))
     return;
   snprintf (life, sizeof life, "%s/%" PRId64, upstream, born);
-  if (add_death (list, now, digest, life))
-    report (list, digest, life);
+  if (add_crash (list, now, digest, life))
+    add_report_item (list, digest, life);
 }
 
 void
 marjoram_crash_list_add_answer (marjoram_crash_list *list, const char *digest)
 {
-  struct entry *entry = find (list, digest);
+  struct entry *entry = find_entry (list, digest);
   uint64_t number = digest_prefix (digest);
 
   list->answered[number % ANSWERED_SLOTS] = number;
   if (!entry)
     return;
   remove_entry (list, entry);
-  report (list, digest, "");
+  add_report_item (list, digest, "");
 }
 
 bool
 marjoram_crash_list_is_blocked (const marjoram_crash_list *list, int64_t now,
                                 const char *digest)
 {
-  const struct entry *entry = find (list, digest);
+  const struct entry *entry = find_entry (list, digest);
 
   return entry && entry->count == CRASH_LIMIT && now < entry->expires;
 }
@@ -218,7 +219,7 @@
 apply_item (marjoram_crash_list *list, int64_t now,
             const struct marjoram_crash_item *item)
 {
-  struct entry *entry = find (list, item->digest);
+  struct entry *entry = find_entry (list, item->digest);
 
   if (!item->life || !*item->life)
     {
@@ -226,9 +227,9 @@
         remove_entry (list, entry);
     }
   else if (was_answered (list, item->digest))
-    report (list, item->digest, "");
+    add_report_item (list, item->digest, "");
   else
-    add_death (list, now, item->digest, item->life);
+    add_crash (list, now, item->digest, item->life);
 }
 
 void
@@ -280,13 +281,13 @@
                             struct marjoram_crash_report *out)
 {
   const struct entry *entry;
-  size_t room = HASH_COUNT (list->table) * CRASH_LIMIT;
+  size_t capacity = HASH_COUNT (list->table) * CRASH_LIMIT;
 
-  if (room > MARJORAM_CRASHES_MAX)
-    room = MARJORAM_CRASHES_MAX;
+  if (capacity > MARJORAM_CRASHES_MAX)
+    capacity = MARJORAM_CRASHES_MAX;
   out->items.count = 0;
   out->items.items
-      = marjoram_alloc (room * sizeof (struct marjoram_crash_item));
+      = marjoram_alloc (capacity * sizeof (struct marjoram_crash_item));
   TAILQ_FOREACH (entry, &list->entries, link)
   for (size_t i = 0; i < entry->count; i++)
     add_item (out, entry->digest, entry->instances[i]);
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -331,8 +331,8 @@
     drop_run (suspects, upstream_entry, run);
 }
 
-/* A conviction is not cleared, since a request need not crash at every
-   run.  */
+/* A conviction is not cleared, since a convicted request need not crash in
+   every run.  */
 static bool
 clear_entry (marjoram_suspects *suspects, int64_t now, const char *digest)
 {
@@ -458,7 +458,7 @@
 static void
 suspect_run (marjoram_suspects *suspects, int64_t now,
              const struct upstream_entry *upstream_entry,
-             const struct run *run, bool alone,
+             const struct run *run, bool only_suspect,
              marjoram_suspects_report *report, void *context)
 {
   enum marjoram_suspicion before
@@ -472,7 +472,7 @@
     become_suspect (suspects, entry, upstream_entry->upstream);
   if (before == MARJORAM_SUSPICION_NONE || suspect)
     entry->deaths++;
-  if (suspect && alone)
+  if (suspect && only_suspect)
     entry->suspicion = MARJORAM_SUSPICION_CONVICTED;
   message.suspicion = entry->suspicion;
   message.deaths = entry->deaths;
@@ -489,20 +489,21 @@
 {
   struct upstream_entry *upstream_entry = find_upstream (suspects, upstream);
   const struct run *run;
-  bool alone;
+  bool only_suspect;
 
   if (!upstream_entry)
     return;
   HASH_DEL (suspects->upstreams, upstream_entry);
-  alone = count_suspects (suspects, now, upstream_entry) == 1;
+  only_suspect = count_suspects (suspects, now, upstream_entry) == 1;
   TAILQ_FOREACH (run, &upstream_entry->runs, link)
   if (run->local_runs > 0)
-    suspect_run (suspects, now, upstream_entry, run, alone, report, context);
+    suspect_run (suspects, now, upstream_entry, run, only_suspect, report,
+                 context);
   free_upstream_entry (suspects, upstream_entry);
 }
 
 static void
-learn_run (marjoram_suspects *suspects, int64_t now,
+apply_run (marjoram_suspects *suspects, int64_t now,
            const struct marjoram_suspect_message *message)
 {
   struct upstream_entry *upstream_entry
@@ -525,7 +526,7 @@
 }
 
 static void
-learn_suspicion (marjoram_suspects *suspects, int64_t now,
+apply_suspicion (marjoram_suspects *suspects, int64_t now,
                  const struct marjoram_suspect_message *message)
 {
   enum marjoram_suspicion before
@@ -549,9 +550,9 @@
   if (!message->digest || message->suspicion > MARJORAM_SUSPICION_CONVICTED)
     return;
   if (message->upstream)
-    learn_run (suspects, now, message);
+    apply_run (suspects, now, message);
   if (message->suspicion != MARJORAM_SUSPICION_NONE)
-    learn_suspicion (suspects, now, message);
+    apply_suspicion (suspects, now, message);
   else if (!message->upstream)
     clear_entry (suspects, now, message->digest);
 }
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -54,7 +54,6 @@
 /* Clears a request that was answered completely.  */
 void marjoram_suspects_cleared (marjoram_suspects *suspects, int64_t now,
                                 const char *digest);
-/* Whether DIGEST may start at UPSTREAM now.  */
 bool marjoram_suspects_may_start (const marjoram_suspects *suspects,
                                   int64_t now, const char *upstream,
                                   const char *digest);
