--- a/src/replay.h
+++ b/src/replay.h
@@ -21,8 +21,8 @@
   MARJORAM_REPLAY_FRESH,
   MARJORAM_REPLAY_EXPIRED, /* expired, or sent before this host started */
   MARJORAM_REPLAY_EARLY,   /* timestamp ahead of this host's clock */
-  MARJORAM_REPLAY_REUSED,  /* nonce already used */
-  MARJORAM_REPLAY_FULL     /* too many nonces stored */
+  MARJORAM_REPLAY_REUSED,
+  MARJORAM_REPLAY_FULL /* too many nonces stored */
 };
 
 marjoram_replays *marjoram_replays_create (int64_t started);
--- a/src/residency.h
+++ b/src/residency.h
@@ -30,7 +30,6 @@
                                     int caller);
 uint64_t marjoram_residency_workload (const marjoram_residency *residency,
                                       int workload);
-/* Regions in which CALLER's requests for WORKLOAD may run.  */
 uint64_t marjoram_residency_allowed (const marjoram_residency *residency,
                                      int caller, int workload);
 size_t marjoram_residency_memory (const marjoram_residency *residency);
