--- a/src/choose.c
+++ b/src/choose.c
@@ -38,7 +38,7 @@
   marjoram_config *config;
   marjoram_pools *pools;
   marjoram_cache_index *cache;
-  double peer_weight; /* weight of a request of this host */
+  double peer_weight;
   int64_t peer_weight_updated;
 };
 
@@ -190,7 +190,6 @@
   return false;
 }
 
-/* State of one selection.  */
 struct selection
 {
   marjoram_chooser *chooser;
@@ -376,13 +375,13 @@
 marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work)
 {
   struct marjoram_pool *pool = marjoram_pools_get (chooser->pools, work);
-  struct marjoram_pool_capacity *room = &pool->room;
+  struct marjoram_pool_capacity *capacity = &pool->room;
 
   if (now < pool->capacity_updated_at + CAPACITY_CACHE_MS)
-    return room;
-  *room = (struct marjoram_pool_capacity){ 0 };
+    return capacity;
+  *capacity = (struct marjoram_pool_capacity){ 0 };
   pool->capacity_updated_at = now;
-  room->wait_ms = HUGE_VAL;
+  capacity->wait_ms = HUGE_VAL;
   for (int i = 0; i < pool->count; i++)
     {
       const struct marjoram_candidate *candidate = &pool->candidates[i];
@@ -391,17 +390,18 @@
 
       if (!marjoram_upstream_usable (candidate->upstream, now))
         continue;
-      room->upstreams++;
-      room->factor += candidate->latency->factor;
-      room->slots += slots;
-      room->load += load;
-      room->free += fmax (0, slots - load);
-      room->wait_ms = fmin (room->wait_ms, fmax (0, load - slots + 1) / slots
-                                               * pool->mean_ms
-                                               * candidate->latency->factor);
+      capacity->upstreams++;
+      capacity->factor += candidate->latency->factor;
+      capacity->slots += slots;
+      capacity->load += load;
+      capacity->free += fmax (0, slots - load);
+      capacity->wait_ms = fmin (
+          capacity->wait_ms, fmax (0, load - slots + 1) / slots * pool->mean_ms
+                                 * candidate->latency->factor);
     }
-  room->factor = room->upstreams ? room->factor / room->upstreams : 1;
-  return room;
+  capacity->factor
+      = capacity->upstreams ? capacity->factor / capacity->upstreams : 1;
+  return capacity;
 }
 
 /* Ejects an upstream that reports itself healthy but is much slower than its
--- a/src/choose.h
+++ b/src/choose.h
@@ -34,7 +34,7 @@
 void marjoram_chooser_pick (marjoram_chooser *chooser, int64_t now,
                             const struct marjoram_query *query,
                             struct marjoram_pick *pick);
-/* The result is cached for a short time.  */
+/* The result may be up to 50 ms old.  */
 const struct marjoram_pool_capacity *
 marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work);
 /* Estimated time of QUERY at an idle upstream with a cold cache.  */
--- a/src/route.c
+++ b/src/route.c
@@ -53,7 +53,7 @@
   marjoram_config *config;
   marjoram_limits *limits;
   marjoram_chooser *chooser;
-  marjoram_offer_table *loans;
+  marjoram_offer_table *zone_offers;
   marjoram_fair_share *fair;
   struct marjoram_retry_budget budget;
 };
@@ -71,7 +71,7 @@
   router->random = random;
   router->limits = marjoram_limits_create (marjoram_members_self (members));
   router->chooser = marjoram_chooser_create (members, suspects, random);
-  router->loans = marjoram_offer_table_create (random);
+  router->zone_offers = marjoram_offer_table_create (random);
   router->fair = marjoram_fair_share_create ();
   marjoram_retry_budget_init (&router->budget);
   return router;
@@ -84,7 +84,7 @@
     return;
   marjoram_limits_destroy (router->limits);
   marjoram_chooser_destroy (router->chooser);
-  marjoram_offer_table_destroy (router->loans);
+  marjoram_offer_table_destroy (router->zone_offers);
   marjoram_fair_share_destroy (router->fair);
   marjoram_config_release (router->config);
   free (router->zone_name);
@@ -105,7 +105,7 @@
                             marjoram_members_self (router->members));
   marjoram_limits_configure (router->limits, now, config, router->zone);
   marjoram_chooser_configure (router->chooser, config);
-  marjoram_offer_table_configure (router->loans, config, router->zone);
+  marjoram_offer_table_configure (router->zone_offers, config, router->zone);
   marjoram_fair_share_configure (router->fair, config);
 }
 
@@ -150,7 +150,6 @@
          << marjoram_config_zone (router->config, router->zone)->region;
 }
 
-/* Inputs of a routing decision.  */
 struct route_inputs
 {
   uint64_t allowed;       /* bit mask of regions */
@@ -161,7 +160,7 @@
   double unloaded_ms;
   struct marjoram_pick pick;
   struct marjoram_zone_estimate same_region; /* another zone of this region */
-  struct marjoram_zone_estimate remote_region; /* another region */
+  struct marjoram_zone_estimate remote_region;
 };
 
 static bool
@@ -220,21 +219,21 @@
   if (query->forwarded || query->bound)
     return;
   marjoram_offer_table_find_best (
-      router->loans, now, query, inputs->allowed & own_region (router),
+      router->zone_offers, now, query, inputs->allowed & own_region (router),
       inputs->unloaded_ms, inputs->no_local_upstream, &inputs->same_region);
   marjoram_offer_table_find_best (
-      router->loans, now, query, inputs->allowed & ~own_region (router),
+      router->zone_offers, now, query, inputs->allowed & ~own_region (router),
       inputs->unloaded_ms, inputs->no_local_upstream, &inputs->remote_region);
 }
 
 static void
-choose_forward (const struct marjoram_zone_estimate *loan,
+choose_forward (const struct marjoram_zone_estimate *estimate,
                 bool no_local_upstream, struct marjoram_choice *choice)
 {
   choice->verdict = MARJORAM_VERDICT_FORWARD;
   choice->no_local_upstream = no_local_upstream;
-  choice->zone = loan->zone;
-  choice->expected_ms = (int64_t)loan->total_ms;
+  choice->zone = estimate->zone;
+  choice->expected_ms = (int64_t)estimate->total_ms;
 }
 
 static void
@@ -253,16 +252,18 @@
                 const struct marjoram_query *query,
                 const struct route_inputs *inputs)
 {
-  uint64_t reach = query->forwarded || query->bound ? 0 : UINT64_MAX;
+  uint64_t reachable = query->forwarded || query->bound ? 0 : UINT64_MAX;
   bool known = inputs->pick.upstream
                || marjoram_offer_table_has_upstreams (
-                   router->loans, now, query->work, inputs->allowed & reach);
+                   router->zone_offers, now, query->work,
+                   inputs->allowed & reachable);
   bool forbidden
       = (!inputs->zone_allowed
          && marjoram_chooser_capacity (router->chooser, now, query->work)->free
                 >= 1)
-        || marjoram_offer_table_has_capacity (router->loans, now, query->work,
-                                              ~inputs->allowed & reach);
+        || marjoram_offer_table_has_capacity (router->zone_offers, now,
+                                              query->work,
+                                              ~inputs->allowed & reachable);
 
   if (forbidden)
     return MARJORAM_REASON_RESIDENCY;
@@ -409,7 +410,7 @@
                                  int zone, int work)
 {
   if (in_range (router, zone, work))
-    marjoram_offer_table_request_sent (router->loans, now, zone, work);
+    marjoram_offer_table_request_sent (router->zone_offers, now, zone, work);
 }
 
 void
@@ -417,7 +418,7 @@
                                int work, bool failed)
 {
   if (in_range (router, zone, work))
-    marjoram_offer_table_request_ended (router->loans, now, zone, work,
+    marjoram_offer_table_request_ended (router->zone_offers, now, zone, work,
                                         failed);
 }
 
@@ -447,8 +448,8 @@
   marjoram_limits_process_report (router->limits, now, zone,
                                   (int)offers->ordinal, &offers->usages);
   if (zone != router->zone)
-    marjoram_offer_table_update (router->loans, now, zone, &offers->offers,
-                                 link_ms);
+    marjoram_offer_table_update (router->zone_offers, now, zone,
+                                 &offers->offers, link_ms);
 }
 
 void
@@ -474,24 +475,24 @@
   offers->offers.items = items;
   for (int i = 0; i < works && i < MARJORAM_OFFERS_MAX; i++)
     {
-      const struct marjoram_pool_capacity *room
+      const struct marjoram_pool_capacity *capacity
           = marjoram_chooser_capacity (router->chooser, now, i);
       struct marjoram_offer *item = &items[offers->offers.count];
 
-      if (room->upstreams == 0)
+      if (capacity->upstreams == 0)
         continue;
       item->work
           = marjoram_strdup (marjoram_config_work (router->config, i)->name);
       item->room = marjoram_offer_table_allocate (
-          router->loans, now, zone, i,
-          room->free - room->slots * RESERVED_FRACTION);
-      item->wait_ms = room->free >= 1 ? 0 : (int64_t)fmax (1, room->wait_ms);
-      item->upstreams = room->upstreams;
+          router->zone_offers, now, zone, i,
+          capacity->free - capacity->slots * RESERVED_FRACTION);
+      item->wait_ms
+          = capacity->free >= 1 ? 0 : (int64_t)fmax (1, capacity->wait_ms);
+      item->upstreams = capacity->upstreams;
       offers->offers.count++;
     }
 }
 
-/* Bounded text buffer.  */
 struct text_buffer
 {
   char *data;
@@ -529,14 +530,14 @@
 
 static void
 append_offer (struct text_buffer *text, const marjoram_router *router,
-              const struct marjoram_zone_estimate *loan, const char *label)
+              const struct marjoram_zone_estimate *estimate, const char *label)
 {
-  if (loan->zone < 0)
+  if (estimate->zone < 0)
     append (text, "%s: no allowed zone offers capacity\n", label);
   else
     append (text, "%s: zone %s offers capacity, total %.0f ms\n", label,
-            marjoram_config_zone (router->config, loan->zone)->name,
-            loan->total_ms);
+            marjoram_config_zone (router->config, estimate->zone)->name,
+            estimate->total_ms);
 }
 
 char *
--- a/src/route.h
+++ b/src/route.h
@@ -65,7 +65,7 @@
                              struct marjoram_choice *choice);
 /* Takes one retry from the budget.  Returns false if it is exhausted.  */
 bool marjoram_router_retry (marjoram_router *router, int64_t now);
-/* A request forwarded to ZONE was sent, or has ended.  */
+/* Record that a request forwarded to ZONE was sent or has ended.  */
 void marjoram_router_forward_started (marjoram_router *router, int64_t now,
                                       int zone, int work);
 void marjoram_router_forward_ended (marjoram_router *router, int64_t now,
@@ -83,9 +83,10 @@
                                      const struct marjoram_offers *offers,
                                      int64_t link_ms);
 /* Fills OFFERS with what to send to a host of ZONE; to be called every
-   second.  For hosts of the own zone it holds only caller usage, from which
-   the zone's share of each rate limit is divided.  The caller clears OFFERS by
-   its layout.  */
+   second.  For hosts of the own zone it holds only caller usage, by which
+   the zone's share of each rate limit is divided among them; without it the
+   share is divided equally.  Free the contents of OFFERS with
+   marjoram_wire_clear.  */
 void marjoram_router_build_offers (marjoram_router *router, int64_t now,
                                    int zone, struct marjoram_offers *offers);
 /* Returns a description of how CHOICE was made, one line for each candidate.
