--- a/src/route_file.c
+++ b/src/route_file.c
@@ -31,7 +31,6 @@
 static const char *const kind_names[]
     = { "idempotent", "non-idempotent", "stream", "resumable-stream", NULL };
 
-/* The keys of a [route] section.  */
 struct route_section
 {
   char *host;
@@ -61,7 +60,7 @@
     NULL, 1, 9e15, NULL },
 };
 
-/* The objective defaults to the timeout, and a request to one upstream.  */
+/* An objective of 0 means the timeout.  */
 static const struct marjoram_ini_key route_keys[] = {
   { "host", MARJORAM_INI_TEXT, ROUTE_OFFSET (host), NULL, 1, HOST_TEXT_MAX,
     NULL },
@@ -113,7 +112,6 @@
     "15000", 100, HOUR_MS, NULL },
 };
 
-/* State of one parse.  */
 struct parse_context
 {
   const struct marjoram_ini_file *file;
@@ -146,10 +144,10 @@
     abort ();
   target->weight = colon ? strtoll (colon + 1, &end, DECIMAL) : 1;
   if (colon && (end == colon + 1 || *end || target->weight < 0))
-    marjoram_faults_add (context->faults, context->file->path,
-                         marjoram_ini_line (section, "services"),
-                         "\"%.80s\" has no weight; write NAME or NAME:NUMBER",
-                         text);
+    marjoram_faults_add (
+        context->faults, context->file->path,
+        marjoram_ini_line (section, "services"),
+        "\"%.80s\" has an invalid weight; write NAME or NAME:NUMBER", text);
 }
 
 static void
@@ -211,19 +209,19 @@
 static void
 read_global_sections (const struct parse_context *context)
 {
-  static const struct marjoram_ini_section nothing
+  static const struct marjoram_ini_section no_callers
       = { .kind = (char *)"callers", .name = (char *)"" };
-  const struct marjoram_ini_section *head
+  const struct marjoram_ini_section *routes
       = marjoram_ini_section (context->file, "routes");
   const struct marjoram_ini_section *callers
       = marjoram_ini_section (context->file, "callers");
   struct routes_section values = { 0 };
 
-  marjoram_ini_read (context->file, callers ? callers : &nothing, caller_keys,
-                     COUNT (caller_keys), &context->table->callers,
-                     context->faults);
-  if (head)
-    marjoram_ini_read (context->file, head, routes_keys, COUNT (routes_keys),
+  marjoram_ini_read (context->file, callers ? callers : &no_callers,
+                     caller_keys, COUNT (caller_keys),
+                     &context->table->callers, context->faults);
+  if (routes)
+    marjoram_ini_read (context->file, routes, routes_keys, COUNT (routes_keys),
                        &values, context->faults);
   else
     marjoram_faults_add (context->faults, context->file->path, 0,
--- a/src/route_file.h
+++ b/src/route_file.h
@@ -1,4 +1,4 @@
-/* Operators' own form of the routes: an INI file.
+/* Parser of the route configuration that operators write, an INI file.
 
      [routes]
      version = 12
@@ -19,7 +19,7 @@
 
 /* Whether TEXT starts like an INI file, with a section or a comment.  */
 bool marjoram_route_file_is (const char *text, size_t size);
-/* Returns NULL and sets ERR to the first fault, with its line and remedy.  */
+/* Returns NULL and sets ERR to the first error, with its line and remedy.  */
 struct marjoram_route_table *
 marjoram_route_file_read (const char *text, size_t size,
                           struct marjoram_error *err);
--- a/src/route_table.c
+++ b/src/route_table.c
@@ -160,12 +160,12 @@
 }
 
 static bool
-same_host (const char *configured, const char *asked)
+same_host (const char *configured, const char *requested)
 {
-  size_t length = strcspn (asked, ":");
+  size_t length = strcspn (requested, ":");
 
   return strlen (configured) == length
-         && strncasecmp (configured, asked, length) == 0;
+         && strncasecmp (configured, requested, length) == 0;
 }
 
 const struct marjoram_route_rule *
--- a/src/route_table.h
+++ b/src/route_table.h
@@ -93,7 +93,6 @@
 const char *
 marjoram_route_pick_service (const struct marjoram_route_rule *route,
                              const char *key);
-/* Whether REGION may run requests of ROUTE.  */
 bool marjoram_route_allows (const struct marjoram_route_rule *route,
                             const char *region);
 /* Number of routes of HOST restricted to home regions that include REGION.  */
