--- a/src/place.c
+++ b/src/place.c
@@ -166,7 +166,7 @@
 count_replicas (const marjoram_place *place, int64_t now,
                 const marjoram_members *members, const char *model)
 {
-  int copies = 0;
+  int replicas = 0;
 
   for (size_t i = 0; i < marjoram_members_count (members); i++)
     {
@@ -177,9 +177,9 @@
 
       if (marjoram_upstream_usable (upstream, now)
           && (contains_name (&a->works, model) || (load && load->number)))
-        copies++;
+        replicas++;
     }
-  return copies;
+  return replicas;
 }
 
 /* An engine loads one model at a time.  */
@@ -249,9 +249,9 @@
 }
 
 static void
-give (marjoram_place *place, int64_t now, uint64_t fence,
-      const struct marjoram_announcement *engine,
-      const struct marjoram_work *model)
+send_order (marjoram_place *place, int64_t now, uint64_t fence,
+            const struct marjoram_announcement *engine,
+            const struct marjoram_work *model)
 {
   struct load *load = find_or_add_load (place, engine->name, model->name);
   struct marjoram_order order
@@ -259,7 +259,8 @@
 
   load->number = order.number;
   load->until = now + 2 * model->load_ms + LOAD_MARGIN_MS;
-  marjoram_log (MARJORAM_LOG_NOTICE, "orders %s to load %s, fence %llu",
+  marjoram_log (MARJORAM_LOG_NOTICE,
+                "ordering engine %s to load model %s, fence %llu",
                 engine->name, model->name, (unsigned long long)fence);
   place->ops->give (place->context, &order);
 }
@@ -282,7 +283,7 @@
     return;
   fence = fence_for (config, orders, now, work, engine);
   if (fence)
-    give (place, now, fence, engine, model);
+    send_order (place, now, fence, engine, model);
 }
 
 void
--- a/src/place.h
+++ b/src/place.h
@@ -23,7 +23,7 @@
   uint64_t number; /* matches the reply to the order */
   const char *address;
   uint64_t fence;
-  const char *model; /* model to load */
+  const char *model;
 };
 
 struct marjoram_place_ops
