--- a/src/member.c
+++ b/src/member.c
@@ -323,12 +323,12 @@
                         size_t index, struct marjoram_announcement *out)
 {
   const struct member *member = members->list[index];
-  int64_t rest = member->view.expires - now;
+  int64_t remaining = member->view.expires - now;
 
-  if (!member->announcement.leaving && (rest <= 0 || member->view.dead))
+  if (!member->announcement.leaving && (remaining <= 0 || member->view.dead))
     return false;
   *out = member->announcement;
-  out->lease_ms = rest > 0 ? (uint64_t)rest : 0;
+  out->lease_ms = remaining > 0 ? (uint64_t)remaining : 0;
   return true;
 }
 
@@ -411,7 +411,7 @@
   struct member *member = find_member (members, name);
   unsigned doublings;
   size_t alive = 0;
-  size_t out = 0;
+  size_t unavailable = 0;
 
   if (!member || now < member->view.ejected_until)
     return false;
@@ -425,11 +425,11 @@
       alive++;
       if (other != member
           && (other->view.dead || now < other->view.ejected_until))
-        out++;
+        unavailable++;
     }
   /* Keeps some replicas in service when a fault affects all of them: the
      remaining ones would be overloaded.  */
-  if ((out + 1) * EJECT_MAX_INVERSE > alive)
+  if ((unavailable + 1) * EJECT_MAX_INVERSE > alive)
     return false;
   doublings = member->view.ejections < EJECT_DOUBLINGS ? member->view.ejections
                                                        : EJECT_DOUBLINGS;
--- a/src/member.h
+++ b/src/member.h
@@ -50,10 +50,10 @@
 
 enum marjoram_announce_result
 {
-  MARJORAM_ANNOUNCE_NEW,       /* propagate at once */
-  MARJORAM_ANNOUNCE_RENEWED,   /* propagate with the next batch */
-  MARJORAM_ANNOUNCE_STALE,     /* older incarnation or sequence */
-  MARJORAM_ANNOUNCE_WRONG_ZONE /* belongs to another zone */
+  MARJORAM_ANNOUNCE_NEW,     /* propagate at once */
+  MARJORAM_ANNOUNCE_RENEWED, /* propagate with the next batch */
+  MARJORAM_ANNOUNCE_STALE,   /* older incarnation or sequence */
+  MARJORAM_ANNOUNCE_WRONG_ZONE
 };
 
 /* An upstream as known to this host.  The pointer is valid while
@@ -68,7 +68,7 @@
   unsigned started;   /* of this host since the last report */
   unsigned finished;  /* of this host since the last report */
   unsigned failures;  /* consecutive */
-  unsigned ejections; /* since its last restart */
+  unsigned ejections; /* since it last restarted or returned */
   int64_t ejected_until;
   bool dead; /* detected as dead, and no announcement since */
 };
@@ -81,22 +81,21 @@
 int marjoram_members_self (const marjoram_members *members);
 const char *marjoram_members_zone (const marjoram_members *members);
 
-/* Processes an announcement received from the upstream itself or, if LEARNT,
-   from another host of the zone.  The lease starts at NOW by this host's
-   clock.  */
+/* Processes an announcement received from the upstream itself or, if
+   FROM_PEER, from another host of the zone.  The lease starts at NOW by this
+   host's clock.  */
 enum marjoram_announce_result
 marjoram_members_announce (marjoram_members *members, int64_t now,
                            const struct marjoram_announcement *announcement,
                            bool from_peer);
-/* Processes an announcement received from the upstream itself or relayed by
-   another host of the zone.  The lease starts at NOW by this host's clock.  */
+/* Returns null if the upstream is unknown, leaving, expired or dead.  */
 const struct marjoram_upstream *
 marjoram_members_find (const marjoram_members *members, int64_t now,
                        const char *name);
 /* Fills OUT with the announcement to relay to another host of the zone.  OUT
    borrows the strings and holds only the remaining lease, so that relaying
-   cannot extend it.  Returns false if INDEX has expired or is dead, and is not
-   leaving.  */
+   cannot extend it.  Returns false if the upstream at INDEX has expired or is
+   dead, and is not leaving.  */
 bool marjoram_members_relay (const marjoram_members *members, int64_t now,
                              size_t index, struct marjoram_announcement *out);
 /* Whether UPSTREAM may receive new requests.  */
@@ -109,7 +108,6 @@
 size_t marjoram_members_count (const marjoram_members *members);
 const struct marjoram_upstream *
 marjoram_members_at (const marjoram_members *members, size_t index);
-/* Records the start or end of a request at an upstream.  */
 void marjoram_members_request_started (marjoram_members *members,
                                        const char *name);
 void marjoram_members_request_ended (marjoram_members *members, int64_t now,
@@ -133,7 +131,6 @@
 /* Number of live entry hosts that are not draining, including this one.  */
 int marjoram_members_count_hosts (const marjoram_members *members,
                                   int64_t now);
-/* Records a heartbeat of an entry host.  */
 void marjoram_members_record_heartbeat (marjoram_members *members, int64_t now,
                                         int ordinal, uint64_t incarnation,
                                         bool draining);
