--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -108,7 +108,6 @@
 }
 END_TEST
 
-/* Guards against repeating a non-idempotent request that may have run.  */
 START_TEST (request_that_may_have_run_is_not_retried)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -269,7 +268,8 @@
 }
 END_TEST
 
-/* The same before the first event.  */
+/* Guards against abandoning live upstreams before their first event while this
+   host is late in processing their answers.  */
 START_TEST (late_host_waits_for_a_first_event)
 {
   gateway_fixture_call (&f, 0, "/ask/x");
@@ -280,7 +280,8 @@
 }
 END_TEST
 
-/* Guards against not detecting dead upstreams while this host is late.  */
+/* Guards against dead upstreams going undetected while this host is late in
+   processing its input.  */
 START_TEST (late_host_finds_dead_upstreams)
 {
   f.lag_ms = 1000;
@@ -325,7 +326,6 @@
 }
 END_TEST
 
-/* Guards against cutting a stalled stream that no other upstream accepts.  */
 START_TEST (stalled_upstream_is_kept_without_alternative)
 {
   gateway_fixture_leave (&f, 0, "u2");
@@ -454,7 +454,6 @@
 }
 END_TEST
 
-/* Guards against queueing a stream whose service has no upstreams left.  */
 START_TEST (broken_stream_without_upstreams_is_cut_at_once)
 {
   f.link_up = false;
@@ -516,7 +515,6 @@
 }
 END_TEST
 
-/* Guards against queueing a request that cannot be served in time.  */
 START_TEST (request_that_cannot_be_served_in_time_is_refused)
 {
   f.link_up = false;
@@ -530,7 +528,6 @@
 }
 END_TEST
 
-/* Guards against keeping a request queued after its latest useful start.  */
 START_TEST (queued_request_is_refused_when_too_late)
 {
   f.link_up = false;
@@ -546,7 +543,6 @@
 }
 END_TEST
 
-/* Guards against abandoning a non-repeatable request before its timeout.  */
 START_TEST (non_repeatable_request_is_not_abandoned)
 {
   gateway_fixture_call (&f, 0, "/flip/x");
@@ -628,7 +624,6 @@
 }
 END_TEST
 
-/* Guards against running a request outside of its permitted regions.  */
 START_TEST (residency_forwards_to_permitted_region)
 {
   gateway_fixture_call (&f, 0, "/home/x");
@@ -647,7 +642,6 @@
 }
 END_TEST
 
-/* Guards against restarting a forwarded stream from its beginning.  */
 START_TEST (forwarded_stream_is_resumed)
 {
   gateway_fixture_call (&f, 0, "/home/x");
@@ -728,7 +722,7 @@
 /* Guards against forwarding loops between regions.  */
 START_TEST (forwarded_request_is_not_forwarded_again)
 {
-  const struct marjoram_forwarded told = { 500, 0 };
+  const struct marjoram_forwarded time_limits = { 500, 0 };
   struct marjoram_http_request *request
       = calloc (1, sizeof (struct marjoram_http_request));
 
@@ -737,7 +731,7 @@
   marjoram_header_list_add (&request->headers, "Host", "a.example");
   marjoram_header_list_add (&request->headers, "Marjoramproxy-Attempt-Id",
                             "id-f");
-  marjoram_gateway_receive (f.gateway, 0, 77, request, &told);
+  marjoram_gateway_receive (f.gateway, 0, 77, request, &time_limits);
   ck_assert_int_eq (f.seen.forwards, 0);
   ck_assert_int_eq (f.seen.refusals, 1);
 }
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -12,14 +12,13 @@
   SLOTS = 4,
   QUEUE_LENGTH = 5 * SLOTS,
   SHORT_QUEUE_LENGTH = 2 * SLOTS,
-  IDLE_ENGINES = 9, /* number of engines */
+  IDLE_ENGINES = 9,
   IDLE_SLOTS = IDLE_ENGINES * SLOTS,
   LINK_MS = 52,
   HOST_MAX = 12,
   SEEDS = 50
 };
 
-/* A host with its router.  */
 struct node
 {
   marjoram_members *members;
@@ -92,7 +91,6 @@
   marjoram_config_release (config);
 }
 
-/* Announces an engine with RUNNING requests.  */
 static void
 announce (struct node *node, int64_t now, const char *name, uint64_t sequence,
           uint64_t running)
@@ -114,7 +112,6 @@
                     MARJORAM_ANNOUNCE_WRONG_ZONE);
 }
 
-/* Offers capacity for ROOM requests in ZONE.  */
 static void
 offer_capacity (struct node *node, int64_t now, int zone, uint64_t room)
 {
@@ -244,7 +241,6 @@
 }
 END_TEST
 
-/* Guards against repeated forwarding to a zone that refuses requests.  */
 START_TEST (refusing_zone_is_backed_off)
 {
   struct node *a = add_node (0, 0, 1);
@@ -403,8 +399,6 @@
 }
 END_TEST
 
-/* Guards against overnight work taking queue positions from interactive
-   work.  */
 START_TEST (overnight_work_does_not_queue)
 {
   struct node *node = add_node (0, 0, (uint64_t)_i);
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -31,7 +31,6 @@
   int reports;
 };
 
-/* Context of one host's reports.  */
 struct report_context
 {
   struct cluster *cluster;
@@ -51,15 +50,16 @@
 }
 
 static void
-open_cluster (struct cluster *cluster, struct report_context *links)
+open_cluster (struct cluster *cluster, struct report_context *contexts)
 {
   memset (cluster, 0, sizeof *cluster);
   cluster->now = 1;
   for (int i = 0; i < HOSTS; i++)
     {
-      links[i] = (struct report_context){ cluster, i };
+      contexts[i] = (struct report_context){ cluster, i };
       cluster->hosts[i] = marjoram_suspects_create (KEEP_MS);
-      marjoram_suspects_set_report (cluster->hosts[i], broadcast, &links[i]);
+      marjoram_suspects_set_report (cluster->hosts[i], broadcast,
+                                    &contexts[i]);
     }
 }
 
@@ -102,13 +102,13 @@
 }
 
 static void
-kill_upstream (struct cluster *cluster, struct report_context *links,
+kill_upstream (struct cluster *cluster, struct report_context *contexts,
                const char *upstream)
 {
   cluster->deaths++;
   for (int i = 0; i < HOSTS; i++)
     marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream,
-                            broadcast, &links[i]);
+                            broadcast, &contexts[i]);
 }
 
 /* Guards against more than two crashes by one request (K), and against
@@ -116,13 +116,13 @@
 START_TEST (second_death_convicts_exactly_one)
 {
   struct cluster c;
-  struct report_context links[HOSTS];
+  struct report_context contexts[HOSTS];
 
-  open_cluster (&c, links);
+  open_cluster (&c, contexts);
   start (&c, 0, "u1", "K");
   start (&c, 0, "u1", "A");
   start (&c, 1, "u1", "B");
-  kill_upstream (&c, links, "u1");
+  kill_upstream (&c, contexts, "u1");
   ck_assert_int_eq (c.reports, 3);
   for (int i = 0; i < HOSTS; i++)
     ck_assert_int_eq (marjoram_suspects_get (c.hosts[i], c.now, "B"),
@@ -136,7 +136,7 @@
   start (&c, 2, "u3", "K");
   start (&c, 0, "u3", "N");
   ck_assert (!may_start (&c, 0, "u4", "K"));
-  kill_upstream (&c, links, "u3");
+  kill_upstream (&c, contexts, "u3");
   end (&c, 1, "u2", "A");
   marjoram_suspects_cleared (c.hosts[1], c.now, "A");
   for (int i = 0; i < HOSTS; i++)
@@ -160,15 +160,15 @@
 START_TEST (two_suspects_at_one_death_are_not_convicted)
 {
   struct cluster c;
-  struct report_context links[HOSTS];
+  struct report_context contexts[HOSTS];
 
-  open_cluster (&c, links);
+  open_cluster (&c, contexts);
   start (&c, 0, "u1", "K");
   start (&c, 1, "u1", "A");
-  kill_upstream (&c, links, "u1");
+  kill_upstream (&c, contexts, "u1");
   start (&c, 0, "u2", "K");
   start (&c, 1, "u2", "A");
-  kill_upstream (&c, links, "u2");
+  kill_upstream (&c, contexts, "u2");
   for (int i = 0; i < HOSTS; i++)
     ck_assert (!convicted (&c, i, "K") && !convicted (&c, i, "A"));
   close_cluster (&c);
@@ -178,11 +178,11 @@
 START_TEST (higher_suspicion_wins_and_expires)
 {
   struct cluster c;
-  struct report_context links[HOSTS];
+  struct report_context contexts[HOSTS];
   struct marjoram_suspect_message message
       = { .digest = (char *)"K", .suspicion = MARJORAM_SUSPICION_CONVICTED };
 
-  open_cluster (&c, links);
+  open_cluster (&c, contexts);
   marjoram_suspects_apply (c.hosts[0], c.now, &message);
   message.suspicion = MARJORAM_SUSPICION_SUSPECT;
   marjoram_suspects_apply (c.hosts[0], c.now, &message);
@@ -220,7 +220,6 @@
 }
 END_TEST
 
-/* Guards against unbounded memory use by repeated deaths.  */
 START_TEST (memory_is_bounded)
 {
   marjoram_suspects *suspects = marjoram_suspects_create (KEEP_MS);
@@ -270,7 +269,7 @@
 }
 
 static void
-try_crash (struct cluster *c, struct report_context *links, int upstream)
+try_crash (struct cluster *c, struct report_context *contexts, int upstream)
 {
   char u[8];
   int crashing_runs = 0;
@@ -280,7 +279,7 @@
   if (crashing_runs == 0)
     return;
   snprintf (u, sizeof u, "u%d", upstream);
-  kill_upstream (c, links, u);
+  kill_upstream (c, contexts, u);
   c->crashing_runs -= crashing_runs;
   for (int i = 0; i < HOSTS; i++)
     memset (c->runs[i][upstream], 0, sizeof c->runs[i][upstream]);
@@ -294,9 +293,9 @@
     {
       marjoram_random *random = marjoram_random_create (seed);
       struct cluster c;
-      struct report_context links[HOSTS];
+      struct report_context contexts[HOSTS];
 
-      open_cluster (&c, links);
+      open_cluster (&c, contexts);
       for (int i = 0; i < STEPS; i++)
         {
           int host = (int)marjoram_random_below (random, HOSTS);
@@ -315,7 +314,7 @@
               try_end (&c, host, upstream, digest);
               break;
             default:
-              try_crash (&c, links, upstream);
+              try_crash (&c, contexts, upstream);
               break;
             }
         }
