--- a/src/claim_attempt.c
+++ b/src/claim_attempt.c
@@ -463,7 +463,6 @@
                             &attempt->entry, 0);
 }
 
-/* Removes ATTEMPT if it was refused.  */
 void
 marjoram_claims_remove_refused (marjoram_claims *claims,
                                 struct marjoram_attempt *attempt)
--- a/src/claim_attempt.h
+++ b/src/claim_attempt.h
@@ -35,7 +35,7 @@
 {
   uint64_t responded;
   uint64_t yes;
-  uint64_t blocked;            /* refused: key before its horizon */
+  uint64_t blocked;            /* refused: key expired or before its horizon */
   uint64_t blocked_recovering; /* likewise, but the host is still recovering */
   uint64_t held;  /* reports an attempt of another host, maybe pending */
   uint64_t rival; /* reports a pending attempt of its own */
--- a/src/claim_message.h
+++ b/src/claim_message.h
@@ -79,7 +79,7 @@
   uint64_t since;  /* RECOVER, STATE: serial after which to read */
   uint64_t cursor; /* STATE: serial of the last record included */
   bool more;       /* STATE: more records follow CURSOR */
-  bool recovered;  /* the sender has recovered */
+  bool recovered;
 };
 
 /* BLAKE2b, because keys are chosen by callers and must not collide.  */
--- a/src/claim_record.h
+++ b/src/claim_record.h
@@ -19,7 +19,7 @@
   uint64_t number;
   uint64_t serial;     /* insertion order, for state transfer */
   uint64_t issued;     /* ms since the epoch */
-  uint32_t created_at; /* creation time, seconds since the epoch */
+  uint32_t created_at; /* seconds since the epoch */
   uint8_t owner;
   uint8_t state;
   struct marjoram_kept_record *kept;  /* null if none, or evicted */
@@ -41,8 +41,9 @@
 struct marjoram_claim_record *
 marjoram_claim_records_get (const marjoram_claim_records *records,
                             const struct marjoram_claim_entry *entry);
-/* Adds a record for ENTRY, or updates the existing one.  The state never moves
-   backwards.  A stored answer is replayable until REPLAY_END.  */
+/* Adds a record for ENTRY, created at WALL (ms since the epoch), or updates
+   the existing one.  The state never moves backwards.  A stored answer is
+   replayable until REPLAY_END.  */
 struct marjoram_claim_record *
 marjoram_claim_records_put (marjoram_claim_records *records,
                             const struct marjoram_claim_entry *entry,
--- a/src/claim_recovery.c
+++ b/src/claim_recovery.c
@@ -73,8 +73,7 @@
   return tally;
 }
 
-/* The smallest number of peers that intersects every majority of the zone:
-   n - q + 1.  */
+/* The smallest number of peers that intersects every majority of the zone.  */
 static int
 peers_needed (int slot_count)
 {
