--- a/src/keeper.h
+++ b/src/keeper.h
@@ -36,11 +36,11 @@
 struct marjoram_keeper_ops
 {
   /* Sends MESSAGE, packed with marjoram_keeper_message_layout, to the keeper
-     in SLOT. Delivery is not guaranteed.  */
+     in SLOT.  Delivery is not guaranteed.  */
   void (*send) (void *context, const char *slot,
                 const struct marjoram_keeper_message *message);
-  /* Replaces the stored record by RECORD durably, then calls
-     marjoram_keeper_persisted with TICKET.  Writes complete in order.  */
+  /* Takes ownership of RECORD, replaces the stored record by it durably, then
+     calls marjoram_keeper_persisted with TICKET.  Writes complete in order. */
   void (*persist) (void *context, uint64_t ticket, marjoram_bytes *record);
   /* STATE is known to be chosen.  Numbers increase from call to call.  */
   void (*chosen) (void *context, const struct marjoram_state *state);
@@ -104,7 +104,8 @@
 void marjoram_keeper_observe_number (marjoram_keeper *keeper, uint64_t number);
 /* To be called at least every 100 ms.  */
 void marjoram_keeper_tick (marjoram_keeper *keeper, int64_t now);
-/* The latest chosen state that is on this disk; null before any.  */
+/* The latest chosen state that was delivered: one on this disk or, after a
+   failed write, the latest one known; null before any.  */
 const struct marjoram_state *
 marjoram_keeper_durable_state (const marjoram_keeper *keeper);
 /* The latest state known to be chosen, on this disk or not; null before
