--- a/src/keeper.c
+++ b/src/keeper.c
@@ -108,8 +108,8 @@
     marjoram_keeper_start_attempt (keeper);
 }
 
-/* Processes messages to itself, then delivers the chosen state and starts the
-   next write.  */
+/* Processes the keeper's messages to itself, then delivers the chosen state
+   and starts the next write.  */
 static void
 process_pending (marjoram_keeper *keeper)
 {
@@ -430,20 +430,20 @@
 }
 
 static bool
-hears_first_keepers (const marjoram_keeper *keeper)
+first_keepers_present (const marjoram_keeper *keeper)
 {
-  bool ours = false;
+  bool is_first = false;
 
   for (size_t i = 0; i < keeper->first_count; i++)
     {
       if (strcmp (keeper->first[i], keeper->slot) == 0)
-        ours = true;
+        is_first = true;
       else if (!marjoram_keeper_peers_latest_in_slot (
                    &keeper->peers, keeper->first[i],
                    keeper->now - MARJORAM_KEEPER_PEER_TIMEOUT_MS))
         return false;
     }
-  return ours;
+  return is_first;
 }
 
 /* Bootstrapping is unsafe while a peer knows a state not learned yet: it may
@@ -474,7 +474,7 @@
   if (current && marjoram_value_equal (keeper->acceptor.value, keeper->chosen))
     return marjoram_value_state (current)->next_members.count > 0;
   if (!current || marjoram_value_is_founding (current))
-    return hears_first_keepers (keeper)
+    return first_keepers_present (keeper)
            && marjoram_keeper_may_bootstrap (keeper);
   return true;
 }
