--- a/src/keeper_message.h
+++ b/src/keeper_message.h
@@ -7,10 +7,10 @@
 
 enum marjoram_keeper_kind
 {
-  MARJORAM_KEEPER_HEARTBEAT,       /* heartbeat, sent once a second */
-  MARJORAM_KEEPER_HEARTBEAT_REPLY, /* reply to a heartbeat */
-  MARJORAM_KEEPER_PREPARE,         /* ballot */
-  MARJORAM_KEEPER_PROMISE,         /* ballot, accepted ballot and value */
+  MARJORAM_KEEPER_HEARTBEAT, /* sent once a second */
+  MARJORAM_KEEPER_HEARTBEAT_REPLY,
+  MARJORAM_KEEPER_PREPARE,  /* ballot */
+  MARJORAM_KEEPER_PROMISE,  /* ballot, accepted ballot and value */
   MARJORAM_KEEPER_REJECT,   /* requested ballot; accepted: the promised one */
   MARJORAM_KEEPER_ACCEPT,   /* ballot, value */
   MARJORAM_KEEPER_ACCEPTED, /* ballot */
@@ -22,10 +22,10 @@
    encodings it can read is of an earlier release and gets the first one.  */
 enum marjoram_keeper_encoding
 {
-  MARJORAM_KEEPER_PLAIN,      /* the packed value */
-  MARJORAM_KEEPER_COMPRESSED, /* compressed */
-  MARJORAM_KEEPER_DELTA,      /* compressed against the marked value */
-  MARJORAM_KEEPER_REFERENCE   /* no bytes; equal to the marked value */
+  MARJORAM_KEEPER_PLAIN, /* the packed value */
+  MARJORAM_KEEPER_COMPRESSED,
+  MARJORAM_KEEPER_DELTA,    /* compressed against the value of BASE_MARK */
+  MARJORAM_KEEPER_REFERENCE /* no bytes; equal to the value of BASE_MARK */
 };
 
 /* Each message carries the sender's store and incarnation, and what the sender
@@ -41,15 +41,17 @@
   char *seen_store_id; /* last seen in the receiver's slot; may be null */
   uint64_t seen_incarnation;
   uint64_t seen_writes;
-  uint64_t number; /* latest state that the sender knows to be chosen */
-  int64_t echo;    /* sender's clock; in a reply, that of the heartbeat */
+  uint64_t number; /* of the latest chosen state delivered by the sender */
+  int64_t echo; /* sender's clock in ms; in a reply, that of the heartbeat */
   struct marjoram_ballot ballot;
   struct marjoram_ballot accepted;
   marjoram_bytes *value; /* marjoram_state_layout, in ENCODING */
   uint64_t encoding;     /* enum marjoram_keeper_encoding */
-  struct marjoram_value_hash base_mark; /* DELTA, REFERENCE */
+  struct marjoram_value_hash
+      base_mark;         /* hash of the base; DELTA, REFERENCE */
   uint64_t max_encoding; /* the highest encoding that the sender can read */
-  struct marjoram_value_hash accepted_mark; /* its last accepted value */
+  struct marjoram_value_hash
+      accepted_mark; /* hash of its last accepted value */
 };
 
 /* What was last seen of a store.  */
