--- a/src/keeper_peer.h
+++ b/src/keeper_peer.h
@@ -11,14 +11,15 @@
 {
   TAILQ_ENTRY (marjoram_keeper_peer) link;
   struct marjoram_keeper_seen seen;
-  char *slot;           /* null until heard from since our start */
-  int64_t last_seen_at; /* time of the last message */
-  int64_t echo;         /* when the last heartbeat that it answered was sent */
+  char *slot; /* null until heard from since our start */
+  int64_t last_seen_at;
+  int64_t echo; /* when the last heartbeat that it answered was sent */
   int64_t state_sent_at;  /* when a state was last sent to it, or INT64_MIN */
-  uint64_t number;        /* latest state that it knows to be chosen */
+  uint64_t number;        /* of the latest chosen state that it delivered */
   bool knows_incarnation; /* it has seen this incarnation of our store */
   uint64_t max_encoding;  /* the highest value encoding that it can read */
-  struct marjoram_value_hash accepted_mark; /* its last accepted value */
+  struct marjoram_value_hash
+      accepted_mark;     /* hash of its last accepted value */
   int64_t large_sent_at; /* when a large message was last sent, or INT64_MIN */
   bool large_probed;     /* a heartbeat was sent since, to confirm receipt */
   bool large_dropped;    /* another was dropped while it was in flight */
