--- a/src/keeper_private.h
+++ b/src/keeper_private.h
@@ -74,9 +74,9 @@
   uint64_t durable;  /* of the latest durable change */
   bool writing;
   bool write_failed; /* the last write failed: memory is ahead of the disk */
-  int64_t write_retry_at; /* when the failed write is retried */
-  bool rolled_back;       /* the store was restored from an older copy */
-  bool confirmed;         /* a majority has seen this incarnation */
+  int64_t write_retry_at;
+  bool rolled_back;   /* the store was restored from an older copy */
+  bool confirmed;     /* a majority has seen this incarnation */
   int64_t confirm_by; /* when one peer is enough; 0 before the first event */
   bool bootstrapped;  /* a state beyond the founding one exists */
 
@@ -114,7 +114,7 @@
 marjoram_value *
 marjoram_keeper_decode_value (const marjoram_keeper *keeper,
                               const struct marjoram_keeper_message *message);
-/* Sends ENVELOPE and takes ownership of it.  */
+/* Takes ownership of ENVELOPE.  */
 void marjoram_keeper_send_envelope (marjoram_keeper *keeper,
                                     struct marjoram_keeper_envelope *envelope);
 void
