--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -5,7 +5,6 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Sends the current phase's request to SLOT.  */
 static void
 send_request (marjoram_keeper *keeper, const char *slot)
 {
@@ -181,10 +180,9 @@
   return marjoram_value_retain (best);
 }
 
-/* Whether the accept request may be sent to SLOT without its promise.
-   A large value waits, as the promise names the value held there, against
-   which it can be compressed.  If no promise comes, the next resend covers
-   all.  */
+/* Whether the accept request may be sent to SLOT before the next resend.  A
+   large value waits for the promise from SLOT, which names the value held
+   there, against which it can be compressed.  The resend waits for none.  */
 static bool
 can_send_accept (const struct marjoram_attempt *attempt, const char *slot)
 {
