--- a/src/keeper_transport.c
+++ b/src/keeper_transport.c
@@ -47,10 +47,10 @@
 }
 
 /* At most one large message is in flight to a peer; a further one is dropped
-   as if lost, and is requested again.  Otherwise a connection slower than the
-   resend interval queues ever more copies.  Connections keep the order, so an
-   answer to a heartbeat sent after the large message shows that the message,
-   or the connection that carried it, is gone.  */
+   as if lost; the usual resends replace it.  Otherwise a connection slower
+   than the resend interval queues ever more copies.  Connections preserve
+   order, so an answer to a heartbeat sent after the large message shows that
+   the message, or the connection that carried it, is gone.  */
 static bool
 may_send (marjoram_keeper *keeper, struct marjoram_keeper_peer *peer,
           const struct marjoram_keeper_message *message)
@@ -214,8 +214,8 @@
     marjoram_keeper_send_heartbeat (keeper, targets[i], NULL);
 }
 
-/* Not at the time of the large message itself: an answer to an earlier
-   heartbeat of that time could not be told apart.  */
+/* The heartbeat needs a later time than the large message: an earlier one sent
+   at the same time has the same echo, and its answer confirms nothing.  */
 void
 marjoram_keeper_probe_busy_peers (marjoram_keeper *keeper)
 {
