--- a/src/keeper_repair.c
+++ b/src/keeper_repair.c
@@ -58,7 +58,6 @@
   snprintf (change->new, sizeof change->new, "%s", new);
 }
 
-/* Number of live members in REGION.  */
 static size_t
 count_live_members (const marjoram_keeper *keeper,
                     const struct marjoram_state *state,
--- a/src/keeper_repair.h
+++ b/src/keeper_repair.h
@@ -28,7 +28,6 @@
                                   marjoram_keeper *keeper,
                                   marjoram_host_list *hosts,
                                   struct marjoram_keeper_change *change);
-/* Submits CHANGE to KEEPER as REQUEST.  */
 void marjoram_keeper_repair_apply (const struct marjoram_keeper_change *change,
                                    marjoram_keeper *keeper, int64_t now,
                                    uint64_t request);
--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -52,7 +52,6 @@
 void marjoram_keeper_announce_state_to (struct marjoram_keeper_role *self,
                                         const char *host, uint64_t session,
                                         const struct marjoram_host_beat *beat);
-/* Sends HOST the part of the state that it requested.  */
 void marjoram_keeper_send_state_piece (struct marjoram_keeper_role *self,
                                        const char *host, uint64_t session,
                                        const struct marjoram_state_ask *ask);
