--- a/src/keeper_request.h
+++ b/src/keeper_request.h
@@ -34,13 +34,14 @@
 
 TAILQ_HEAD (marjoram_keeper_requests, marjoram_keeper_request);
 
-/* FILE has been checked; it is copied, with its digest.  */
+/* FILE, which passed marjoram_change_check, is copied.  */
 void marjoram_keeper_requests_add_file (
     struct marjoram_keeper_requests *requests, uint64_t request,
     const char *change_id, const struct marjoram_file *file, int64_t now);
 void
 marjoram_keeper_requests_add_read (struct marjoram_keeper_requests *requests,
                                    uint64_t request, int64_t now);
+/* OLD is null to add a member.  */
 void marjoram_keeper_requests_add_replace (
     struct marjoram_keeper_requests *requests, uint64_t request,
     const char *change_id, const char *old, const char *new, int64_t now);
