--- a/src/spread.c
+++ b/src/spread.c
@@ -124,7 +124,6 @@
   spread->ops->send_ask (spread->context, slot, ask);
 }
 
-/* Verifies the digest of each file.  */
 static bool
 has_valid_digests (void *context, const struct marjoram_state *state,
                    struct marjoram_error *err)
@@ -162,29 +161,29 @@
 
 static void
 on_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_stats *facts)
+            const struct marjoram_fetch_stats *stats)
 {
   marjoram_spread *spread = context;
 
   marjoram_log (MARJORAM_LOG_INFO,
                 "fetched state %llu from %s: %zu bytes in %d pieces, %lld ms, "
                 "base state %llu",
-                (unsigned long long)state->number, facts->keeper, facts->bytes,
-                facts->pieces, (long long)facts->ms,
-                (unsigned long long)facts->base);
+                (unsigned long long)state->number, stats->keeper, stats->bytes,
+                stats->pieces, (long long)stats->ms,
+                (unsigned long long)stats->base);
   spread->retry_delay_ms = RETRY_DELAY_MS;
   adopt (spread, marjoram_state_copy (state));
 }
 
 static void
-on_fetch_failed (void *context, const struct marjoram_fetch_stats *facts,
+on_fetch_failed (void *context, const struct marjoram_fetch_stats *stats,
                  const struct marjoram_error *err)
 {
   marjoram_spread *spread = context;
 
   marjoram_log (MARJORAM_LOG_WARNING,
                 "rejected state from %s (%s); next request in %lld ms",
-                facts->keeper, err->message,
+                stats->keeper, err->message,
                 (long long)spread->retry_delay_ms);
   spread->retry_at = spread->now + spread->retry_delay_ms;
   spread->retry_delay_ms *= 2;
--- a/src/state.h
+++ b/src/state.h
@@ -96,7 +96,6 @@
 /* Returns null if SLOT is not a member.  */
 struct marjoram_keeper_member *
 marjoram_voters_find (const struct marjoram_array *members, const char *slot);
-/* Returns whether SLOT is a member with the store STORE_ID.  */
 bool marjoram_voters_contain (const struct marjoram_array *members,
                               const char *slot, const char *store_id);
 void marjoram_voters_copy (struct marjoram_array *target,
--- a/src/state_fetch.c
+++ b/src/state_fetch.c
@@ -32,13 +32,13 @@
   struct marjoram_packed_state current;
   bool full; /* request a full transfer: the last one failed */
 
-  uint64_t announced;        /* the highest number announced */
-  int64_t announced_at;      /* when that was first announced */
-  char *keeper;              /* source of the transfer; null: none */
-  uint64_t number;           /* of the requested state */
-  uint64_t base;             /* of the pieces' delta; 0: none */
-  uint64_t size;             /* of all pieces together; 0 before the first */
-  struct evbuffer *received; /* the received pieces */
+  uint64_t announced;   /* the highest number announced */
+  int64_t announced_at; /* when that was first announced */
+  char *keeper;         /* source of the transfer; null: none */
+  uint64_t number;      /* of the requested state */
+  uint64_t base;        /* of the pieces' delta; 0: none */
+  uint64_t size;        /* of all pieces together; 0 before the first */
+  struct evbuffer *received;
   int pieces;
   int64_t started_at;
   int64_t first_asked_at; /* first request for the next piece */
@@ -170,11 +170,11 @@
 static struct marjoram_fetch_stats
 stats_of (const marjoram_state_fetch *fetch, int64_t now)
 {
-  const struct marjoram_fetch_stats facts
+  const struct marjoram_fetch_stats stats
       = { fetch->keeper, fetch->base, fetch->size, fetch->pieces,
           now - fetch->started_at };
 
-  return facts;
+  return stats;
 }
 
 /* Rejects a state whose own number is not higher, whatever number its pieces
@@ -218,7 +218,7 @@
 static void
 finish (marjoram_state_fetch *fetch, int64_t now)
 {
-  struct marjoram_fetch_stats facts = stats_of (fetch, now);
+  struct marjoram_fetch_stats stats = stats_of (fetch, now);
   struct marjoram_packed_state packed = { 0 };
   struct marjoram_error err = { 0 };
   struct marjoram_state *state = unpack (fetch, &packed, &err);
@@ -228,14 +228,14 @@
   if (!state)
     {
       fetch->full = true;
-      fetch->ops->failed (fetch->context, &facts, &err);
+      fetch->ops->failed (fetch->context, &stats, &err);
       stop_transfer (fetch);
       return;
     }
   marjoram_packed_state_clear (&fetch->current);
   fetch->current = packed;
   fetch->full = false;
-  fetch->ops->fetched (fetch->context, state, &facts);
+  fetch->ops->fetched (fetch->context, state, &stats);
   marjoram_state_destroy (state);
   stop_transfer (fetch);
 }
--- a/src/state_fetch.h
+++ b/src/state_fetch.h
@@ -12,7 +12,6 @@
 
 typedef struct marjoram_state_fetch marjoram_state_fetch;
 
-/* Statistics of a transfer, for the log.  */
 struct marjoram_fetch_stats
 {
   const char *keeper;
@@ -42,10 +41,10 @@
                  struct marjoram_error *err);
   /* STATE is complete; its number is higher than that of any before.  */
   void (*fetched) (void *context, const struct marjoram_state *state,
-                   const struct marjoram_fetch_stats *facts);
+                   const struct marjoram_fetch_stats *stats);
   /* The received state is unreadable or was rejected; the next request is for
      a full transfer.  */
-  void (*failed) (void *context, const struct marjoram_fetch_stats *facts,
+  void (*failed) (void *context, const struct marjoram_fetch_stats *stats,
                   const struct marjoram_error *err);
 };
 
@@ -53,7 +52,8 @@
     const struct marjoram_state_fetch_options *options,
     const struct marjoram_state_fetch_ops *ops, void *context);
 void marjoram_state_fetch_destroy (marjoram_state_fetch *fetch);
-/* KEEPER has the state NUMBER.  NEAR: it is in the region of this host.  */
+/* KEEPER has the state NUMBER.  SAME_REGION: it is in the region of
+   this host.  */
 void marjoram_state_fetch_announced (marjoram_state_fetch *fetch, int64_t now,
                                      const char *keeper, bool same_region,
                                      uint64_t number);
--- a/src/state_giver.c
+++ b/src/state_giver.c
@@ -81,7 +81,6 @@
   evict_over_limit (giver);
 }
 
-/* Returns null if it is not available.  */
 static const struct marjoram_packed_state *
 find_state (const marjoram_state_giver *giver, uint64_t number)
 {
--- a/test/test_state_transfer.c
+++ b/test/test_state_transfer.c
@@ -33,9 +33,9 @@
   int64_t ask_at;
   int asks;
   size_t bytes;         /* of all received pieces */
-  int outstanding_asks; /* unanswered requests after the last one */
+  int outstanding_asks; /* unanswered requests, including the last one */
   uint64_t number;
-  struct marjoram_fetch_stats facts;
+  struct marjoram_fetch_stats stats;
   char keeper[16]; /* source of the last transfer */
   int failures;
 };
@@ -56,20 +56,20 @@
 
 static void
 op_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_stats *facts)
+            const struct marjoram_fetch_stats *stats)
 {
   (void)context;
   w.number = state->number;
-  w.facts = *facts;
-  snprintf (w.keeper, sizeof w.keeper, "%s", facts->keeper);
+  w.stats = *stats;
+  snprintf (w.keeper, sizeof w.keeper, "%s", stats->keeper);
 }
 
 static void
-op_failed (void *context, const struct marjoram_fetch_stats *facts,
+op_failed (void *context, const struct marjoram_fetch_stats *stats,
            const struct marjoram_error *err)
 {
   (void)context;
-  (void)facts;
+  (void)stats;
   (void)err;
   w.failures++;
 }
@@ -195,7 +195,7 @@
   w.piece_ms = 400;
   run (SECONDS (60), 0, KEEPERS);
   ck_assert_uint_eq (w.number, 2);
-  size = w.facts.bytes;
+  size = w.stats.bytes;
   ck_assert_uint_gt (size, (size_t)2 * MARJORAM_STATE_PIECE_MAX);
   ck_assert_uint_eq (w.bytes, size);
   ck_assert_int_eq (w.outstanding_asks, 1);
@@ -212,9 +212,9 @@
   w.piece_ms = 100;
   while (w.number != 2)
     run (TICK_MS, 0, 1);
-  ck_assert_int_gt (w.facts.pieces, 2);
-  ck_assert_int_ge (w.facts.ms,
-                    ((int64_t)w.facts.pieces * 2 - 1) * w.piece_ms);
+  ck_assert_int_gt (w.stats.pieces, 2);
+  ck_assert_int_ge (w.stats.ms,
+                    ((int64_t)w.stats.pieces * 2 - 1) * w.piece_ms);
 }
 END_TEST
 
@@ -222,14 +222,14 @@
    speed.  */
 START_TEST (new_host_does_not_pause)
 {
-  int64_t began = w.now;
+  int64_t start_ms = w.now;
 
   choose (2, 4200, 500);
   w.piece_ms = 100;
   while (w.number != 2)
     run (TICK_MS, 0, 1);
-  ck_assert_int_le (w.now - began, (int64_t)w.facts.pieces * w.piece_ms
-                                       + (int64_t)2 * TICK_MS);
+  ck_assert_int_le (w.now - start_ms, (int64_t)w.stats.pieces * w.piece_ms
+                                          + (int64_t)2 * TICK_MS);
 }
 END_TEST
 
@@ -241,7 +241,7 @@
   choose (2, 5600, 800);
   run (SECONDS (1), 0, 1);
   ck_assert_uint_eq (w.number, 2);
-  ck_assert_uint_eq (w.facts.base, 1);
+  ck_assert_uint_eq (w.stats.base, 1);
   ck_assert_uint_lt (w.bytes, 1000);
 }
 END_TEST
@@ -298,7 +298,7 @@
   marjoram_state_fetch_disconnected (w.fetch, "k0");
   run (SECONDS (5), 1, 1);
   ck_assert_uint_eq (w.number, 2);
-  ck_assert_uint_eq (w.bytes, w.facts.bytes);
+  ck_assert_uint_eq (w.bytes, w.stats.bytes);
 }
 END_TEST
 
@@ -322,7 +322,7 @@
   marjoram_state_fetch_disconnected (w.fetch, "k0");
   run (SECONDS (5), 1, 1);
   ck_assert_uint_eq (w.number, 2);
-  ck_assert_uint_eq (w.facts.base, 0);
+  ck_assert_uint_eq (w.stats.base, 0);
   ck_assert_int_eq (w.failures, 0);
 }
 END_TEST
@@ -380,7 +380,7 @@
     choose (number, 10, (int)number);
   run (SECONDS (1), 0, 1);
   ck_assert_uint_eq (w.number, 11);
-  ck_assert_uint_eq (w.facts.base, 0);
+  ck_assert_uint_eq (w.stats.base, 0);
 }
 END_TEST
 
@@ -398,7 +398,7 @@
   ck_assert_uint_eq (w.number, 1);
   run (SECONDS (1), 0, 1);
   ck_assert_uint_eq (w.number, 2);
-  ck_assert_uint_eq (w.facts.base, 0);
+  ck_assert_uint_eq (w.stats.base, 0);
   ck_assert_int_eq (w.failures, 0);
   marjoram_state_destroy (other);
   marjoram_state_destroy (next);
