--- a/src/agreed.c
+++ b/src/agreed.c
@@ -5,7 +5,6 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Text of an empty zone list.  */
 #define NO_ZONES ""
 
 struct marjoram_names
@@ -31,7 +30,7 @@
 marjoram_agreed_evacuate (const struct marjoram_state *state, const char *zone,
                           bool evacuated, struct marjoram_file *file)
 {
-  const struct marjoram_file *held
+  const struct marjoram_file *current
       = state ? marjoram_state_file (state, MARJORAM_FILE_EVACUATIONS) : NULL;
   struct marjoram_names zones = marjoram_agreed_evacuations (state);
   size_t size = 0;
@@ -40,7 +39,7 @@
 
   memset (file, 0, sizeof *file);
   file->name = marjoram_strdup (MARJORAM_FILE_EVACUATIONS);
-  file->version = held ? held->version + 1 : 1;
+  file->version = current ? current->version + 1 : 1;
   out = open_memstream (&file->text, &size);
   if (!out)
     abort ();
--- a/src/change.h
+++ b/src/change.h
@@ -1,6 +1,6 @@
-/* Validates and applies a change of a configuration file or of a keeper.  The
-   state records the result of each change, including rejected ones, so that a
-   delayed duplicate of a rejected change can't be accepted later.  */
+/* Validates and applies a change of a configuration file or of the keepers.
+   The state records the result of each change, including rejected ones, so
+   that a delayed duplicate of a rejected change can't be accepted later.  */
 #ifndef MARJORAM_CHANGE_H
 #define MARJORAM_CHANGE_H
 
@@ -13,7 +13,6 @@
   MARJORAM_STATE_TEXT_MAX = 16 * 1024 * 1024
 };
 
-/* Returns whether STATE is a valid configuration.  */
 typedef bool (*marjoram_change_valid) (void *context,
                                        const struct marjoram_state *state,
                                        struct marjoram_error *err);
@@ -22,8 +21,7 @@
    null, is that of its text.  */
 bool marjoram_change_check (const char *id, const struct marjoram_file *file,
                             struct marjoram_error *err);
-/* Returns whether KEPT, a result with the same id, is of the change to FILE.
- */
+/* Returns whether KEPT, a recorded result, is that of changing FILE.  */
 bool marjoram_change_matches (const struct marjoram_change *kept,
                               const struct marjoram_file *file);
 /* Applies FILE, which passed marjoram_change_check and has a digest, and
