--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -286,7 +286,7 @@
 }
 
 static bool
-host_lives (const struct zone *zone, const struct attempt *attempt)
+is_same_incarnation (const struct zone *zone, const struct attempt *attempt)
 {
   return zone->hosts[attempt->host].incarnation == attempt->incarnation;
 }
@@ -298,7 +298,7 @@
   struct attempt *attempt = &zone->attempts[number];
 
   if (attempt->verdict != MARJORAM_CLAIM_RUN || attempt->withdrawn
-      || attempt->executed || !host_lives (zone, attempt))
+      || attempt->executed || !is_same_incarnation (zone, attempt))
     return;
   attempt->executed = true;
   zone->run_counts[attempt->key]++;
@@ -309,7 +309,7 @@
 {
   struct attempt *attempt = &zone->attempts[number];
 
-  if (attempt->executed || !host_lives (zone, attempt))
+  if (attempt->executed || !is_same_incarnation (zone, attempt))
     return;
   attempt->withdrawn = true;
   marjoram_claims_withdraw (zone->hosts[attempt->host].claims, zone->now,
@@ -323,7 +323,8 @@
   struct marjoram_kept_answer kept = { 200, (char *)"text/plain", NULL };
   char body[32];
 
-  if (!attempt->executed || attempt->finished || !host_lives (zone, attempt))
+  if (!attempt->executed || attempt->finished
+      || !is_same_incarnation (zone, attempt))
     return;
   attempt->finished = true;
   snprintf (body, sizeof body, "answer of %d", number);
@@ -437,21 +438,22 @@
       int answered = -1;
 
       ck_assert_msg (attempt->verdict != UNDECIDED || attempt->withdrawn
-                         || !host_lives (zone, attempt),
-                     "seed %d: attempt %d is left undecided", (int)seed, i);
+                         || !is_same_incarnation (zone, attempt),
+                     "seed %d: attempt %d has no verdict", (int)seed, i);
       if (attempt->verdict != MARJORAM_CLAIM_REPLAY)
         continue;
       sscanf (attempt->replayed, "answer of %d", &answered);
-      ck_assert_msg (answered >= 0 && zone->attempts[answered].executed
-                         && zone->attempts[answered].key == attempt->key,
-                     "seed %d: attempt %d got a foreign answer", (int)seed, i);
+      ck_assert_msg (
+          answered >= 0 && zone->attempts[answered].executed
+              && zone->attempts[answered].key == attempt->key,
+          "seed %d: attempt %d replays an answer not given to its key",
+          (int)seed, i);
     }
   for (int i = 0; i < KEYS; i++)
     ck_assert_msg (zone->run_counts[i] <= 1, "seed %d: key %d ran %d times",
                    (int)seed, i, zone->run_counts[i]);
 }
 
-/* Verifies that the zone still grants a new key.  */
 static void
 check_new_key_is_granted (struct zone *zone, uint64_t seed)
 {
