--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -747,7 +747,7 @@
         marjoram_spread_announced (spread, now, "a", 2);
       marjoram_spread_tick (spread, now);
     }
-  /* Repeated at 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s.  */
+  /* Requested again at 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s.  */
   ck_assert_int_le (record.asks, 9);
   ck_assert_int_ge (record.asks, 8);
   marjoram_spread_destroy (spread);
@@ -766,7 +766,7 @@
   files[1].text[0] ^= 1;
   for (int64_t now = 0; now < 16000; now += 50)
     inject_state (spread, now, 2, faulty);
-  /* At 0, 0.5, 1.5, 3.5, 7.5 and 15.5 s.  */
+  /* Requested at 0, 0.5, 1.5, 3.5, 7.5 and 15.5 s.  */
   ck_assert_int_eq (record.asks, 6);
   ck_assert_uint_eq (record.adopted, 0);
   marjoram_spread_destroy (spread);
