--- a/test/lib_keeper_net.c
+++ b/test/lib_keeper_net.c
@@ -31,8 +31,8 @@
 {
   struct packets packets;
   int64_t busy_until;
-  uint64_t queued_bytes; /* bytes */
-  int large;
+  uint64_t queued_bytes;
+  int large_count;
 };
 
 struct node
@@ -77,7 +77,7 @@
   connection->queued_bytes += size;
   if (connection->queued_bytes > net->peak_queued)
     net->peak_queued = connection->queued_bytes;
-  connection->large += size > KEEPER_NET_LARGE;
+  connection->large_count += size > KEEPER_NET_LARGE;
   net->bytes += size;
   STAILQ_INSERT_TAIL (&connection->packets, packet, link);
 }
@@ -359,7 +359,7 @@
   net->peak_queued = 0;
   for (int i = 0; i < net->options.keepers; i++)
     for (int j = 0; j < net->options.keepers; j++)
-      net->connections[i][j].large = 0;
+      net->connections[i][j].large_count = 0;
 }
 
 void
@@ -377,7 +377,7 @@
 int
 keeper_net_large_messages (const struct keeper_net *net, int from, int to)
 {
-  return net->connections[from][to].large;
+  return net->connections[from][to].large_count;
 }
 
 uint64_t
--- a/test/lib_keepers.c
+++ b/test/lib_keepers.c
@@ -410,9 +410,9 @@
   return writes;
 }
 
-/* A rollback is detectable only by keepers that remember a later write;
-   requires that all of them do, as otherwise the fault would exceed the one
-   lost disk that is tolerated.  */
+/* Only keepers that remember a later write detect a rollback.  All others
+   must do so, as otherwise the fault would exceed the one lost disk that is
+   tolerated.  */
 static bool
 rollback_is_detectable (const struct sim *sim, const struct node *node)
 {
@@ -510,11 +510,11 @@
 check_rolled_back (struct sim *sim)
 {
   struct node *node = &sim->nodes[sim->rolled_back];
-  const char *trouble = marjoram_keeper_no_vote_reason (node->keeper);
+  const char *reason = marjoram_keeper_no_vote_reason (node->keeper);
 
   if (marjoram_keeper_votes (node->keeper))
     checks_fail (sim->checks, "%s votes with a rolled-back store", node->slot);
-  if (trouble && strstr (trouble, "older copy"))
+  if (reason && strstr (reason, "older copy"))
     {
       sim->rolled_back = -1;
       lose_disk (sim, node);
@@ -536,7 +536,8 @@
   return NULL;
 }
 
-/* Deterministic: the same text is extended in the same way.  */
+/* The same text is extended in the same way, since a resend must not change
+   it.  */
 static void
 enlarge (struct sim *sim, struct marjoram_file *file)
 {
@@ -559,15 +560,15 @@
 make_change (struct sim *sim)
 {
   struct node *node = running_node (sim);
-  bool again = chance (sim, 35);
+  bool resend = chance (sim, 35);
   struct marjoram_file file;
   uint64_t request;
   const char *id;
 
   if (!node)
     return;
-  request = checks_pick_change (sim->checks, sim->random, again, &file, &id);
-  sim->counts.resent += again;
+  request = checks_pick_change (sim->checks, sim->random, resend, &file, &id);
+  sim->counts.resent += resend;
   enlarge (sim, &file);
   marjoram_keeper_apply (node->keeper, sim->now, request, id, &file);
 }
@@ -598,7 +599,7 @@
 }
 
 static void
-ask_repair (struct sim *sim)
+request_repair (struct sim *sim)
 {
   struct node *node = running_node (sim);
 
@@ -624,8 +625,8 @@
   if (!state)
     return;
   if (state->number < node->highest_read)
-    checks_fail (sim->checks, "%s went back from %llu to %llu", node->slot,
-                 (unsigned long long)node->highest_read,
+    checks_fail (sim->checks, "%s went back from state %llu to state %llu",
+                 node->slot, (unsigned long long)node->highest_read,
                  (unsigned long long)state->number);
   node->highest_read = state->number;
 }
@@ -703,7 +704,7 @@
       if (sim->rolled_back >= 0 && sim->nodes[sim->rolled_back].keeper)
         check_rolled_back (sim);
       else if (sim->lost >= 0)
-        ask_repair (sim);
+        request_repair (sim);
       schedule (sim, REPAIR_EVERY_MS, EVENT_REPAIR, -1);
       break;
     }
