--- a/src/placement.c
+++ b/src/placement.c
@@ -8,7 +8,8 @@
 #define INITIAL_TOKENS_PER_MS 40.0
 /* Weight of a new sample in the moving means.  */
 #define SMOOTHING 0.1
-/* The same for first-event delays, which must adapt within a few requests.  */
+/* Weight of a new first-event delay, which must adapt within a few
+   requests.  */
 #define DELAY_SMOOTHING 0.3
 /* Share of lower-priority unread tokens that delay an urgent request: it is
    scheduled ahead of queued prompts but not of those in prefill.  */
@@ -19,15 +20,16 @@
   /* Initial estimate of a request's duration.  */
   INITIAL_REQUEST_MS = 20,
   /* Backoff after an upstream reports that it is at capacity.  */
-  FULL_PAUSE_MS = 50,
+  CAPACITY_BACKOFF_MS = 50,
   /* Backoff after a connection failure, doubled on each failure up to
-     UNREACHED_DOUBLINGS times.  */
-  UNREACHED_PAUSE_MS = 300,
-  UNREACHED_DOUBLINGS = 4,
+     CONNECT_BACKOFF_DOUBLINGS times.  */
+  CONNECT_BACKOFF_MS = 300,
+  CONNECT_BACKOFF_DOUBLINGS = 4,
   /* Consecutive broken responses after which the upstream is suspected.  */
-  BROKEN_IN_ROW = 3,
+  BROKEN_RESPONSES_MAX = 3,
   SUSPECT_MS = 500,
-  /* Shortest prompt, in tokens, used to measure prefill speed.  */
+  /* Minimum unread tokens, of a request and the queue ahead of it, from which
+     prefill speed is measured.  */
   SPEED_TOKENS_MIN = 1500
 };
 
@@ -44,8 +46,6 @@
   return placement;
 }
 
-/* ---- Records.  ---- */
-
 struct marjoram_endpoint *
 marjoram_endpoint_find (marjoram_placement *placement, const char *id)
 {
@@ -236,8 +236,8 @@
   STAILQ_INSERT_TAIL (&placement->placed, placed, link);
 }
 
-/* Earlier parts are needed for later ones to be usable, so they are marked as
-   used last.  */
+/* Earlier parts are needed for later ones to be usable, so they are recorded
+   as most recently used.  */
 static void
 record_parts (marjoram_placement *placement,
               struct marjoram_endpoint *endpoint,
@@ -375,25 +375,25 @@
 
 static void
 record_failure (struct marjoram_endpoint *endpoint, int64_t now,
-                enum marjoram_attempt_end how)
+                enum marjoram_attempt_end outcome)
 {
-  switch (how)
+  switch (outcome)
     {
     case MARJORAM_ATTEMPT_REFUSED:
-      pause_endpoint (endpoint, now + FULL_PAUSE_MS);
+      pause_endpoint (endpoint, now + CAPACITY_BACKOFF_MS);
       break;
     case MARJORAM_ATTEMPT_WRONG_UPSTREAM:
       endpoint->address_conflict_at = now;
       break;
     case MARJORAM_ATTEMPT_UNREACHED:
       pause_endpoint (
-          endpoint, now + (UNREACHED_PAUSE_MS << endpoint->connect_failures));
-      if (endpoint->connect_failures < UNREACHED_DOUBLINGS)
+          endpoint, now + (CONNECT_BACKOFF_MS << endpoint->connect_failures));
+      if (endpoint->connect_failures < CONNECT_BACKOFF_DOUBLINGS)
         endpoint->connect_failures++;
       break;
     case MARJORAM_ATTEMPT_BROKEN:
     case MARJORAM_ATTEMPT_TIMED_OUT:
-      if (++endpoint->broken_responses >= BROKEN_IN_ROW)
+      if (++endpoint->broken_responses >= BROKEN_RESPONSES_MAX)
         endpoint->suspected_until = now + SUSPECT_MS;
       break;
     default:
@@ -404,7 +404,7 @@
 void
 marjoram_placement_attempt_ended (marjoram_placement *placement, int64_t now,
                                   uint64_t number,
-                                  enum marjoram_attempt_end how)
+                                  enum marjoram_attempt_end outcome)
 {
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
   struct marjoram_endpoint *endpoint;
@@ -418,7 +418,7 @@
   endpoint->own.running--;
   endpoint->own.held -= attempt->held;
   endpoint->own.answer -= attempt->answer;
-  if (how == MARJORAM_ATTEMPT_SERVED)
+  if (outcome == MARJORAM_ATTEMPT_SERVED)
     {
       endpoint->connect_failures = 0;
       endpoint->broken_responses = 0;
@@ -428,10 +428,11 @@
           (double)(now - attempt->started_at));
     }
   else
-    record_failure (endpoint, now, how);
-  if (how != MARJORAM_ATTEMPT_CANCELLED && how != MARJORAM_ATTEMPT_REFUSED)
+    record_failure (endpoint, now, outcome);
+  if (outcome != MARJORAM_ATTEMPT_CANCELLED
+      && outcome != MARJORAM_ATTEMPT_REFUSED)
     update_mean (&endpoint->failure_share,
-                 how == MARJORAM_ATTEMPT_SERVED ? 0 : 1);
+                 outcome == MARJORAM_ATTEMPT_SERVED ? 0 : 1);
   destroy_attempt (placement, attempt);
 }
 
--- a/src/placement.h
+++ b/src/placement.h
@@ -57,7 +57,7 @@
   MARJORAM_PLACE_BUSY  /* every upstream would respond too late */
 };
 
-/* The limit that an upstream's estimated wait exceeds.  */
+/* The limit that rules out an upstream.  */
 enum marjoram_place_limit
 {
   MARJORAM_PLACE_LIMIT_NONE,
@@ -121,7 +121,6 @@
 /* The first event or the response headers arrived.  */
 void marjoram_placement_response_started (marjoram_placement *placement,
                                           int64_t now, uint64_t attempt);
-/* Response data arrived.  */
 void marjoram_placement_data_received (marjoram_placement *placement,
                                        int64_t now, uint64_t attempt);
 /* When the upstream of ATTEMPT last sent any data to this host, for whichever
@@ -136,12 +135,12 @@
   MARJORAM_ATTEMPT_WRONG_UPSTREAM, /* another upstream owns the address */
   MARJORAM_ATTEMPT_FAILED,         /* upstream returned an error */
   MARJORAM_ATTEMPT_UNREACHED,      /* no connection: not executed */
-  MARJORAM_ATTEMPT_BROKEN,   /* connection broken: may have been executed */
-  MARJORAM_ATTEMPT_TIMED_OUT /* timed out */
+  MARJORAM_ATTEMPT_BROKEN, /* connection broken: may have been executed */
+  MARJORAM_ATTEMPT_TIMED_OUT
 };
 void marjoram_placement_attempt_ended (marjoram_placement *placement,
                                        int64_t now, uint64_t attempt,
-                                       enum marjoram_attempt_end how);
+                                       enum marjoram_attempt_end outcome);
 /* Connections to ADDRESS broke: the upstream may have restarted with a cold
    cache.  */
 void marjoram_placement_connection_lost (marjoram_placement *placement,
