--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -6,16 +6,17 @@
 
 /* Weight of unread tokens relative to queued ones: prefill also evicts other
    cached parts.  */
-#define READ_WEIGHT 2.0
+#define PREFILL_WEIGHT 2.0
 /* Weight of a new sample in the mean backlog.  */
 #define BACKLOG_SMOOTHING 0.1
-/* Cost multiplier per unit of mean failure share.  */
+/* Relative increase in cost at a mean failure share of 1.  */
 #define FAILURE_WEIGHT 4.0
 /* Weight of the delay that chunked prefill causes to running responses,
    relative to the request's own wait.  */
 #define INTERFERENCE_WEIGHT 0.1
-/* Response tokens for which the delay counts once.  */
-#define LONG_ANSWER 300.0
+/* Expected response tokens of an engine at which INTERFERENCE_WEIGHT
+   applies in full.  */
+#define INTERFERENCE_ANSWER_TOKENS 300.0
 
 enum
 {
@@ -25,16 +26,17 @@
   /* A heartbeat received at least this long after a connection broke was sent
      after it and shows whether the upstream is cold.  */
   HEARTBEAT_DELAY_MS = 300,
-  /* Safety margin added to the cold period that a heartbeat reports.  */
+  /* Safety margin added to the cold period that a heartbeat reports: once it
+     ends, all waiting requests are sent at once.  */
   COLD_MARGIN_MS = 100,
-  /* Cost penalty of a cold upstream.  */
   COLD_COST_MS = 100,
-  /* Cost penalty of a suspected upstream.  */
+  /* High enough that any other upstream is preferred.  */
   SUSPECT_COST_MS = 1000,
   /* Maximum prefill backlog ahead of a request; longer queues stall running
      responses.  */
   BACKLOG_MAX_MS = 100,
-  /* Extra cost accepted for an upstream that meets the deadline.  */
+  /* Extra cost accepted for an upstream that meets the deadline.  A higher one
+     would repeat prefill and evict other cached parts.  */
   DEADLINE_COST_MS = 100,
   /* Hosts per region above which each request considers only a sample of the
      upstreams, to avoid herding on the least loaded one.  */
@@ -45,10 +47,9 @@
   MSEC_PER_SEC = 1000
 };
 
-/* ---- Selection.  ---- */
-
 /* Broken connections may mean that the upstream restarted cold under the same
-   id, so it counts as cold until a later heartbeat arrives.  */
+   id; the full request rate could crash it, so it counts as cold until a later
+   heartbeat arrives.  */
 static bool
 is_cold (const struct marjoram_endpoint *endpoint,
          const struct marjoram_registered *upstream,
@@ -152,7 +153,8 @@
 static double
 interference_ms (const struct marjoram_endpoint_load *load, double unread_ms)
 {
-  return INTERFERENCE_WEIGHT * unread_ms * (double)load->answer / LONG_ANSWER;
+  return INTERFERENCE_WEIGHT * unread_ms * (double)load->answer
+         / INTERFERENCE_ANSWER_TOKENS;
 }
 
 /* Current delay beyond the estimate: the recent mean, or the overdue time of
@@ -192,7 +194,7 @@
   estimate.wait_ms
       = ahead_ms + unread_ms + copy->ms + delay_ms (endpoint, now)
         + queue_ms (&load, query->service->engine.slots, stats->request_ms);
-  estimate.cost_ms = estimate.wait_ms + (READ_WEIGHT - 1) * unread_ms
+  estimate.cost_ms = estimate.wait_ms + (PREFILL_WEIGHT - 1) * unread_ms
                      + interference_ms (&load, unread_ms);
   return estimate;
 }
@@ -288,7 +290,7 @@
 
 struct choice
 {
-  const struct marjoram_registered *upstream; /* null if none */
+  const struct marjoram_registered *upstream; /* NULL if none */
   struct estimate estimate;
   struct marjoram_copy copy;
 };
