--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -39,7 +39,7 @@
   UT_hash_handle hh;
 };
 
-/* The endpoint is known only from other hosts' reports.  */
+/* Value of BORN while the endpoint is known only from other hosts' reports. */
 #define MARJORAM_START_UNKNOWN INT64_MIN
 
 /* Placement state of one upstream, in addition to the registry entry.  */
@@ -50,8 +50,8 @@
   struct marjoram_endpoint_load others; /* total of other hosts */
   size_t reporter_count;                /* hosts whose reports include it */
   int group;
-  struct marjoram_endpoint_load
-      collected; /* total of all hosts, including this one */
+  /* Total of all hosts, including this one, from the collector.  */
+  struct marjoram_endpoint_load collected;
   /* Values of OWN last sent to the collector, and those sent before.  */
   struct marjoram_endpoint_load reported;
   struct marjoram_endpoint_load previously_reported;
@@ -60,12 +60,12 @@
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
   int64_t born;     /* start time of the instance that CACHE models */
   int64_t paused_until;
-  int64_t suspected_until;     /* used only if there is no alternative */
-  int64_t disconnected_at;     /* 0 if its connections never broke */
-  int64_t address_conflict_at; /* time of the last address conflict */
-  int64_t heard_at;            /* last response data to this host; 0 if none */
+  int64_t suspected_until; /* used only if there is no alternative */
+  int64_t disconnected_at; /* 0 if its connections never broke */
+  int64_t address_conflict_at;
+  int64_t heard_at; /* last response data to this host; 0 if none */
   int64_t cold_until;
-  int64_t cold_sent_at;
+  int64_t cold_sent_at; /* last request sent; limits the rate while cold */
   int connect_failures;
   int broken_responses;
   double failure_share;
@@ -121,8 +121,8 @@
   struct marjoram_placed_attempt *attempts;
   struct marjoram_service_stats *service_stats;
   STAILQ_HEAD (, marjoram_placed_item)
-  placed;                /* placed since the last report */
-  uint64_t report_count; /* number of reports built */
+  placed; /* placed since the last report */
+  uint64_t report_count;
   int64_t collected_at[MARJORAM_LOAD_GROUPS]; /* 0 if no totals are held */
   struct marjoram_reporter *reporters;
   TAILQ_HEAD (, marjoram_reporter) reporters_by_age;
@@ -134,7 +134,7 @@
 struct marjoram_endpoint *
 marjoram_endpoint_of (marjoram_placement *placement,
                       const struct marjoram_registered *upstream);
-/* Total load there from this and all other reporting hosts.  Call
+/* Total load of ENDPOINT from this and all other reporting hosts.  Call
    marjoram_placement_expire_reports first.  */
 struct marjoram_endpoint_load
 marjoram_endpoint_total_load (const struct marjoram_endpoint *endpoint,
@@ -142,7 +142,6 @@
 /* Drops reports of hosts that have timed out.  */
 void marjoram_placement_expire_reports (marjoram_placement *placement,
                                         int64_t now);
-/* placement_collect.c */
 /* Drops totals of collectors that have timed out.  */
 void marjoram_placement_expire_totals (marjoram_placement *placement,
                                        int64_t now);
@@ -164,7 +163,6 @@
                                 const struct marjoram_placed_part *placed);
 void marjoram_reporter_destroy (marjoram_placement *placement,
                                 struct marjoram_reporter *reporter);
-/* Prompt tokens that the engine has cached.  */
 int64_t
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
                                  const struct marjoram_call_metadata *facts);
