--- a/src/placement_copy.c
+++ b/src/placement_copy.c
@@ -11,7 +11,7 @@
 #define COPY_SETUP_MS 1.3
 
 static struct marjoram_copy_zone *
-find_zone (struct marjoram_copy_sources *sources, const char *zone)
+find_or_add_zone (struct marjoram_copy_sources *sources, const char *zone)
 {
   struct marjoram_copy_zone *found;
 
@@ -73,7 +73,7 @@
     if (!marjoram_placement_is_candidate (placement, upstream, query, now))
       continue;
     endpoint = marjoram_endpoint_of (placement, upstream);
-    zone = find_zone (sources, upstream->news.zone);
+    zone = find_or_add_zone (sources, upstream->news.zone);
     if (zone && may_copy_from (endpoint, upstream, now))
       add_source (zone, upstream,
                   marjoram_endpoint_cached_tokens (endpoint, query->facts));
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -150,7 +150,7 @@
 }
 
 static struct marjoram_reporter *
-find_reporter (marjoram_placement *placement, const char *host)
+find_or_add_reporter (marjoram_placement *placement, const char *host)
 {
   struct marjoram_reporter *reporter;
 
@@ -198,7 +198,7 @@
 marjoram_endpoint_apply_placed (struct marjoram_endpoint *endpoint,
                                 const struct marjoram_placed_part *placed)
 {
-  /* The capacity is unknown until this host has sent a request there.  */
+  /* The capacity is unknown until this host has estimated a request there.  */
   int64_t capacity = endpoint->capacity > 0 ? endpoint->capacity : INT64_MAX;
 
   marjoram_engine_cache_use (endpoint->cache, placed->part,
@@ -212,7 +212,7 @@
 {
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
-  struct marjoram_reporter *reporter = find_reporter (placement, host);
+  struct marjoram_reporter *reporter = find_or_add_reporter (placement, host);
   marjoram_auto_free size_t *load_index
       = marjoram_alloc ((report->items.count + 1) * sizeof *load_index);
 
