--- a/src/spill.c
+++ b/src/spill.c
@@ -12,11 +12,10 @@
 {
   /* Mean backlog below which responses are not delayed.  */
   BACKLOG_MIN_MS = 30,
-  /* Minimum difference in backlog.  */
   DIFFERENCE_MIN_MS = 10,
   /* Standard deviation of one engine's backlog.  */
   BACKLOG_DEVIATION_MS = 80,
-  /* Shorter prompts are not moved.  */
+  /* Prompts with less uncached prefill time are not moved.  */
   PROMPT_MIN_MS = 25
 };
 
--- a/src/spill.h
+++ b/src/spill.h
@@ -16,7 +16,7 @@
   double remote_ms;        /* the same in the other region */
   double unread_ms;        /* prefill time of the uncached prompt, locally */
   double prompt_ms;        /* prefill time of the whole prompt */
-  int64_t remote_first_ms; /* time to its prefill there, including transit */
+  int64_t remote_first_ms; /* time until its prefill there, with transit */
   int64_t useful_ms;       /* time left for the first event */
 };
 
