--- a/src/load_collector.c
+++ b/src/load_collector.c
@@ -48,7 +48,7 @@
 {
   TAILQ_ENTRY (reporter) link;
   char *host;
-  int64_t heard_at;
+  int64_t received_at;
   struct share *shares; /* keyed by total */
   UT_hash_handle hh;
 };
@@ -145,7 +145,7 @@
 
   while ((oldest = TAILQ_FIRST (&collector->by_age))
          /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-         && now - oldest->heard_at > REPORTER_VALID_MS)
+         && now - oldest->received_at > REPORTER_VALID_MS)
     remove_reporter (collector, oldest);
 }
 
@@ -191,7 +191,7 @@
 }
 
 static struct total *
-find_total (marjoram_load_collector *collector, const char *upstream)
+find_or_add_total (marjoram_load_collector *collector, const char *upstream)
 {
   struct total *total;
 
@@ -206,7 +206,7 @@
 }
 
 static struct reporter *
-find_reporter (marjoram_load_collector *collector, const char *host)
+find_or_add_reporter (marjoram_load_collector *collector, const char *host)
 {
   struct reporter *reporter;
 
@@ -279,21 +279,21 @@
 {
   const struct marjoram_load_item *items = report->items.items;
   const struct marjoram_placed_part *placed = report->placed.items;
-  struct reporter *reporter = find_reporter (collector, host);
+  struct reporter *reporter = find_or_add_reporter (collector, host);
 
-  reporter->heard_at = now;
+  reporter->received_at = now;
   if (report->whole)
     remove_shares (reporter);
   for (size_t i = 0; i < report->items.count; i++)
     if (items[i].upstream)
-      apply_item (reporter, find_total (collector, items[i].upstream),
+      apply_item (reporter, find_or_add_total (collector, items[i].upstream),
                   &items[i]);
   for (size_t i = 0; i < report->placed.count; i++)
     if (placed[i].upstream < report->items.count
         && items[placed[i].upstream].upstream)
       record_placed (
           collector,
-          find_total (collector, items[placed[i].upstream].upstream),
+          find_or_add_total (collector, items[placed[i].upstream].upstream),
           &placed[i]);
 }
 
--- a/src/registry.c
+++ b/src/registry.c
@@ -42,7 +42,7 @@
 }
 
 static struct marjoram_registered_service *
-find_service (marjoram_registry *registry, const char *name)
+find_or_add_service (marjoram_registry *registry, const char *name)
 {
   struct marjoram_registered_service *service;
 
@@ -84,7 +84,7 @@
       && strcmp (upstream->service->name, upstream->news.service) == 0)
     return;
   leave_service (registry, upstream);
-  upstream->service = find_service (registry, upstream->news.service);
+  upstream->service = find_or_add_service (registry, upstream->news.service);
   TAILQ_INSERT_TAIL (&upstream->service->upstreams, upstream, service_link);
   upstream->service->count++;
 }
@@ -344,7 +344,8 @@
   news->state = (enum marjoram_upstream_state)item->state;
   news->born = item->born;
   news->sequence = item->sequence;
-  /* Both are relative to sending; the record counts from reception.  */
+  /* Both are relative to the time of sending, whereas the record counts from
+     reception by the keeper.  */
   news->cold_ms = item->cold_ms > 0 ? item->cold_ms + item->age_ms : 0;
   news->ends_ms = item->ends_ms >= 0 ? item->ends_ms + item->age_ms : -1;
   news->slots = item->slots;
--- a/src/shortage.c
+++ b/src/shortage.c
@@ -52,7 +52,7 @@
 }
 
 static struct shortage *
-find (marjoram_shortages *shortages, int64_t now, const char *service)
+find_or_add (marjoram_shortages *shortages, int64_t now, const char *service)
 {
   struct shortage *shortage;
 
@@ -73,7 +73,7 @@
 marjoram_shortages_retry_ms (marjoram_shortages *shortages, int64_t now,
                              const char *service, int64_t at_least_ms)
 {
-  struct shortage *shortage = find (shortages, now, service);
+  struct shortage *shortage = find_or_add (shortages, now, service);
   int64_t duration_ms;
 
   if (now > shortage->last + SHORTAGE_END_MS)
