--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -17,7 +17,6 @@
   ANSWER_MAX = 1024 * 1024
 };
 
-/* The query of one engine.  */
 struct query
 {
   uint64_t number;
@@ -41,7 +40,7 @@
 };
 
 static struct query *
-find (marjoram_engine_survey *survey, uint64_t number)
+find_pending (marjoram_engine_survey *survey, uint64_t number)
 {
   struct query *query;
 
@@ -72,7 +71,7 @@
 on_head (void *context, uint64_t number, int status,
          struct marjoram_header_list *headers)
 {
-  struct query *query = find (context, number);
+  struct query *query = find_pending (context, number);
 
   (void)headers;
   if (query)
@@ -83,7 +82,7 @@
 static void
 on_data (void *context, uint64_t number, const char *data, size_t size)
 {
-  struct query *query = find (context, number);
+  struct query *query = find_pending (context, number);
 
   if (!query || !query->is_valid)
     return;
@@ -104,16 +103,17 @@
 }
 
 static void
-on_end (void *context, uint64_t number, enum marjoram_http_outcome how)
+on_end (void *context, uint64_t number, enum marjoram_http_outcome outcome)
 {
   marjoram_engine_survey *survey = context;
-  struct query *query = find (survey, number);
+  struct query *query = find_pending (survey, number);
   struct marjoram_prompt_parts parts = { 0 };
   bool valid;
 
   if (!query)
     return;
-  valid = how == MARJORAM_HTTP_COMPLETE && read_answer (survey, query, &parts);
+  valid = outcome == MARJORAM_HTTP_COMPLETE
+          && read_answer (survey, query, &parts);
   marjoram_event (MARJORAM_EVENT_UPSTREAM, "id=%s survey=%s parts=%zu",
                   query->engine, valid ? "answered" : "failed", parts.count);
   if (valid)
--- a/src/engine_survey.h
+++ b/src/engine_survey.h
@@ -26,7 +26,6 @@
    query is not repeated; the engine's cache is then taken to be empty.  */
 void marjoram_engine_survey_query (marjoram_engine_survey *survey,
                                    const char *engine, const char *address);
-/* Number of pending queries.  */
 size_t marjoram_engine_survey_pending (const marjoram_engine_survey *survey);
 /* To be called at least every 250 ms.  */
 void marjoram_engine_survey_tick (marjoram_engine_survey *survey);
