--- a/src/host_list.c
+++ b/src/host_list.c
@@ -53,9 +53,9 @@
 
 struct marjoram_host_list
 {
-  int64_t relayed_valid_ms; /* validity of relayed heartbeats */
-  int64_t lag_ms;           /* receive lag of this host */
-  char *region; /* region whose entry hosts use BEAT_MS; NULL if none */
+  int64_t relayed_valid_ms;
+  int64_t lag_ms; /* receive lag of this host */
+  char *region;   /* region whose entry hosts use BEAT_MS; NULL if none */
   int64_t beat_ms;
   struct marjoram_listed_hosts hosts;
   struct marjoram_listed_host *by_name;
@@ -84,7 +84,7 @@
 }
 
 /* With a lagging receiver all heartbeats arrive late and live hosts would
-   appear dead; several hosts could then each take themselves for the owner of
+   appear dead; several hosts could then each consider themselves the owner of
    a cold upstream.  The lag is bounded by its source, so that dead hosts are
    still detected.  */
 void
@@ -207,7 +207,8 @@
   return strcmp (known, received ? received : "") == 0;
 }
 
-/* Fast path for heartbeats with unchanged strings: updates in place.  */
+/* Fast path for heartbeats with unchanged strings and no offers: updates in
+   place.  */
 static bool
 update_beat_in_place (struct marjoram_host_beat *known,
                       const struct marjoram_host_beat *beat)
--- a/src/order.c
+++ b/src/order.c
@@ -64,7 +64,7 @@
   int64_t requested_at;  /* time of the current round */
   int64_t until;         /* end of the lease by this host's clock */
   int64_t unfenced_from; /* for engines that do not check fences */
-  int64_t next_request;  /* time of the next request */
+  int64_t next_request;
 };
 
 struct marjoram_orders
