--- a/src/registrar.c
+++ b/src/registrar.c
@@ -99,16 +99,16 @@
 
 static void
 log_news (const struct marjoram_upstream_heartbeat *news,
-          enum marjoram_registry_result hearing)
+          enum marjoram_registry_result result)
 {
-  if (hearing == MARJORAM_REGISTRY_RENEWED)
+  if (result == MARJORAM_REGISTRY_RENEWED)
     return;
   marjoram_event (
       MARJORAM_EVENT_UPSTREAM,
       "id=%s state=%s taken=%s service=%s address=%s zone=%s "
       "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64 " ends_ms=%" PRId64,
       news->id, state_names[news->state],
-      hearing == MARJORAM_REGISTRY_STALE ? "no" : "yes",
+      result == MARJORAM_REGISTRY_STALE ? "no" : "yes",
       *news->service ? news->service : "-",
       *news->address ? news->address : "-", *news->zone ? news->zone : "-",
       news->born, news->sequence, news->cold_ms, news->ends_ms);
@@ -154,9 +154,9 @@
       || registrar->options.knows_zone (registrar->options.context,
                                         news->zone))
     return true;
-  return marjoram_error_set (err, MARJORAM_ERROR_INVALID,
-                             "unknown zone \"%s\"; use a zone of the settings",
-                             news->zone);
+  return marjoram_error_set (
+      err, MARJORAM_ERROR_INVALID,
+      "unknown zone \"%s\"; use one listed in the settings", news->zone);
 }
 
 void
@@ -186,13 +186,13 @@
 process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
               const struct marjoram_upstream_heartbeat *news)
 {
-  enum marjoram_registry_result hearing
+  enum marjoram_registry_result result
       = marjoram_registry_update (registrar->options.registry, now, news, 0);
 
-  log_news (news, hearing);
+  log_news (news, result);
   record_contact (registrar, now, news->id);
   marjoram_metrics_add (registrar->options.metrics,
-                        hearing == MARJORAM_REGISTRY_STALE
+                        result == MARJORAM_REGISTRY_STALE
                             ? MARJORAM_METRIC_NEWS_STALE
                             : MARJORAM_METRIC_NEWS,
                         1);
@@ -201,9 +201,9 @@
       confirm_leave (registrar, now, ask, news->id);
       return;
     }
-  if (hearing == MARJORAM_REGISTRY_CHANGED)
+  if (result == MARJORAM_REGISTRY_CHANGED)
     broadcast_one (registrar, now, news->id, 0);
-  else if (hearing == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
+  else if (result == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
     registrar->renewals_since = now;
   marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
 }
@@ -331,7 +331,7 @@
              : 0;
 }
 
-/* A lookup does not identify a route, and routes of one host may have
+/* A lookup does not identify a route, and routes of one host name may have
    different home regions.  Accepts the regions that are home to most routes
    among those with serving hosts, and none if no home region has any: the
    request must not leave its home regions.  */
@@ -364,30 +364,31 @@
 
 static void
 look_up (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-         const struct marjoram_api_request *what)
+         const struct marjoram_api_request *request)
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
   struct lookup lookup
-      = { .table = current_table (registrar), .host = what->host };
+      = { .table = current_table (registrar), .host = request->host };
   enum marjoram_lookup_reach reach;
   size_t count;
   marjoram_auto_free char *body = NULL;
 
   lookup.has_homes
       = lookup.table
-        && marjoram_route_table_has_homes (lookup.table, what->host);
+        && marjoram_route_table_has_homes (lookup.table, request->host);
   find_most_homes (registrar, now, &lookup);
-  count = marjoram_host_list_lookup (registrar->options.hosts, now, what->zone,
-                                     what->region, is_allowed_region, &lookup,
-                                     addresses, &reach);
+  count = marjoram_host_list_lookup (
+      registrar->options.hosts, now, request->zone, request->region,
+      is_allowed_region, &lookup, addresses, &reach);
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_LOOKUPS,
                         1);
   if (reach != MARJORAM_REACH_ZONE)
     marjoram_event (MARJORAM_EVENT_HOST,
                     "lookup=%s zone=%s region=%s reach=%s hosts=%zu "
                     "config=%" PRIu64,
-                    what->host, what->zone, what->region, reach_names[reach],
-                    count, lookup.table ? lookup.table->version : 0);
+                    request->host, request->zone, request->region,
+                    reach_names[reach], count,
+                    lookup.table ? lookup.table->version : 0);
   if (count == 0)
     {
       marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_UNAVAILABLE,
@@ -404,24 +405,24 @@
                             uint64_t ask, const char *method,
                             const char *target, const char *body, size_t size)
 {
-  struct marjoram_api_request what;
+  struct marjoram_api_request request;
   struct marjoram_error err = { 0 };
 
   if (!registrar->options.dialect->ops->read_api_request (method, target, body,
-                                                          size, &what, &err)
-      || (what.kind == MARJORAM_API_HEARTBEAT
-          && !check_news (registrar, &what.news, &err)))
+                                                          size, &request, &err)
+      || (request.kind == MARJORAM_API_HEARTBEAT
+          && !check_news (registrar, &request.news, &err)))
     {
       marjoram_registrar_reject (registrar, ask, target, &err);
       return;
     }
-  switch (what.kind)
+  switch (request.kind)
     {
     case MARJORAM_API_LOOKUP:
-      look_up (registrar, now, ask, &what);
+      look_up (registrar, now, ask, &request);
       break;
     case MARJORAM_API_HEARTBEAT:
-      process_news (registrar, now, ask, &what.news);
+      process_news (registrar, now, ask, &request.news);
       break;
     case MARJORAM_API_CONFIG_SET:
       marjoram_registrar_set_config (registrar, now, ask, body, size);
@@ -435,7 +436,7 @@
       break;
     case MARJORAM_API_EVACUATE:
     case MARJORAM_API_RESTORE:
-      marjoram_registrar_evacuate (registrar, now, ask, &what);
+      marjoram_registrar_evacuate (registrar, now, ask, &request);
       break;
     case MARJORAM_API_READY:
       marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, NULL);
--- a/src/registrar_order.c
+++ b/src/registrar_order.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  EVACUATE_ATTEMPTS_MAX = 8 /* attempts to win a concurrent update */
+  EVACUATE_ATTEMPTS_MAX = 8 /* other updates may be committed first */
 };
 
 static uint64_t
@@ -109,25 +109,27 @@
 void
 marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
                              uint64_t ask,
-                             const struct marjoram_api_request *what)
+                             const struct marjoram_api_request *request)
 {
   struct marjoram_pending_request *pending;
 
-  if (!registrar->options.knows_zone (registrar->options.context, what->zone))
+  if (!registrar->options.knows_zone (registrar->options.context,
+                                      request->zone))
     {
       struct marjoram_error err;
 
-      marjoram_error_set (&err, MARJORAM_ERROR_INVALID,
-                          "unknown zone \"%s\"; use a zone of the settings",
-                          what->zone);
+      marjoram_error_set (
+          &err, MARJORAM_ERROR_INVALID,
+          "unknown zone \"%s\"; use one listed in the settings",
+          request->zone);
       marjoram_registrar_reject (registrar, ask, "evacuation", &err);
       return;
     }
   pending = marjoram_registrar_add_pending (registrar, now, ask,
                                             MARJORAM_PENDING_EVACUATION,
                                             MARJORAM_RESPONSE_TIMEOUT_MS);
-  snprintf (pending->zone, sizeof pending->zone, "%s", what->zone);
-  pending->evacuated = what->kind == MARJORAM_API_EVACUATE;
+  snprintf (pending->zone, sizeof pending->zone, "%s", request->zone);
+  pending->evacuated = request->kind == MARJORAM_API_EVACUATE;
   registrar->ops->read (registrar->context, pending->number);
 }
 
@@ -148,12 +150,12 @@
 static void
 continue_evacuation (marjoram_registrar *registrar,
                      struct marjoram_pending_request *pending,
-                     const struct marjoram_apply_answer *what)
+                     const struct marjoram_apply_answer *answer)
 {
   const struct marjoram_state *state
       = registrar->ops->state (registrar->context);
 
-  const bool known = what->outcome == MARJORAM_APPLY_DECIDED && state;
+  const bool known = answer->outcome == MARJORAM_APPLY_DECIDED && state;
 
   if (known && is_evacuated (state, pending->zone) == pending->evacuated)
     end_evacuation (registrar, pending, MARJORAM_STATUS_OK);
@@ -166,21 +168,21 @@
 static void
 end_config (marjoram_registrar *registrar,
             struct marjoram_pending_request *pending,
-            const struct marjoram_apply_answer *what)
+            const struct marjoram_apply_answer *answer)
 {
   int status = MARJORAM_STATUS_OK;
 
-  if (what->outcome != MARJORAM_APPLY_DECIDED)
+  if (answer->outcome != MARJORAM_APPLY_DECIDED)
     status = MARJORAM_STATUS_UNAVAILABLE;
-  else if (what->result == MARJORAM_CHANGE_INVALID)
+  else if (answer->result == MARJORAM_CHANGE_INVALID)
     status = MARJORAM_STATUS_BAD_REQUEST;
   marjoram_event (MARJORAM_EVENT_CONFIG,
                   "version=%" PRIu64 " taken=%s status=%d number=%" PRIu64
                   " held=%" PRIu64 " why=\"%s\"",
                   pending->version,
-                  what->result == MARJORAM_CHANGE_ACCEPTED ? "yes" : "no",
-                  status, what->number, what->version,
-                  what->message ? what->message : "");
+                  answer->result == MARJORAM_CHANGE_ACCEPTED ? "yes" : "no",
+                  status, answer->number, answer->version,
+                  answer->message ? answer->message : "");
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_CONFIGS,
                         status == MARJORAM_STATUS_OK);
   marjoram_registrar_answer (registrar, pending->ask, status, "{}");
@@ -190,14 +192,14 @@
 static void
 end_read (marjoram_registrar *registrar,
           struct marjoram_pending_request *pending,
-          const struct marjoram_apply_answer *what)
+          const struct marjoram_apply_answer *answer)
 {
   const struct marjoram_state *state
       = registrar->ops->state (registrar->context);
   const struct marjoram_file *file
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
 
-  if (what->outcome == MARJORAM_APPLY_DECIDED && file)
+  if (answer->outcome == MARJORAM_APPLY_DECIDED && file)
     marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
                                file->text);
   else
@@ -209,7 +211,7 @@
 void
 marjoram_registrar_decided (marjoram_registrar *registrar, int64_t now,
                             uint64_t request,
-                            const struct marjoram_apply_answer *what)
+                            const struct marjoram_apply_answer *answer)
 {
   struct marjoram_pending_request *pending
       = marjoram_registrar_find_pending (registrar, request);
@@ -220,13 +222,13 @@
   switch (pending->kind)
     {
     case MARJORAM_PENDING_CONFIG:
-      end_config (registrar, pending, what);
+      end_config (registrar, pending, answer);
       break;
     case MARJORAM_PENDING_READ:
-      end_read (registrar, pending, what);
+      end_read (registrar, pending, answer);
       break;
     case MARJORAM_PENDING_EVACUATION:
-      continue_evacuation (registrar, pending, what);
+      continue_evacuation (registrar, pending, answer);
       break;
     case MARJORAM_PENDING_LEAVE:
       break;
--- a/src/registrar_private.h
+++ b/src/registrar_private.h
@@ -29,7 +29,7 @@
    share one sequence of numbers.  */
 struct marjoram_pending_request
 {
-  uint64_t number; /* ticket or register request */
+  uint64_t number;
   uint64_t ask;
   enum marjoram_pending_kind kind;
   int64_t deadline;
@@ -78,6 +78,6 @@
                                     size_t size);
 void marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
                                   uint64_t ask,
-                                  const struct marjoram_api_request *what);
+                                  const struct marjoram_api_request *request);
 
 #endif
