--- a/src/offer.h
+++ b/src/offer.h
@@ -39,38 +39,39 @@
 };
 
 marjoram_offer_table *marjoram_offer_table_create (marjoram_random *random);
-void marjoram_offer_table_destroy (marjoram_offer_table *loans);
+void marjoram_offer_table_destroy (marjoram_offer_table *table);
 /* ZONE is that of this host.  Retains CONFIG.  */
-void marjoram_offer_table_configure (marjoram_offer_table *loans,
+void marjoram_offer_table_configure (marjoram_offer_table *table,
                                      marjoram_config *config, int zone);
-void marjoram_offer_table_update (marjoram_offer_table *loans, int64_t now,
+/* LINK_MS is the one-way latency to ZONE.  */
+void marjoram_offer_table_update (marjoram_offer_table *table, int64_t now,
                                   int zone,
                                   const struct marjoram_array *offers,
                                   int64_t link_ms);
 /* Finds the best zone in the bit mask REGIONS for a request that takes
    UNLOADED_MS at an idle upstream.  A request that no upstream in this zone
    can run may queue there beyond the offered capacity.  */
-void marjoram_offer_table_find_best (marjoram_offer_table *loans, int64_t now,
+void marjoram_offer_table_find_best (marjoram_offer_table *table, int64_t now,
                                      const struct marjoram_query *query,
                                      uint64_t regions, double unloaded_ms,
                                      bool no_local_upstream,
                                      struct marjoram_zone_estimate *best);
-/* Whether any zone in REGIONS has upstreams for WORK (known), or offers
-   capacity (room).  */
-bool marjoram_offer_table_has_upstreams (const marjoram_offer_table *loans,
+/* Whether any zone in REGIONS has upstreams for WORK, or offers capacity for
+   it.  */
+bool marjoram_offer_table_has_upstreams (const marjoram_offer_table *table,
                                          int64_t now, int work,
                                          uint64_t regions);
-bool marjoram_offer_table_has_capacity (const marjoram_offer_table *loans,
+bool marjoram_offer_table_has_capacity (const marjoram_offer_table *table,
                                         int64_t now, int work,
                                         uint64_t regions);
-void marjoram_offer_table_request_sent (marjoram_offer_table *loans,
+void marjoram_offer_table_request_sent (marjoram_offer_table *table,
                                         int64_t now, int zone, int work);
-void marjoram_offer_table_request_ended (marjoram_offer_table *loans,
+void marjoram_offer_table_request_ended (marjoram_offer_table *table,
                                          int64_t now, int zone, int work,
                                          bool failed);
-/* The part of the FREE capacity to offer to one host of ZONE.  */
-uint64_t marjoram_offer_table_allocate (marjoram_offer_table *loans,
+/* The part of FREE_CAPACITY to offer to one host of ZONE.  */
+uint64_t marjoram_offer_table_allocate (marjoram_offer_table *table,
                                         int64_t now, int zone, int work,
-                                        double free);
+                                        double free_capacity);
 
 #endif
