--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -37,10 +37,10 @@
   PAUSE_MS = 600    /* longest acceptable pause between two events */
 };
 
-/* A 70B-parameter model on one accelerator.  It works in steps, each of which
-   processes a chunk of prompts and adds a token to each response.  Speeds in
-   prompt tokens per ms, and the duration of a step without prompts in ms.  */
-#define READ_PER_MS 44.2
+/* A 70B-parameter model on one accelerator.  Each step processes a chunk of
+   prompts and adds a token to each response.  Speeds are in prompt tokens per
+   ms; the duration of a step without prompts is in ms.  */
+#define PREFILL_PER_MS 44.2
 #define COPIED_PER_MS 404.0
 #define STEP_MS 3.4
 #define STEP_PER_ANSWER_MS 0.017
@@ -51,15 +51,15 @@
   uint64_t number;
   int host;
   struct marjoram_call_metadata facts;
-  int64_t asked_at;
+  int64_t arrived_at;
   int64_t objective_ms;
   double unread;  /* prompt tokens left; copied ones weighted by their cost */
   double in_step; /* prompt tokens in the current step */
   int answer;     /* response tokens left */
-  int made;       /* response tokens since the last event */
+  int event_tokens; /* response tokens since the last event */
   int64_t event_at;
-  bool answering;
-  bool paused; /* a pause exceeded the limit */
+  bool responding;
+  bool is_late; /* the first event or a later one came too late */
 };
 
 struct sim_engine
@@ -87,7 +87,7 @@
   marjoram_placement *placements[HOSTS_MAX];
   struct marjoram_service_rule service;
   struct sim_engine engines[ENGINES_MAX];
-  struct seen_part *seen; /* parts read by some engine */
+  struct seen_part *seen; /* parts prefilled by some engine */
   uint64_t jobs;
   uint64_t next_engine;
 };
@@ -218,10 +218,10 @@
   return false;
 }
 
-/* Counts the tokens that the engine reads: parts after the first CACHED
+/* Counts the tokens that the engine prefills: parts after the first CACHED
    tokens.  */
 static void
-count_read (struct load *load, const struct job *job, int64_t cached)
+count_prefill (struct load *load, const struct job *job, int64_t cached)
 {
   const struct marjoram_call_metadata *facts = &job->facts;
   int64_t before = 0;
@@ -256,9 +256,9 @@
   if (cached < own)
     cached = own;
   load->result->copied += cached - own;
-  count_read (load, job, cached);
+  count_prefill (load, job, cached);
   job->unread = (double)(job->facts.prompt_tokens - cached)
-                + (double)(cached - own) * READ_PER_MS / COPIED_PER_MS;
+                + (double)(cached - own) * PREFILL_PER_MS / COPIED_PER_MS;
   for (size_t i = job->facts.part_count; i > 0; i--)
     marjoram_engine_cache_use (engine->cache, job->facts.parts[i - 1].id,
                                job->facts.parts[i - 1].tokens, CAPACITY);
@@ -281,9 +281,9 @@
 static void
 first_event (struct load *load, struct job *job, int64_t now)
 {
-  job->answering = true;
+  job->responding = true;
   job->event_at = now;
-  job->paused = now - job->asked_at > job->objective_ms;
+  job->is_late = now - job->arrived_at > job->objective_ms;
   if (load->terms->way >= LOAD_PLACED)
     marjoram_placement_response_started (load->placements[job->host], now,
                                          job->number);
@@ -294,15 +294,15 @@
            int64_t now)
 {
   job->answer--;
-  if (++job->made == EVENT_TOKENS || job->answer == 0)
+  if (++job->event_tokens == EVENT_TOKENS || job->answer == 0)
     {
-      job->paused = job->paused || now - job->event_at > PAUSE_MS;
+      job->is_late = job->is_late || now - job->event_at > PAUSE_MS;
       job->event_at = now;
-      job->made = 0;
+      job->event_tokens = 0;
     }
   if (job->answer > 0)
     return;
-  if (job->paused)
+  if (job->is_late)
     load->result->late++;
   else
     load->result->in_time++;
@@ -320,7 +320,7 @@
       next = TAILQ_NEXT (job, link);
       job->unread -= job->in_step;
       job->in_step = 0;
-      if (job->answering)
+      if (job->responding)
         add_token (load, engine, job, now);
       else if (job->unread <= 0)
         first_event (load, job, now);
@@ -336,13 +336,13 @@
   TAILQ_FOREACH (job, &engine->jobs, link)
   {
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
-    if (job->answering)
+    if (job->responding)
       continue;
     job->in_step = job->unread < room ? job->unread : room;
     room -= job->in_step;
   }
   engine->step_until = now + STEP_MS + STEP_PER_ANSWER_MS * engine->running
-                       + (CHUNK - room) / READ_PER_MS;
+                       + (CHUNK - room) / PREFILL_PER_MS;
 }
 
 static void
@@ -364,13 +364,13 @@
 {
   struct job *job = marjoram_alloc (sizeof *job);
   struct marjoram_call_metadata *facts = &job->facts;
-  uint64_t drawn
+  uint64_t session
       = marjoram_random_below (load->random, (uint64_t)load->terms->sessions);
 
   job->number = ++load->jobs;
   job->host = (int)marjoram_random_below (load->random,
                                           (uint64_t)load->terms->hosts);
-  job->asked_at = now;
+  job->arrived_at = now;
   job->objective_ms = review ? REVIEW_OBJECTIVE_MS : CHAT_OBJECTIVE_MS;
   snprintf (facts->id, sizeof facts->id, "%" PRIu64, job->number);
   facts->answer_tokens_hint = review ? REVIEW_ANSWER : CHAT_ANSWER;
@@ -378,14 +378,15 @@
   if (review)
     {
       facts->parts[facts->part_count++]
-          = (struct marjoram_prompt_part){ 1 + drawn % CLASSES, CLASS_TOKENS };
+          = (struct marjoram_prompt_part){ 1 + session % CLASSES,
+                                           CLASS_TOKENS };
       facts->parts[facts->part_count++]
-          = (struct marjoram_prompt_part){ SESSION_IDS + drawn,
+          = (struct marjoram_prompt_part){ SESSION_IDS + session,
                                            SESSION_TOKENS };
     }
   else
     facts->parts[facts->part_count++]
-        = (struct marjoram_prompt_part){ CHAT_IDS + drawn % CHAT_PARTS,
+        = (struct marjoram_prompt_part){ CHAT_IDS + session % CHAT_PARTS,
                                          CHAT_SHARED };
   facts->parts[facts->part_count++]
       = (struct marjoram_prompt_part){ OWN_IDS + job->number,
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -27,25 +27,25 @@
 beat (const char *name, const char *zone, const char *region,
       uint64_t sequence)
 {
-  struct marjoram_host_beat made = { .name = (char *)name,
-                                     .zone = (char *)zone,
-                                     .region = (char *)region,
-                                     .entry = (char *)name,
-                                     .ready = true,
-                                     .incarnation = 1,
-                                     .sequence = sequence };
+  struct marjoram_host_beat heartbeat = { .name = (char *)name,
+                                          .zone = (char *)zone,
+                                          .region = (char *)region,
+                                          .entry = (char *)name,
+                                          .ready = true,
+                                          .incarnation = 1,
+                                          .sequence = sequence };
 
-  return made;
+  return heartbeat;
 }
 
 static void
 receive_beat (int64_t now, const char *name, const char *zone,
               const char *region)
 {
-  struct marjoram_host_beat made
+  struct marjoram_host_beat heartbeat
       = beat (name, zone, region, (uint64_t)now + 1);
 
-  marjoram_host_list_update (list, now, &made, true);
+  marjoram_host_list_update (list, now, &heartbeat, true);
 }
 
 static bool
@@ -93,12 +93,12 @@
 /* Guards against lookups that return a host which is shutting down.  */
 START_TEST (leaving_host_is_omitted_at_once)
 {
-  struct marjoram_host_beat made = beat ("h1", "z1", "r1", 2);
+  struct marjoram_host_beat heartbeat = beat ("h1", "z1", "r1", 2);
 
   receive_beat (0, "h1", "z1", "r1");
-  made.ready = false;
-  made.leaving = true;
-  ck_assert (marjoram_host_list_update (list, 10, &made, true));
+  heartbeat.ready = false;
+  heartbeat.leaving = true;
+  ck_assert (marjoram_host_list_update (list, 10, &heartbeat, true));
   ck_assert_uint_eq (look_up (20, "z1", "r1"), 0);
 }
 END_TEST
@@ -179,10 +179,11 @@
 
           for (int i = 0; i < 3; i++)
             {
-              struct marjoram_host_beat made = beat (names[i], "z", "r", 1);
+              struct marjoram_host_beat heartbeat
+                  = beat (names[i], "z", "r", 1);
 
               if (i != own)
-                marjoram_host_list_update (others, 0, &made, true);
+                marjoram_host_list_update (others, 0, &heartbeat, true);
             }
           owners[own] = names[0];
           for (int i = 0; i < 3; i++)
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -224,13 +224,13 @@
 static void
 distribute_totals (struct pair *pair, int64_t now)
 {
-  struct marjoram_load_report sums;
+  struct marjoram_load_report totals;
 
-  if (marjoram_load_collector_take_report (collector, now, &sums))
+  if (marjoram_load_collector_take_report (collector, now, &totals))
     for (int i = 0; i < 2; i++)
       marjoram_placement_apply_totals (pair->placements[i], now, all_groups,
-                                       &sums);
-  marjoram_wire_clear (&marjoram_load_report_layout, &sums);
+                                       &totals);
+  marjoram_wire_clear (&marjoram_load_report_layout, &totals);
 }
 
 START_TEST (load_is_shared_and_not_counted_twice)
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -139,7 +139,6 @@
 choose_and_start (int64_t now, const struct marjoram_place_query *query)
 {
   struct marjoram_place chosen;
-
   struct marjoram_place_query started = *query;
 
   marjoram_placement_choose (placement, now, query, &chosen);
@@ -155,16 +154,16 @@
    cached.  */
 START_TEST (prompt_goes_to_engine_reporting_it_cached)
 {
-  const struct marjoram_prompt_part kept = { 7, 4000 };
+  const struct marjoram_prompt_part cached = { 7, 4000 };
   struct marjoram_call_metadata facts = prompt (7, 4000, 100, 500);
   struct marjoram_place_query query = make_query (&facts, 1);
 
   receive_heartbeat (0, "1");
   receive_heartbeat (0, "2");
   receive_heartbeat (0, "3");
-  marjoram_placement_add_cached (placement, "2", &kept, 1);
+  marjoram_placement_add_cached (placement, "2", &cached, 1);
   ck_assert_str_eq (choose_and_start (10, &query).upstream->news.id, "2");
-  marjoram_placement_add_cached (placement, "3", &kept, 1);
+  marjoram_placement_add_cached (placement, "3", &cached, 1);
   ck_assert_int_lt (choose_and_start (20, &query).wait_ms, 40);
 }
 END_TEST
@@ -285,7 +284,7 @@
 START_TEST (queue_of_prompts_is_bounded)
 {
   struct marjoram_place chosen = { 0 };
-  int taken = 0;
+  int accepted = 0;
 
   receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
@@ -295,10 +294,10 @@
       struct marjoram_place_query query = make_query (&facts, 1);
 
       chosen = choose_and_start (0, &query);
-      taken += chosen.outcome == MARJORAM_PLACE_FOUND;
+      accepted += chosen.outcome == MARJORAM_PLACE_FOUND;
     }
-  ck_assert_int_ge (taken, 1);
-  ck_assert_int_le (taken, 3);
+  ck_assert_int_ge (accepted, 1);
+  ck_assert_int_le (accepted, 3);
   ck_assert_int_eq (chosen.outcome, MARJORAM_PLACE_BUSY);
   ck_assert_int_gt (chosen.retry_ms, 0);
 }
@@ -326,8 +325,8 @@
 }
 END_TEST
 
-/* Guards against overloading a cold upstream when several hosts send to it,
-   one of them partitioned from the others.  */
+/* Guards against several hosts together exceeding the request rate that a cold
+   upstream withstands.  */
 START_TEST (cold_upstream_gets_requests_from_one_host)
 {
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
@@ -523,12 +522,12 @@
   for (int64_t i = 0; i < 60; i++)
     for (int kind = 0; kind < 2; kind++)
       {
-        struct marjoram_place_query patient = queries[kind];
+        struct marjoram_place_query query = queries[kind];
 
-        patient.useful_ms = 60000;
+        query.useful_ms = 60000;
         receive_heartbeat (i * 3000, "1");
         receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
-        ck_assert_int_eq (choose_and_start (i * 3000, &patient).outcome,
+        ck_assert_int_eq (choose_and_start (i * 3000, &query).outcome,
                           MARJORAM_PLACE_FOUND);
         marjoram_placement_response_started (placement, i * 3000 + 2900,
                                              next_attempt);
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -32,10 +32,10 @@
 static int renewals;         /* batches of renewals */
 static size_t renewed_count; /* upstreams in the last batch of renewals */
 static char renewed[64];     /* first upstream of the last batch of renewals */
-static size_t batches_sent;  /* batches sent */
-static uint64_t ticket;      /* ticket of the last batch */
-static size_t connected_hosts; /* connected hosts */
-static uint64_t request;       /* last apply or read request */
+static size_t batches_sent;
+static uint64_t ticket; /* ticket of the last batch */
+static size_t connected_hosts;
+static uint64_t request; /* last apply or read request */
 static int reads;
 static char change_id[MARJORAM_NAME_MAX + 1];
 static struct marjoram_file applied;
