--- a/src/host.h
+++ b/src/host.h
@@ -162,7 +162,6 @@
                              const struct marjoram_head *head);
 void marjoram_host_run_data (marjoram_host *host, int64_t now,
                              uint64_t attempt, marjoram_bytes *bytes);
-/* The response is complete.  */
 void marjoram_host_run_end (marjoram_host *host, int64_t now,
                             uint64_t attempt);
 void marjoram_host_run_failed (marjoram_host *host, int64_t now,
@@ -209,7 +208,6 @@
    have ended or the configured drain limit has passed.  */
 void marjoram_host_drain (marjoram_host *host, int64_t now);
 
-/* Queries.  */
 bool marjoram_host_ready (const marjoram_host *host);
 bool marjoram_host_draining (const marjoram_host *host);
 const char *marjoram_host_zone (const marjoram_host *host);
--- a/src/host_beats.c
+++ b/src/host_beats.c
@@ -8,10 +8,9 @@
 
 enum
 {
-  /* Heartbeat interval.  host_list.c depends on it.  */
+  /* host_list.c depends on it.  */
   HEARTBEAT_MS = 300,
-  /* The same to entry hosts of other regions.  */
-  REMOTE_HEARTBEAT_MS = 600,
+  REMOTE_HEARTBEAT_MS = 600, /* to entry hosts of other regions */
   /* Regions with more hosts use a proportionally longer interval, which bounds
      the heartbeats that a host sends per second.  */
   FULL_RATE_HOSTS = 32,
@@ -23,7 +22,7 @@
 };
 
 static void
-make_beat (marjoram_host_links *links, struct marjoram_host_beat *beat)
+make_heartbeat (marjoram_host_links *links, struct marjoram_host_beat *beat)
 {
   const struct marjoram_gateway_settings *settings = links->settings;
 
@@ -41,7 +40,8 @@
 }
 
 /* Recipients of a heartbeat.  Only entry hosts of other regions need offers,
-   by which they choose where to forward; only keepers need the uses.  */
+   by which they choose where to forward; only keepers need the uses of the
+   repeat budget, which they sum up.  */
 enum audience
 {
   AUDIENCE_LOCAL,
@@ -66,22 +66,22 @@
 }
 
 /* This host's heartbeat, packed on demand for each audience.  */
-struct packed_beats
+struct packed_heartbeats
 {
   struct marjoram_host_beat beat; /* name is NULL until it is built */
   marjoram_bytes *frames[AUDIENCE_COUNT];
 };
 
 static const marjoram_bytes *
-pack_beat (marjoram_host_links *links, struct packed_beats *packed,
-           enum audience audience)
+pack_heartbeat (marjoram_host_links *links, struct packed_heartbeats *packed,
+                enum audience audience)
 {
   struct marjoram_host_beat beat;
 
   if (packed->frames[audience])
     return packed->frames[audience];
   if (!packed->beat.name)
-    make_beat (links, &packed->beat);
+    make_heartbeat (links, &packed->beat);
   beat = packed->beat;
   if (audience != AUDIENCE_REMOTE)
     beat.offers = (struct marjoram_array){ NULL, 0 };
@@ -131,8 +131,9 @@
 }
 
 static void
-send_beat (marjoram_host_links *links, struct marjoram_host_link *link,
-           int64_t now, const marjoram_bytes *frame)
+send_own_heartbeat (marjoram_host_links *links,
+                    struct marjoram_host_link *link, int64_t now,
+                    const marjoram_bytes *frame)
 {
   link->sent_at = now;
   marjoram_link_lag_sent (&link->lag, now);
@@ -143,7 +144,7 @@
 marjoram_host_links_send_heartbeats (marjoram_host_links *links, int64_t now,
                                      bool all)
 {
-  struct packed_beats packed = { 0 };
+  struct packed_heartbeats packed = { 0 };
   struct marjoram_host_link *link;
 
   TAILQ_FOREACH (link, &links->links, next)
@@ -154,7 +155,8 @@
       continue;
     audience = audience_of (links, link->host);
     if (all || now >= link->sent_at + interval_for (links, audience))
-      send_beat (links, link, now, pack_beat (links, &packed, audience));
+      send_own_heartbeat (links, link, now,
+                          pack_heartbeat (links, &packed, audience));
   }
   for (int i = 0; i < AUDIENCE_COUNT; i++)
     marjoram_bytes_release (packed.frames[i]);
@@ -181,8 +183,8 @@
    this host's offers, and this host may have no link to them.  Others get a
    short acknowledgement.  */
 static void
-reply_to_beat (marjoram_host_links *links,
-               const struct marjoram_host_beat *beat, uint64_t session)
+reply_to_heartbeat (marjoram_host_links *links,
+                    const struct marjoram_host_beat *beat, uint64_t session)
 {
   const struct marjoram_heartbeat echo = { .sequence = beat->sequence };
   struct marjoram_host_beat own;
@@ -191,7 +193,7 @@
       && beat->entry[0] && beat->region
       && strcmp (beat->region, links->settings->region) != 0)
     {
-      make_beat (links, &own);
+      make_heartbeat (links, &own);
       own.uses = (struct marjoram_array){ NULL, 0 };
       marjoram_peer_reply (links->peer, beat->name, session,
                            MARJORAM_FRAME_HOST_BEAT, &own);
@@ -252,7 +254,6 @@
   return list;
 }
 
-/* Sends the list of hosts to one that has just connected.  */
 static void
 send_list (marjoram_host_links *links, const char *host, uint64_t session)
 {
@@ -330,7 +331,7 @@
     }
   if (first && links->settings->role == MARJORAM_ROLE_KEEPER)
     send_list (links, host, number);
-  reply_to_beat (links, beat, number);
+  reply_to_heartbeat (links, beat, number);
   links->ops->beat (links->context, host, number, first, beat);
 }
 
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -13,11 +13,11 @@
 {
   /* Covers five heartbeats and a round trip between regions.  */
   SILENCE_TIMEOUT_MS = 1500,
-  /* The timeout in percent of the heartbeat interval, used if it is longer
-     than SILENCE_TIMEOUT_MS: leaves time to retransmit a lost packet.  */
+  /* The timeout as a percentage of the heartbeat interval, where that is
+     longer than SILENCE_TIMEOUT_MS.  Leaves time to retransmit a lost packet.
+   */
   SILENT_INTERVALS_PERCENT = 250,
   PLAN_INTERVAL_MS = 500,
-  /* Links of one host to entry hosts of each other region.  */
   LINKS_PER_REGION = 4,
   REGIONS_MAX = 64 /* other regions to which a host links */
 };
@@ -30,7 +30,7 @@
 
 /* Links run on a closed network and are not authenticated: the settings hold
    no secret, and the peer module requires one.  */
-static const char no_secret[] = "links-are-not-authenticated-here";
+static const char placeholder_secret[] = "links-are-not-authenticated-here";
 
 struct marjoram_host_link *
 marjoram_host_links_find (marjoram_host_links *links, const char *host)
@@ -152,7 +152,8 @@
     session_destroy (links, session);
 }
 
-/* Heartbeats are acknowledged in order.  */
+/* Any heartbeat received on a link acknowledges the oldest one sent on it, as
+   they are acknowledged in order.  */
 static void
 record_activity (marjoram_host_links *links, struct marjoram_host_link *link,
                  enum marjoram_frame_type type)
@@ -260,7 +261,6 @@
     require_link (links, best[i]->beat.name, false);
 }
 
-/* Links to some entry hosts of each other region.  */
 static void
 require_remote_links (marjoram_host_links *links, int64_t now)
 {
@@ -538,7 +538,7 @@
     .slot = marjoram_strdup (settings->ip),
     .zone = marjoram_strdup (settings->zone),
     .cluster = (char *)"gateway",
-    .secret = (char *)no_secret,
+    .secret = (char *)placeholder_secret,
     .peer_address = marjoram_strdup (settings->link_address),
   };
   links->peer
--- a/src/host_links.h
+++ b/src/host_links.h
@@ -39,7 +39,6 @@
     marjoram_host_links *links,
     const struct marjoram_gateway_settings *settings);
 
-/* Whether this host's own link to HOST is up.  */
 bool marjoram_host_links_is_up (marjoram_host_links *links, const char *host);
 /* This host's receive lag at the last tick, in ms; see own_lag.h.  Subtract it
    from the age of received data before comparing with a timeout.  */
@@ -58,17 +57,18 @@
 void marjoram_host_links_broadcast (marjoram_host_links *links,
                                     enum marjoram_frame_type type,
                                     const void *message);
-/* Sends to those of them that are keepers (KEEPERS) or entry hosts, in REGION
-   or, if it is NULL, in all regions.  Returns the number of recipients.  */
+/* Sends to the keepers (if KEEPERS) or the entry hosts that have opened a
+   session to this one, in REGION or, if it is NULL, in all regions.  Returns
+   the number of recipients.  */
 size_t marjoram_host_links_multicast (marjoram_host_links *links, bool keepers,
                                       const char *region,
                                       enum marjoram_frame_type type,
                                       const void *message);
-/* Sends to the entry hosts of this host's region over its own links.  */
+/* Send to the entry hosts of this host's region, or to the keepers, over its
+   own links.  */
 void marjoram_host_links_send_to_region (marjoram_host_links *links,
                                          enum marjoram_frame_type type,
                                          const void *message);
-/* Sends to the keepers over this host's own links.  */
 void marjoram_host_links_send_to_keepers (marjoram_host_links *links,
                                           enum marjoram_frame_type type,
                                           const void *message);
--- a/src/host_links_private.h
+++ b/src/host_links_private.h
@@ -69,7 +69,6 @@
 /* Sets the heartbeat interval within the own region by its host count.  */
 void marjoram_host_links_update_interval (marjoram_host_links *links,
                                           int64_t now);
-/* The interval of heartbeats to HOST.  */
 int64_t
 marjoram_host_links_heartbeat_interval (const marjoram_host_links *links,
                                         const char *host);
@@ -84,7 +83,6 @@
 void marjoram_host_links_process_reply (marjoram_host_links *links,
                                         const char *host,
                                         struct marjoram_host_beat *beat);
-/* Processes a host list received from another host.  */
 void marjoram_host_links_process_list (marjoram_host_links *links,
                                        const struct marjoram_host_beats *list);
 /* Sends a keeper's host list to the recipients to whom it is due.  */
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -26,7 +26,8 @@
   MARJORAM_RESUME_INTERVAL_MAX_MS = 8000,
   MARJORAM_SERVICE_SILENT_MS = 4000,
   MARJORAM_PROBE_MS = 1000,
-  /* Allows the zone's hosts to exchange their reports of suspect requests.  */
+  /* How long a suspect request waits between its reservation and its run, for
+     the zone's hosts to exchange their reports of suspects.  */
   MARJORAM_RESERVE_MS = 100,
   /* How long an idempotent request waits for a new link to the host that it
      was forwarded to before it is retried elsewhere.  */
@@ -56,11 +57,11 @@
   char *address;
   bool wanted;
   bool up;
-  uint64_t session;          /* number of sessions opened to the slot so far */
-  int64_t received_at;       /* when data was last received */
-  int64_t heartbeat_sent_at; /* when the last heartbeat was sent */
-  uint64_t sequence;         /* of that heartbeat */
-  int64_t round_trip_ms;     /* smoothed; -1 before the first sample */
+  uint64_t session;    /* number of sessions opened to the slot so far */
+  int64_t received_at; /* last data */
+  int64_t heartbeat_sent_at;
+  uint64_t sequence;     /* of that heartbeat */
+  int64_t round_trip_ms; /* smoothed; -1 before the first sample */
   uint64_t incarnation;
   uint64_t config_number;
   bool draining;
@@ -89,11 +90,11 @@
   marjoram_counters *counters;
   marjoram_random *random;
   uint64_t incarnation;
-  int64_t now;            /* of the event in progress */
-  int64_t wall_offset;    /* wall clock minus monotonic clock */
-  int64_t offers_sent_at; /* when offers were last sent */
-  int64_t planned_at;     /* when links were last planned */
-  struct marjoram_claim_results claim_results; /* see host_zone.c */
+  int64_t now;         /* of the event in progress */
+  int64_t wall_offset; /* wall clock minus monotonic clock */
+  int64_t offers_sent_at;
+  int64_t planned_at; /* when links were last planned */
+  struct marjoram_claim_results claim_results;
 
   marjoram_config *config;
   int zone; /* own zone's index in the configuration; -1 if none */
@@ -109,8 +110,8 @@
 
   struct marjoram_link *links;
   struct marjoram_requests *requests;
-  struct marjoram_sender *senders;  /* see relay.c */
-  struct marjoram_renewed *renewed; /* see renewals.c */
+  struct marjoram_sender *senders;
+  struct marjoram_renewed *renewed;
   int64_t renewals_sent;
   struct marjoram_relayed *relayed; /* apply requests forwarded to a keeper */
   uint64_t next_relayed;
--- a/src/host_zone.c
+++ b/src/host_zone.c
@@ -101,7 +101,6 @@
   free (result);
 }
 
-/* Delivers the verdicts queued by claim_decided, at the end of each event.  */
 void
 marjoram_host_deliver_claim_results (marjoram_host *host, int64_t now)
 {
@@ -128,8 +127,8 @@
 {
   (void)context;
   marjoram_log (MARJORAM_LOG_NOTICE,
-                fence ? "holds the order lease, fence %llu"
-                      : "lost the order lease (%llu)",
+                fence ? "acquired the order lease, fence %llu"
+                      : "lost the order lease, fence now %llu",
                 (unsigned long long)fence);
 }
 
--- a/src/link.c
+++ b/src/link.c
@@ -231,7 +231,8 @@
 /* Reconnects a link on which nothing has been received for a while, not even
    heartbeat echoes: a middlebox may have dropped the state of an established
    connection while new ones work.  Any data counts, as echoes can be queued
-   behind large frames.  */
+   behind large frames.  A loss in the sending direction shows too: the peer's
+   data then stays unacknowledged, and soon it can't send any more.  */
 static void
 check_silence (marjoram_host *host, int64_t now, struct marjoram_link *link)
 {
