--- a/src/peer.c
+++ b/src/peer.c
@@ -25,7 +25,8 @@
   HANDSHAKE_SEC = 3,
   /* Connect timeout, doubled with each failure.  It covers a round trip
      between regions but is shorter than the kernel's SYN retransmission
-     timeout, so that a host that comes back is reached sooner.  */
+     timeout (1 s, then 3 s), so that a host that comes back is reached
+     sooner.  */
   CONNECT_TIMEOUT_MIN_MSEC = 250,
   CONNECT_TIMEOUT_MAX_MSEC = 500,
   /* Delay before reconnecting, doubled with each failure.  Short, because
@@ -59,7 +60,7 @@
   uint8_t own_nonce[NONCE_SIZE];
   uint8_t nonce[NONCE_SIZE];
   TAILQ_ENTRY (session) next;
-  UT_hash_handle hh; /* in marjoram_peer.by_number */
+  UT_hash_handle hh;
 };
 
 /* A slot to which this host keeps a session open.  */
@@ -235,8 +236,9 @@
       || strcmp (hello->slot, settings->slot) == 0)
     {
       marjoram_log (MARJORAM_LOG_WARNING,
-                    "host %s of cluster %s, release %llu, is not of this "
-                    "cluster; check [host] cluster, slot and [peers]",
+                    "host %s rejected: cluster %s, frame version %llu; both "
+                    "must equal this host's and the slot must differ; check "
+                    "[host] cluster, slot and [peers]",
                     hello->slot, hello->cluster,
                     (unsigned long long)hello->release);
       return false;
@@ -408,7 +410,7 @@
                                                       : HANDSHAKE_FRAME_MAX;
 
       if (length == 0 || length > limit)
-        return reject_frame (session, "frame length over the limit");
+        return reject_frame (session, "frame length 0 or over the limit");
       if (evbuffer_get_length (input) < (size_t)length + 4)
         return true;
       if (!read_frame (session, input, length))
--- a/src/peer.h
+++ b/src/peer.h
@@ -57,7 +57,6 @@
 void marjoram_peer_reply_packed (marjoram_peer *peer, const char *slot,
                                  uint64_t session,
                                  const marjoram_bytes *frame);
-/* Closes this host's session to SLOT and reconnects.  */
 void marjoram_peer_reconnect (marjoram_peer *peer, const char *slot);
 
 #endif
