--- a/src/answer.c
+++ b/src/answer.c
@@ -211,8 +211,9 @@
   struct marjoram_chunk *chunk;
 
   record_latency (host, now, request);
-  /* Released before it is cleared, so that the end of a suspect's run is
-     reported to the zone with its suspicion.  */
+  /* Released before the suspicion is cleared: the end of a run is reported to
+     the zone only for a suspect, which would otherwise seem to run there for
+     ever.  */
   marjoram_attempt_release (host, now, request, false);
   marjoram_suspects_cleared (host->suspects, now, request->digest);
   request->outcome = MARJORAM_OUTCOME_DONE;
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -68,8 +68,8 @@
   run.key = call->idempotent ? NULL : call->key;
   run.class = call->class;
   run.fresh = !call->idempotent;
-  marjoram_log (MARJORAM_LOG_DEBUG, "%s: to upstream %s", request->id,
-                request->upstream);
+  marjoram_log (MARJORAM_LOG_DEBUG, "request %s: sending to upstream %s",
+                request->id, request->upstream);
   host->ops->run (host->context, request->attempt, &run);
 }
 
@@ -283,7 +283,7 @@
                          enum marjoram_reason reason, int64_t retry_ms,
                          bool final)
 {
-  bool answered_late = request->head_delivered;
+  bool answer_started = request->head_delivered;
 
   add_tried (request);
   marjoram_attempt_release (host, now, request, true);
@@ -292,14 +292,14 @@
   if (!final && may_retry (host, now, request, outcome))
     {
       marjoram_counters_add_retry (host->counters, reason);
-      marjoram_log (MARJORAM_LOG_INFO, "%s: retrying after %s", request->id,
-                    marjoram_reason_name (reason));
+      marjoram_log (MARJORAM_LOG_INFO, "request %s: retrying after %s",
+                    request->id, marjoram_reason_name (reason));
       request->reason = reason;
       retry (host, now, request);
       return;
     }
   marjoram_request_refuse (host, now, request,
-                           answered_late ? MARJORAM_OUTCOME_UNKNOWN : outcome,
+                           answer_started ? MARJORAM_OUTCOME_UNKNOWN : outcome,
                            reason, retry_ms);
 }
 
--- a/src/forward.c
+++ b/src/forward.c
@@ -87,7 +87,8 @@
   fill_forward (host, now, request, claim_at_zone, &forward);
   marjoram_router_forward_started (host->router, now, zone, request->work);
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_FORWARDED_OUT, 1);
-  marjoram_log (MARJORAM_LOG_DEBUG, "%s: to host %s", request->id, link->slot);
+  marjoram_log (MARJORAM_LOG_DEBUG, "request %s: forwarding to host %s",
+                request->id, link->slot);
   host->ops->send (host->context, link->slot, MARJORAM_FRAME_FORWARD,
                    &forward);
 }
--- a/src/relay.c
+++ b/src/relay.c
@@ -200,20 +200,21 @@
                uint64_t offset)
 {
   struct marjoram_chunk *chunk;
-  uint64_t at = 0;
+  uint64_t position = 0;
 
   if (request->head_delivered)
     peer_head (host, request, &request->head, -1);
   STAILQ_FOREACH (chunk, &request->chunks, next)
   {
-    struct marjoram_data data = { request->peer_number, at, chunk->bytes };
+    struct marjoram_data data
+        = { request->peer_number, position, chunk->bytes };
 
-    /* Skips what the sender already has.  It only receives whole buffers, so
-       OFFSET is the start of one.  */
-    if (at >= offset && at < request->delivered)
+    /* Skips what the forwarding host has received.  It receives whole chunks
+       only, so OFFSET is the start of one.  */
+    if (position >= offset && position < request->delivered)
       host->ops->reply (host->context, request->peer, request->peer_session,
                         MARJORAM_FRAME_DATA, &data);
-    at += marjoram_bytes_size (chunk->bytes);
+    position += marjoram_bytes_size (chunk->bytes);
   }
   if (request->answered)
     reply_end (host, request, 0);
--- a/src/request.c
+++ b/src/request.c
@@ -145,8 +145,8 @@
   request->reason = reason;
   settle_claim (host, now, request);
   marjoram_request_count_outcome (host, request, outcome);
-  marjoram_log (MARJORAM_LOG_INFO, "%s: %s, %s", request->id,
-                marjoram_outcome_name (outcome),
+  marjoram_log (MARJORAM_LOG_INFO, "request %s: outcome %s, reason %s",
+                request->id, marjoram_outcome_name (outcome),
                 marjoram_reason_name (reason));
   if (!request->abandoned)
     request->origin->fail (host, request, retry_ms);
@@ -175,7 +175,7 @@
 }
 
 /* The deadline passed before the answer began.  The caller is told at once; a
-   non-idempotent request that may have started runs on without one.  */
+   non-idempotent request that may have started runs on, abandoned.  */
 static void
 handle_deadline (marjoram_host *host, int64_t now,
                  struct marjoram_request *request)
@@ -250,12 +250,13 @@
                struct marjoram_request *request)
 {
   int64_t silent = now - request->progress;
-  bool gives_up = request->can_resume
-                      ? request->resuming && silent >= MARJORAM_RESUME_WAIT_MS
-                      : silent >= MARJORAM_SERVICE_SILENT_MS
-                            && is_lease_expired (host, now, request->upstream);
+  bool timed_out
+      = request->can_resume
+            ? request->resuming && silent >= MARJORAM_RESUME_WAIT_MS
+            : silent >= MARJORAM_SERVICE_SILENT_MS
+                  && is_lease_expired (host, now, request->upstream);
 
-  if (gives_up)
+  if (timed_out)
     fail_silent_attempt (host, now, request);
   else if (request->can_resume && !request->resuming
            && silent >= request->resume_timeout)
--- a/src/request.h
+++ b/src/request.h
@@ -102,10 +102,10 @@
   bool answered;   /* settled: the outcome is final and has been delivered */
   bool claim_here; /* this zone owns the claim on its key */
   bool no_local_upstream; /* the zone it arrived in has no upstream for it */
-  bool granted;           /* the claim was granted */
-  bool may_have_run;      /* an attempt may have run it */
-  bool resuming;          /* a resume is in progress at the upstream */
-  bool revoke_pending;    /* to be revoked at the other host over a new link */
+  bool granted;           /* the claim */
+  bool may_have_run;
+  bool resuming;       /* at the upstream, over a new connection */
+  bool revoke_pending; /* to be revoked at the other host over a new link */
   bool has_head;
   bool head_delivered;
 
@@ -179,11 +179,10 @@
    conflicts.  */
 void marjoram_attempt_finish_reservation (marjoram_host *host, int64_t now,
                                           struct marjoram_request *request);
-/* Cancels the attempt in progress at the upstream or the other host.  */
 void marjoram_attempt_cancel (marjoram_host *host, int64_t now,
                               struct marjoram_request *request);
 
-/* answer.c: response events of the attempt in progress.  */
+/* answer.c, attempt.c and request.c: events of the attempt in progress.  */
 void marjoram_answer_clear (struct marjoram_request *request);
 void marjoram_request_head (marjoram_host *host, int64_t now,
                             struct marjoram_request *request,
--- a/src/request_claim.c
+++ b/src/request_claim.c
@@ -10,11 +10,11 @@
 claim (marjoram_host *host, int64_t now, struct marjoram_request *request,
        int64_t issued)
 {
-  char scoped[MARJORAM_NAME_MAX + MARJORAM_KEY_MAX + 2];
+  char scoped_key[MARJORAM_NAME_MAX + MARJORAM_KEY_MAX + 2];
 
   /* Scopes the key to its caller: another caller that sends the same key must
      not get this caller's answer.  */
-  snprintf (scoped, sizeof scoped, "%s %s", request->caller,
+  snprintf (scoped_key, sizeof scoped_key, "%s %s", request->caller,
             request->call->key);
   request->state = MARJORAM_REQUEST_CLAIMING;
   request->claim = host->requests->next_attempt++;
@@ -22,25 +22,25 @@
             request);
   marjoram_claims_acquire (host->claims, now,
                            marjoram_host_wall_time (host, now), request->claim,
-                           scoped, issued, request->digest);
+                           scoped_key, issued, request->digest);
 }
 
 static void
 start_claimed (marjoram_host *host, int64_t now,
                struct marjoram_request *request)
 {
-  char name[MARJORAM_KEY_MAX + 1];
+  char zone_name[MARJORAM_KEY_MAX + 1];
   int64_t issued = 0;
   int zone;
 
   if (!request->call->key
-      || !marjoram_key_parse (request->call->key, name, &issued))
+      || !marjoram_key_parse (request->call->key, zone_name, &issued))
     {
       marjoram_request_refuse (host, now, request, MARJORAM_OUTCOME_NOT_RUN,
                                MARJORAM_REASON_KEY_MISSING, 0);
       return;
     }
-  zone = marjoram_config_find_zone (host->config, name);
+  zone = marjoram_config_find_zone (host->config, zone_name);
   if (zone == host->zone && host->claims)
     claim (host, now, request, issued);
   else if (zone < 0 || zone == host->zone)
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -41,7 +41,7 @@
   char address[ADDRESS_MAX];
   bool resume;
   bool sent;        /* part of the request was written to the socket */
-  bool framed;      /* the response head is valid, its end detectable */
+  bool framed;      /* the head is valid and the end of the body detectable */
   bool unframed;    /* the response head was rejected */
   bool refused;     /* the response says that the request was not run */
   bool unavailable; /* the status says that the upstream can't serve it now */
