--- a/src/daemon.c
+++ b/src/daemon.c
@@ -301,7 +301,7 @@
 }
 
 static void
-control_unproved (void *context)
+control_authentication_failed (void *context)
 {
   marjoram_daemon *daemon = context;
 
@@ -317,7 +317,7 @@
   .apply = control_apply,
   .replace = control_replace,
   .drain = control_drain,
-  .authentication_failed = control_unproved,
+  .authentication_failed = control_authentication_failed,
 };
 
 /* ---- Timer and signals.  ---- */
@@ -390,7 +390,7 @@
 
 /* The wall clock at startup, which increases on each start even on hosts
    without a disk.  If the clock is set back between two starts, peers refuse
-   the host until the former time is reached, and log so.  */
+   the host until the former time is reached.  */
 static uint64_t
 new_incarnation (struct marjoram_clock *clock)
 {
@@ -528,10 +528,10 @@
 bool
 marjoram_daemon_run (marjoram_daemon *daemon)
 {
-  marjoram_log (MARJORAM_LOG_NOTICE, "slot %s in zone %s: entry %s, peer %s",
-                daemon->settings->slot, daemon->settings->zone,
-                daemon->settings->entry_address,
-                daemon->settings->peer_address);
+  marjoram_log (
+      MARJORAM_LOG_NOTICE, "started as slot %s in zone %s: entry %s, peer %s",
+      daemon->settings->slot, daemon->settings->zone,
+      daemon->settings->entry_address, daemon->settings->peer_address);
   event_base_dispatch (daemon->base);
   for (int i = 0; i < FINAL_LOOP_ITERATIONS && !daemon->aborted; i++)
     event_base_loop (daemon->base, EVLOOP_NONBLOCK);
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,4 +1,5 @@
-/* The daemon: one host with its tasks on one event loop.  */
+/* The daemon: one host with its network servers, clients and disk on one event
+   loop.  */
 #ifndef MARJORAM_DAEMON_H
 #define MARJORAM_DAEMON_H
 
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -10,7 +10,8 @@
 {
   STATUS_UNAVAILABLE = 503,
   /* Time without a piece before the state is requested from the next keeper
-     that announced it.  */
+     that announced it.  Far above the transfer time of a piece on a busy
+     link.  */
   PIECE_TIMEOUT_MS = 2000,
   /* Upper bound of the backoff, for congested links.  */
   PIECE_TIMEOUT_MAX_MS = 8000
@@ -30,27 +31,27 @@
 
 static void
 op_fetched (void *context, const struct marjoram_state *state,
-            const struct marjoram_fetch_stats *facts)
+            const struct marjoram_fetch_stats *stats)
 {
   struct marjoram_entry *self = context;
 
   marjoram_event (MARJORAM_EVENT_CONFIG,
                   "state=fetched number=%" PRIu64 " base=%" PRIu64
                   " bytes=%zu pieces=%d ms=%" PRId64 " keeper=%s",
-                  state->number, facts->base, facts->bytes, facts->pieces,
-                  facts->ms, facts->keeper);
+                  state->number, stats->base, stats->bytes, stats->pieces,
+                  stats->ms, stats->keeper);
   marjoram_entry_apply_state (self, state);
 }
 
 static void
-op_failed (void *context, const struct marjoram_fetch_stats *facts,
+op_failed (void *context, const struct marjoram_fetch_stats *stats,
            const struct marjoram_error *err)
 {
   (void)context;
   marjoram_event (MARJORAM_EVENT_CONFIG,
                   "state=unreadable base=%" PRIu64 " bytes=%zu keeper=%s "
                   "why=\"%s\"",
-                  facts->base, facts->bytes, facts->keeper, err->message);
+                  stats->base, stats->bytes, stats->keeper, err->message);
 }
 
 const struct marjoram_state_fetch_options marjoram_entry_fetch_options
--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -92,7 +92,6 @@
 /* entry_loads.c */
 /* Sends this host's load to the other hosts of the region when due.  */
 void marjoram_entry_report_loads (struct marjoram_entry *self, int64_t now);
-/* Applies the totals collected by HOST.  */
 void marjoram_entry_apply_sums (struct marjoram_entry *self, const char *host,
                                 const struct marjoram_load_report *sums);
 
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -166,7 +166,8 @@
   self->evacuations_known = true;
 }
 
-/* Upstreams may be cold in zones whose evacuation has ended.  */
+/* Reports zones whose evacuation has ended to the placement, which treats
+   their upstreams as cold.  */
 static void
 set_evacuated (struct marjoram_entry *self, struct marjoram_names zones)
 {
--- a/src/frontend.c
+++ b/src/frontend.c
@@ -52,7 +52,7 @@
   struct pending *pending;
   uint64_t next_number;
   bool draining;
-  struct event *close_timer; /* polls the listener to be closed */
+  struct event *close_timer;
 };
 
 static struct pending *
@@ -108,8 +108,8 @@
     evhttp_add_header (headers, "Connection", "close");
 }
 
-/* Otherwise callers reuse the connection until the host exits, and the last
-   request is lost.  */
+/* A caller that keeps reusing its connection to a draining host loses the
+   request in progress when the host exits.  */
 static void
 close_if_draining (const marjoram_frontend *frontend,
                    struct evhttp_request *request)
@@ -515,8 +515,8 @@
 }
 
 /* Closing a listener resets the connections in its backlog, on which callers
-   may already have sent requests.  Let evhttp accept them first, in the next
-   iteration of the event loop.  */
+   may already have sent requests.  Leaves evhttp the next iterations of the
+   event loop to accept them first.  */
 static void
 close_listener (marjoram_frontend *frontend)
 {
--- a/src/frontend.h
+++ b/src/frontend.h
@@ -18,7 +18,6 @@
   void (*gone) (void *context, uint64_t call);
   enum marjoram_announce_result (*announce) (
       void *context, const struct marjoram_announcement *announcement);
-  /* Queries.  */
   json_t *(*entries) (void *context);
   bool (*ready) (void *context);
   /* Number of the active configuration; 0 if none.  */
--- a/src/inbox.c
+++ b/src/inbox.c
@@ -18,10 +18,10 @@
 struct event_message
 {
   struct marjoram_message base;
-  char *name; /* of a slot or an upstream */
-  uint64_t number;
+  char *name;      /* of a slot or an upstream */
+  uint64_t number; /* of a call, attempt, order, session or disk ticket */
   uint64_t incarnation;
-  int value;
+  int value; /* an HTTP status, an enum marjoram_run_failure or a bool */
   int64_t retry_ms;
   enum marjoram_frame_type type;
   void *frame;
--- a/src/inbox.h
+++ b/src/inbox.h
@@ -1,5 +1,6 @@
-/* The host's inbox: queues the tasks' callbacks as messages, which the event
-   loop delivers to the host.  */
+/* The host's event queue: turns the callbacks of the frontend, the upstream
+   client, the peer module and the disk into messages, which the event loop
+   delivers to the host.  */
 #ifndef MARJORAM_INBOX_H
 #define MARJORAM_INBOX_H
 
@@ -21,7 +22,7 @@
 int64_t marjoram_inbox_now (const marjoram_inbox *inbox);
 int64_t marjoram_inbox_wall (const marjoram_inbox *inbox);
 
-/* Callbacks of the tasks; their context is the inbox.  */
+/* Callbacks for these modules; their context is the inbox.  */
 extern const struct marjoram_frontend_ops marjoram_inbox_frontend_ops;
 extern const struct marjoram_upstreams_ops marjoram_inbox_upstreams_ops;
 extern const struct marjoram_peer_ops marjoram_inbox_peer_ops;
