--- a/src/dialect.h
+++ b/src/dialect.h
@@ -31,7 +31,7 @@
 struct marjoram_call_metadata
 {
   char id[MARJORAM_ID_MAX];  /* id of this attempt of the caller; "" if none */
-  int64_t caller_timeout_ms; /* the caller's timeout; 0 if not given */
+  int64_t caller_timeout_ms; /* 0 if not given */
   int64_t prompt_tokens;
   int64_t answer_tokens_max;
   int64_t answer_tokens_hint;
@@ -57,7 +57,7 @@
   char id[MARJORAM_ID_MAX];       /* echo of the caller's id; "" if none */
   char upstream[MARJORAM_ID_MAX]; /* id of the responder; "" if not given */
   bool signed_by_upstream;
-  bool not_run;        /* the upstream did not execute the request */
+  bool not_run;
   bool wrong_upstream; /* another upstream now has the address */
   int64_t cold_ms;     /* remaining warm-up time; -1 if not given */
 };
@@ -69,7 +69,6 @@
   MARJORAM_UPSTREAM_GONE
 };
 
-/* An upstream's heartbeat.  */
 struct marjoram_upstream_heartbeat
 {
   char id[MARJORAM_ID_MAX];
@@ -102,8 +101,7 @@
   enum marjoram_api_request_kind kind;
   char zone[MARJORAM_ID_MAX];   /* EVACUATE, RESTORE, LOOKUP */
   char region[MARJORAM_ID_MAX]; /* LOOKUP */
-  char
-      host[MARJORAM_ID_MAX]; /* LOOKUP: host name whose routes are requested */
+  char host[MARJORAM_ID_MAX];   /* LOOKUP: host name of the routes */
   struct marjoram_upstream_heartbeat news;
 };
 
@@ -112,18 +110,18 @@
 struct marjoram_dialect_ops
 {
   void (*read_call) (const struct marjoram_header_list *headers,
-                     struct marjoram_call_metadata *facts);
+                     struct marjoram_call_metadata *metadata);
   /* Whether a header is forwarded unchanged to upstreams or to callers.  */
   bool (*passes_to_upstream) (const char *name);
   bool (*passes_to_caller) (const char *name);
-  void (*write_run) (const struct marjoram_run_metadata *facts,
+  void (*write_run) (const struct marjoram_run_metadata *metadata,
                      struct marjoram_header_list *headers);
   void (*read_answer) (int status, const struct marjoram_header_list *headers,
-                       struct marjoram_response_metadata *facts);
+                       struct marjoram_response_metadata *metadata);
   /* False with ERR set if the path is known but the request is malformed.  */
   bool (*read_api_request) (const char *method, const char *target,
                             const char *body, size_t size,
-                            struct marjoram_api_request *ask,
+                            struct marjoram_api_request *request,
                             struct marjoram_error *err);
   /* Null with ERR set if TEXT is not a valid configuration.  */
   struct marjoram_route_table *(*read_config) (const char *text, size_t size,
--- a/src/pool.h
+++ b/src/pool.h
@@ -9,7 +9,6 @@
 
 #include <uthash.h>
 
-/* Measured latency of one upstream.  */
 struct marjoram_upstream_latency
 {
   char *name;
@@ -34,7 +33,7 @@
 /* Aggregate over all upstreams of one model or service.  */
 struct marjoram_pool_capacity
 {
-  unsigned upstreams; /* usable upstreams */
+  unsigned upstreams; /* usable */
   double slots;
   double load;    /* running requests */
   double free;    /* requests that could start at once */
--- a/src/query.h
+++ b/src/query.h
@@ -24,12 +24,12 @@
   int64_t deadline; /* on this host's clock */
   uint64_t prompt_tokens;
   uint64_t answer_tokens; /* expected */
-  uint64_t prefix_hash;   /* hash of the prompt's prefix; 0 if none */
+  uint64_t prefix_hash;   /* of the prompt; 0 if none */
   const char *digest;     /* request digest, to match crash suspects */
   bool forwarded;         /* from another zone; must not be forwarded again */
   bool bound;             /* must be served in this zone */
   bool no_local_upstream; /* the first zone has no matching upstream */
-  int tried_count;        /* upstreams already tried */
+  int tried_count;
   const char *tried[MARJORAM_TRIED_MAX];
   int zones_tried_count; /* zones that refused it */
   int zones_tried[MARJORAM_TRIED_MAX];
