--- a/test/test_host.c
+++ b/test/test_host.c
@@ -798,7 +798,6 @@
 }
 END_TEST
 
-/* A host without a configuration must refuse all requests.  */
 START_TEST (host_without_configuration_refuses_requests)
 {
   uint64_t call;
--- a/test/test_host_links.c
+++ b/test/test_host_links.c
@@ -20,7 +20,7 @@
   IP_MAX = 32,
   TEXT_MAX = 64,
   PORT = 7760,
-  BEHIND_RELAY = 11, /* offset of the address index of a host behind a relay */
+  RELAY_INDEX_OFFSET = 11, /* of the listen address behind a relay */
   LARGE_BYTES = 300000,
   SETTLE_MS = 700
 };
@@ -34,7 +34,7 @@
   marjoram_host_list *hosts;
   marjoram_host_links *links;
   int frames; /* received, without heartbeats and host lists */
-  int lost;   /* lost links */
+  int lost;   /* links */
 };
 
 static struct event_base *base;
@@ -42,9 +42,9 @@
 static struct host keeper;
 static struct host entry;
 static struct host other;
-static struct relay *relay; /* NULL unless a test creates one */
+static struct relay *relay;
 static struct relay *other_relay;
-static struct relay_link *slow_link; /* NULL unless a test creates one */
+static struct relay_link *slow_link;
 
 static void
 on_frame (void *context, const char *name, uint64_t session,
@@ -256,7 +256,7 @@
 }
 
 /* A host that restarts with a lower incarnation, after its clock was set back,
-   was not listed for a minute.  */
+   must be listed again within LIMIT_MS.  */
 START_TEST (restart_with_lower_incarnation_is_listed)
 {
   start (&entry, 2, MARJORAM_ROLE_ENTRY, "r1", 1000000);
@@ -286,7 +286,6 @@
   return entry.frames > 0 && other.frames > 0;
 }
 
-/* Messages for one region must not be sent to hosts of other regions.  */
 START_TEST (region_messages_stay_in_region)
 {
   const struct marjoram_news_seen message = { 7 };
@@ -347,7 +346,8 @@
   char address[TEXT_MAX];
   struct relay *new_relay;
 
-  start_at (host, index, BEHIND_RELAY + index, MARJORAM_ROLE_KEEPER, "r1", 1);
+  start_at (host, index, RELAY_INDEX_OFFSET + index, MARJORAM_ROLE_KEEPER,
+            "r1", 1);
   snprintf (address, sizeof address, "%s:%d", host->ip, PORT);
   new_relay = relay_create (base, address, host->link_address);
   ck_assert (new_relay != NULL);
@@ -410,8 +410,8 @@
   free (bytes);
 }
 
-/* A link must not time out while a large frame is being received: only
-   complete frames used to count as activity.  */
+/* A link must not time out while a large frame is being received: partial
+   frames count as activity.  */
 START_TEST (link_receiving_large_frame_is_not_silent)
 {
   restart_keeper_behind_relay ();
@@ -425,7 +425,7 @@
 END_TEST
 
 /* While the host's own network path is saturated, acknowledgements on all
-   links are delayed; healthy links were closed after 1.5 s.  */
+   links are delayed.  Healthy links must not be closed.  */
 START_TEST (receive_lag_does_not_close_links)
 {
   start_behind_relays ();
