--- a/src/host.c
+++ b/src/host.c
@@ -69,7 +69,7 @@
     }
   marjoram_router_destroy (host->router);
   marjoram_claims_destroy (host->claims);
-  marjoram_place_destroy (host->place);
+  marjoram_model_placement_destroy (host->model_placement);
   marjoram_orders_destroy (host->orders);
   marjoram_keeper_destroy (host->keeper);
   marjoram_spread_destroy (host->spread);
@@ -165,8 +165,9 @@
       marjoram_claims_tick (host->claims, now, wall);
       marjoram_orders_tick (host->orders, now);
       if (!host->draining)
-        marjoram_place_tick (host->place, now, host->config, host->members,
-                             host->orders);
+        marjoram_model_placement_tick (host->model_placement, now,
+                                       host->config, host->members,
+                                       host->orders);
     }
   marjoram_host_deliver_claim_results (host, now);
   if (host->keeper)
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -103,7 +103,7 @@
   marjoram_router *router;
   marjoram_claims *claims;
   marjoram_orders *orders;
-  marjoram_place *place;
+  marjoram_model_placement *model_placement;
   marjoram_spread *spread;
   marjoram_keeper *keeper;
 
--- a/src/place.h
+++ b/src/place.h
@@ -9,7 +9,7 @@
 #include "order.h"
 #include "random.h"
 
-typedef struct marjoram_place marjoram_place;
+typedef struct marjoram_model_placement marjoram_model_placement;
 
 enum
 {
@@ -26,24 +26,26 @@
   const char *model; /* model to load */
 };
 
-struct marjoram_place_ops
+struct marjoram_model_placement_ops
 {
-  /* Sends ORDER.  The reply is passed to marjoram_place_answered.  */
+  /* Sends ORDER.  The reply is passed to marjoram_model_placement_answered. */
   void (*give) (void *context, const struct marjoram_order *order);
 };
 
-marjoram_place *marjoram_place_create (const struct marjoram_place_ops *ops,
-                                       void *context, marjoram_random *random);
-void marjoram_place_destroy (marjoram_place *place);
+marjoram_model_placement *marjoram_model_placement_create (
+    const struct marjoram_model_placement_ops *ops, void *context,
+    marjoram_random *random);
+void marjoram_model_placement_destroy (marjoram_model_placement *placement);
 /* STATUS is the HTTP status, or 0 if there was no reply.  RETRY_MS is the
    value of Retry-After, or 0 if absent.  */
-void marjoram_place_answered (marjoram_place *place, int64_t now,
-                              uint64_t number, int status, int64_t retry_ms);
+void marjoram_model_placement_answered (marjoram_model_placement *placement,
+                                        int64_t now, uint64_t number,
+                                        int status, int64_t retry_ms);
 /* Call several times per second.  ORDERS tells whether this host holds the
    order lease.  */
-void marjoram_place_tick (marjoram_place *place, int64_t now,
-                          const marjoram_config *config,
-                          const marjoram_members *members,
-                          const marjoram_orders *orders);
+void marjoram_model_placement_tick (marjoram_model_placement *placement,
+                                    int64_t now, const marjoram_config *config,
+                                    const marjoram_members *members,
+                                    const marjoram_orders *orders);
 
 #endif
