--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -2,7 +2,7 @@
 
 #include "frame.h"
 
-#define MARK(type, member)                                                    \
+#define VALUE_HASH(type, member)                                              \
   { MARJORAM_FIELD_UINT,                                                      \
     offsetof (type, member) + offsetof (struct marjoram_value_hash, high), 0, \
     NULL },                                                                   \
@@ -41,9 +41,9 @@
   { MARJORAM_WIRE_BYTES (struct marjoram_keeper_message, value,
                          MARJORAM_FRAME_MAX) },
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, encoding) },
-  MARK (struct marjoram_keeper_message, base_mark),
+  VALUE_HASH (struct marjoram_keeper_message, base_hash),
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, max_encoding) },
-  MARK (struct marjoram_keeper_message, accepted_mark),
+  VALUE_HASH (struct marjoram_keeper_message, accepted_hash),
 };
 const struct marjoram_layout marjoram_keeper_message_layout
     = { "marjoram_keeper_message", sizeof (struct marjoram_keeper_message),
--- a/src/keeper_message.h
+++ b/src/keeper_message.h
@@ -47,9 +47,9 @@
   struct marjoram_ballot accepted;
   marjoram_bytes *value; /* marjoram_state_layout, in ENCODING */
   uint64_t encoding;     /* enum marjoram_keeper_encoding */
-  struct marjoram_value_hash base_mark; /* DELTA, REFERENCE */
+  struct marjoram_value_hash base_hash; /* DELTA, REFERENCE */
   uint64_t max_encoding; /* the highest encoding that the sender can read */
-  struct marjoram_value_hash accepted_mark; /* its last accepted value */
+  struct marjoram_value_hash accepted_hash; /* its last accepted value */
 };
 
 /* What was last seen of a store.  */
--- a/src/keeper_peer.h
+++ b/src/keeper_peer.h
@@ -18,7 +18,7 @@
   uint64_t number;        /* latest state that it knows to be chosen */
   bool knows_incarnation; /* it has seen this incarnation of our store */
   uint64_t max_encoding;  /* the highest value encoding that it can read */
-  struct marjoram_value_hash accepted_mark; /* its last accepted value */
+  struct marjoram_value_hash accepted_hash; /* its last accepted value */
   int64_t large_sent_at; /* when a large message was last sent, or INT64_MIN */
   bool large_probed;     /* a heartbeat was sent since, to confirm receipt */
   bool large_dropped;    /* another was dropped while it was in flight */
