--- a/src/place.c
+++ b/src/model_placement.c
@@ -1,4 +1,4 @@
-#include "place.h"
+#include "model_placement.h"
 
 #include "cleanup.h"
 #include "log.h"
--- a/src/place.h
+++ b/src/model_placement.h
@@ -1,8 +1,8 @@
 /* Placement of models on engines.  The host that holds the zone's order lease
    derives load orders from the announcements and the configured number of
    replicas.  Performs no I/O.  */
-#ifndef MARJORAM_PLACE_H
-#define MARJORAM_PLACE_H
+#ifndef MARJORAM_MODEL_PLACEMENT_H
+#define MARJORAM_MODEL_PLACEMENT_H
 
 #include "config.h"
 #include "member.h"
--- a/test/test_place.c
+++ b/test/test_model_placement.c
@@ -3,7 +3,7 @@
 
 #include "cleanup.h"
 #include "log.h"
-#include "place.h"
+#include "model_placement.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -236,8 +236,8 @@
 Suite *
 suite (void)
 {
-  Suite *s = suite_create ("place");
-  TCase *c = tcase_create ("place");
+  Suite *s = suite_create ("model_placement");
+  TCase *c = tcase_create ("model_placement");
 
   marjoram_log_open ("test", MARJORAM_LOG_ERROR);
   tcase_add_checked_fixture (c, setup, teardown);
