--- a/bench/ablation.sh
+++ b/bench/ablation.sh
@@ -19,10 +19,10 @@
 part-spread       src/placement_choose.c   TIE_BREAKER_MS      1
 lateness-learned  src/placement.c          DELAY_SMOOTHING     0.0
 copies            src/placement_copy.c     COPY_TOKENS_MIN     1000000000
-crossing          src/gateway_send.c       REGION_RTT_MS       1000000000
+crossing          src/gateway_forward.c    REGION_RTT_MS       1000000000
 young-wait        src/gateway.c            STARTUP_WAIT_MS     0
-survey            src/entry_role.c         SURVEY_MS           -1
-leaving-zones     src/leaving_zones.c      LEAVING_MS          0
+survey            src/entry_role.c         SURVEY_PERIOD_MS    -1
+leaving-zones     src/leaving_zones.c      LEAVING_PERIOD_MS   0
 shortages         src/shortage.c           RETRY_MAX_MS        0
 silence           src/gateway_answer.c     STREAM_IDLE_MS      1000000000
 '
