--- a/src/http_client.c
+++ b/src/http_client.c
@@ -15,7 +15,8 @@
 
 enum
 {
-  /* Short enough to try another upstream within the latency objective.  */
+  /* Many times the round trip within a region, but short enough to try another
+     upstream within the latency objective.  */
   CONNECT_TIMEOUT_MS = 600,
   /* Idle timeout for upstreams that send no Keep-Alive timeout.  */
   IDLE_TIMEOUT_DEFAULT_MS = 4000,
@@ -42,7 +43,7 @@
   bool head_only;
   bool skip_response; /* current response belongs to another request */
   bool interim;       /* current response is 1xx */
-  bool complete;      /* response has been read completely */
+  bool complete;
   bool close_delimited;
   bool reusable;
   UT_hash_handle hh; /* by attempt */
@@ -261,8 +262,8 @@
   client->ops->connected (client->context, connection->pool->address);
 }
 
-/* A response without a length is complete if its connection was closed
-   orderly, but not if it was reset.  */
+/* A response without a length is complete if the upstream closed the
+   connection, but not if it was reset.  */
 static void
 on_closed (struct connection *connection)
 {
