--- a/src/http_server.c
+++ b/src/http_server.c
@@ -27,7 +27,7 @@
   /* Write timeout without progress on the last response.  */
   WRITE_STALL_TIMEOUT_MS = 5000,
   /* Delay before idle connections are closed, for requests in flight from
-     another region.  */
+     another region (about 55 ms one way).  */
   IDLE_CLOSE_GRACE_MS = 200,
   DEFAULT_HEAD_BYTES = 16 * 1024,
   DEFAULT_BODY_BYTES = 4 * 1024 * 1024,
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -23,7 +23,6 @@
 
 void marjoram_http_request_destroy (struct marjoram_http_request *request);
 
-/* Size and time limits of one connection.  */
 struct marjoram_http_limits
 {
   size_t head_bytes;
