--- a/src/socket_option.c
+++ b/src/socket_option.c
@@ -9,7 +9,8 @@
 
 enum
 {
-  /* TCP_USER_TIMEOUT.  Allows for several retransmissions between regions.  */
+  /* TCP_USER_TIMEOUT.  Allows for several retransmissions between regions
+     (round trip up to about 110 ms).  */
   USER_TIMEOUT_MS = 3000,
   /* TCP keepalive: idle time, interval and count of the probes.  */
   KEEPALIVE_IDLE_S = 2,
