--- a/src/event_log.c
+++ b/src/event_log.c
@@ -11,13 +11,13 @@
 {
   TEXT_MAX_BYTES = 640,
   BUFFER_BYTES = 64 * 1024,
-  /* Rate limit of each kind of event.  */
+  /* Rate limit of each kind of event.  A host with a quarter of a core serves
+     at most some hundred requests per second, each with a line.  */
   RATE_PER_S = 200,
   BURST = 400,
   MSEC_PER_SEC = 1000
 };
 
-/* Rate limiter of one kind of event.  */
 struct token_bucket
 {
   double tokens;
--- a/src/event_log.h
+++ b/src/event_log.h
@@ -26,7 +26,7 @@
 void marjoram_event_log_open (const char *name, struct marjoram_clock *clock);
 void marjoram_event (enum marjoram_event_kind kind, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/* Writes the buffered lines.  Must be called periodically.  */
+/* Writes the buffered lines.  Must be called several times per second.  */
 void marjoram_event_log_flush (void);
 
 #endif
