--- a/src/control.c
+++ b/src/control.c
@@ -28,7 +28,6 @@
   STATUS_BUSY = 503
 };
 
-/* A call in progress.  */
 struct call
 {
   struct marjoram_control *control;
@@ -354,7 +353,7 @@
   return NULL;
 }
 
-/* Returns the slot and the time that the client must sign its calls with.  */
+/* Sends the slot and the time that the client must sign its calls with.  */
 static void
 handle_hello (marjoram_control *control, struct evhttp_request *req,
               const char *nonce)
--- a/src/control.h
+++ b/src/control.h
@@ -1,5 +1,5 @@
 /* Control interface of a daemon: HTTP on its control address, with every call
-   signed with the owner's secret.  It owns its listener and accesses the host
+   signed with the shared secret.  It owns its listener and accesses the host
    through the operations below.  */
 #ifndef MARJORAM_CONTROL_H
 #define MARJORAM_CONTROL_H
--- a/src/control_client.c
+++ b/src/control_client.c
@@ -20,7 +20,6 @@
   TIME_MAX_BYTES = 32
 };
 
-/* One HTTP exchange.  */
 struct exchange
 {
   struct event_base *base;
--- a/src/control_proof.h
+++ b/src/control_proof.h
@@ -1,4 +1,4 @@
-/* Authentication of control calls and replies with the owner's secret, shared
+/* Authentication of control calls and replies with the shared secret, used
    by the daemon and marjoramctl.  A proof is a keyed hash as hex digits.  */
 #ifndef MARJORAM_CONTROL_PROOF_H
 #define MARJORAM_CONTROL_PROOF_H
