--- a/src/reason.h
+++ b/src/reason.h
@@ -13,7 +13,7 @@
   MARJORAM_REASON_TOO_LARGE,      /* body or headers over the limit */
   MARJORAM_REASON_UNKNOWN_CALLER, /* no caller has this token */
   MARJORAM_REASON_UNKNOWN_MODEL,  /* no such model or service */
-  MARJORAM_REASON_RESIDENCY,      /* no free capacity in allowed regions */
+  MARJORAM_REASON_RESIDENCY,      /* free capacity only in other regions */
   MARJORAM_REASON_NO_UPSTREAM,    /* no suitable upstream is known */
   MARJORAM_REASON_OVERLOAD,       /* the estimated wait exceeds the deadline */
   MARJORAM_REASON_CALLER_LIMIT,   /* the caller's rate limit is exceeded */
@@ -23,7 +23,7 @@
   MARJORAM_REASON_CLAIM_BUSY,     /* a request with the same key is running */
   MARJORAM_REASON_CLAIM_MISMATCH, /* the key was used with another body */
   MARJORAM_REASON_CLAIM_NO_QUORUM,  /* too few hosts confirmed the claim */
-  MARJORAM_REASON_KEY_EXPIRED,      /* the key exceeds the retention period */
+  MARJORAM_REASON_KEY_EXPIRED,      /* older than the retention period */
   MARJORAM_REASON_KEY_MISSING,      /* non-idempotent work without a key */
   MARJORAM_REASON_CONVICTED,        /* the request crashes upstreams */
   MARJORAM_REASON_UPSTREAM_FAILED,  /* an upstream aborted the response */
@@ -36,7 +36,6 @@
   MARJORAM_REASON_COUNT
 };
 
-/* Known outcome of a request.  */
 enum marjoram_outcome
 {
   MARJORAM_OUTCOME_DONE,
