--- a/src/apply.c
+++ b/src/apply.c
@@ -92,7 +92,6 @@
   marjoram_apply_answered (host, number, &answer);
 }
 
-/* Returns the slot of a keeper whose link is up; null if none.  */
 static const char *
 reachable_keeper (const marjoram_host *host)
 {
--- a/src/config_file.c
+++ b/src/config_file.c
@@ -8,7 +8,6 @@
 
 #define VERSION_MAX 1e15
 
-/* Values of the [file] section.  */
 struct file_section
 {
   char *name;
--- a/src/counter.h
+++ b/src/counter.h
@@ -38,7 +38,6 @@
 void marjoram_counters_destroy (marjoram_counters *counters);
 void marjoram_counters_add (marjoram_counters *counters,
                             enum marjoram_counter which, uint64_t amount);
-/* Count a refused request and a retried attempt by REASON.  */
 void marjoram_counters_add_refusal (marjoram_counters *counters,
                                     enum marjoram_reason reason);
 void marjoram_counters_add_retry (marjoram_counters *counters,
--- a/src/ctl.c
+++ b/src/ctl.c
@@ -97,7 +97,6 @@
   return true;
 }
 
-/* Loads all operands into STATE.  */
 static bool
 load_files (struct marjoram_ctl_call *call, struct marjoram_state *state)
 {
@@ -192,7 +191,6 @@
   return result;
 }
 
-/* Prints the error response of a host.  */
 static enum marjoram_ctl_status
 report_refusal (struct marjoram_ctl_call *call,
                 const struct marjoram_control_answer *answer)
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -50,7 +50,6 @@
 enum marjoram_ctl_status
 marjoram_ctl_run (const struct marjoram_ctl_options *options, int arg_count,
                   char *const *args, FILE *out, FILE *errors);
-/* Prints the list of commands for --help.  */
 void marjoram_ctl_help (FILE *out);
 
 /* Prints a JSON object in human-readable form: scalars one per line, arrays of
--- a/src/error.h
+++ b/src/error.h
@@ -8,13 +8,13 @@
 enum marjoram_error_kind
 {
   MARJORAM_ERROR_NONE,
-  MARJORAM_ERROR_INVALID,  /* invalid input */
+  MARJORAM_ERROR_INVALID,
   MARJORAM_ERROR_CONFLICT, /* a newer or different value is in force */
   MARJORAM_ERROR_IO,       /* a file or socket operation failed */
   MARJORAM_ERROR_CORRUPT,  /* stored data is damaged */
-  MARJORAM_ERROR_REFUSED,  /* not allowed */
-  MARJORAM_ERROR_TIMEOUT,  /* no response in time; outcome may be unknown */
-  MARJORAM_ERROR_LIMIT     /* a size or count limit was exceeded */
+  MARJORAM_ERROR_REFUSED,
+  MARJORAM_ERROR_TIMEOUT, /* no response in time; outcome may be unknown */
+  MARJORAM_ERROR_LIMIT    /* a size or count limit was exceeded */
 };
 
 #define MARJORAM_ERROR_MESSAGE_MAX 512
--- a/src/header_list.h
+++ b/src/header_list.h
@@ -13,7 +13,7 @@
   size_t capacity;
 };
 
-/* Appends a header.  NAME and VALUE are copied.  */
+/* NAME and VALUE are copied.  */
 void marjoram_header_list_add (struct marjoram_header_list *list,
                                const char *name, const char *value);
 void marjoram_header_list_add_size (struct marjoram_header_list *list,
@@ -31,7 +31,6 @@
 /* Whether a value of NAME contains TOKEN in a comma-separated list.  */
 bool marjoram_header_list_has_token (const struct marjoram_header_list *list,
                                      const char *name, const char *token);
-/* Frees the items and resets the list to empty.  */
 void marjoram_header_list_clear (struct marjoram_header_list *list);
 /* Moves the items of SOURCE to TARGET, which must be empty.  */
 void marjoram_header_list_move (struct marjoram_header_list *target,
--- a/src/ini_key.c
+++ b/src/ini_key.c
@@ -69,7 +69,6 @@
   return names->count == 1 && strcmp (names->items[0], "all") == 0;
 }
 
-/* A value being read, with the context for error messages.  */
 struct value_context
 {
   const struct marjoram_ini_file *file;
@@ -147,7 +146,6 @@
     reject_value (r, "write yes or no");
 }
 
-/* Parses a number and checks it against the key's range.  */
 static bool
 read_number (const struct value_context *r, bool integer, bool suffix,
              double *number)
--- a/src/ini_key.h
+++ b/src/ini_key.h
@@ -56,7 +56,6 @@
 bool marjoram_name_valid (const char *text, bool dots);
 struct marjoram_names marjoram_names_parse (const char *text);
 void marjoram_names_clear (struct marjoram_names *names);
-/* Whether the list consists of the single name "all".  */
 bool marjoram_names_is_all (const struct marjoram_names *names);
 
 #endif
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -46,7 +46,6 @@
 void marjoram_metrics_destroy (marjoram_metrics *metrics);
 void marjoram_metrics_add (marjoram_metrics *metrics,
                            enum marjoram_metric metric, uint64_t amount);
-/* Counts a request refused for REASON.  */
 void marjoram_metrics_add_refusal (marjoram_metrics *metrics,
                                    enum marjoram_reason reason);
 void marjoram_metrics_observe (marjoram_metrics *metrics,
--- a/src/upstream_call.h
+++ b/src/upstream_call.h
@@ -15,8 +15,7 @@
 typedef void marjoram_upstream_call_done (void *context, int status,
                                           bool timed_out, int64_t retry_ms);
 
-/* Creates a connection to ADDRESS (IP:port).  Returns null if ADDRESS is
-   malformed.  */
+/* Returns null if ADDRESS is not IP:port.  */
 struct evhttp_connection *
 marjoram_upstream_call_connect (struct event_base *base, const char *address);
 /* Frees CONNECTION from the event loop, as evhttp may still be using it.  */
