--- a/test/test_config.c
+++ b/test/test_config.c
@@ -248,7 +248,6 @@
 }
 END_TEST
 
-/* Guards the limits on keepers and on slots per zone.  */
 START_TEST (rejects_too_many_keepers_and_slots)
 {
   marjoram_auto_free char *faults = NULL;
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -284,7 +284,6 @@
                                         .work = "chat" };
 }
 
-/* Runs a command with up to two operands and captures its output in TEXT.  */
 static enum marjoram_ctl_status
 run_command (const struct marjoram_ctl_options *options, const char *command,
              const char *first, const char *second, char **text)
--- a/test/test_http.c
+++ b/test/test_http.c
@@ -75,10 +75,10 @@
 }
 
 static void
-on_rejected (void *context, int status, const char *why)
+on_rejected (void *context, int status, const char *reason)
 {
   (void)context;
-  (void)why;
+  (void)reason;
   rejected = status;
 }
 
@@ -121,7 +121,6 @@
   raw_closed = false;
 }
 
-/* Runs the event loop until DONE returns true; fails after LIMIT_MS.  */
 static void
 run_until (bool (*done) (void))
 {
@@ -290,7 +289,6 @@
 }
 END_TEST
 
-/* A draining server answers requests and then closes the connection.  */
 START_TEST (draining_closes_after_response)
 {
   marjoram_http_server_drain (server);
@@ -416,7 +414,6 @@
 }
 END_TEST
 
-/* A request that arrives within the grace period must not be dropped.  */
 START_TEST (request_in_grace_period_is_answered)
 {
   run_until (is_accepted);
@@ -429,7 +426,6 @@
 }
 END_TEST
 
-/* Idle connections must not delay shutdown.  */
 START_TEST (idle_connection_is_closed_promptly)
 {
   struct marjoram_clock *clock = marjoram_clock_system ();
@@ -784,7 +780,6 @@
 }
 END_TEST
 
-/* A connection with trailing bytes after a response must not be reused.  */
 START_TEST (trailing_bytes_close_the_connection)
 {
   static const char response[]
