--- a/src/choose.c
+++ b/src/chooser.c
@@ -1,4 +1,4 @@
-#include "choose.h"
+#include "chooser.h"
 
 #include "cache_index.h"
 #include "cleanup.h"
--- a/src/choose.h
+++ b/src/chooser.h
@@ -2,8 +2,8 @@
    queueing delay, the prefill time less the cached prefix, and the decode
    time.  Hosts select concurrently from stale load reports, so only a small
    random sample of candidates is compared.  Performs no I/O.  */
-#ifndef MARJORAM_CHOOSE_H
-#define MARJORAM_CHOOSE_H
+#ifndef MARJORAM_CHOOSER_H
+#define MARJORAM_CHOOSER_H
 
 #include "config.h"
 #include "member.h"
--- a/src/claim.c
+++ b/src/claim.c
@@ -26,7 +26,7 @@
 
 static void
 refuse_duplicate (marjoram_claims *claims, uint64_t number,
-                  const struct marjoram_attempt *existing,
+                  const struct marjoram_claim_attempt *existing,
                   struct marjoram_hash128 digest)
 {
   marjoram_claims_queue_verdict (
@@ -40,9 +40,9 @@
 static void
 acquire (marjoram_claims *claims, const struct marjoram_claim_entry *entry)
 {
-  const struct marjoram_attempt *existing
+  const struct marjoram_claim_attempt *existing
       = marjoram_claims_find_by_key (claims, entry->key);
-  struct marjoram_attempt *attempt;
+  struct marjoram_claim_attempt *attempt;
 
   if (existing)
     {
@@ -86,17 +86,17 @@
 marjoram_claims_withdraw (marjoram_claims *claims, int64_t now,
                           uint64_t attempt)
 {
-  struct marjoram_attempt *found
+  struct marjoram_claim_attempt *found
       = marjoram_claims_find_attempt (claims, attempt);
 
   claims->now = now;
   marjoram_claims_cancel_verdict (claims, attempt);
-  if (found && found->phase != MARJORAM_ATTEMPT_FINISHING)
+  if (found && found->phase != MARJORAM_CLAIM_ATTEMPT_FINISHING)
     marjoram_claims_abandon (claims, found);
 }
 
 static void
-send_finish (marjoram_claims *claims, struct marjoram_attempt *attempt)
+send_finish (marjoram_claims *claims, struct marjoram_claim_attempt *attempt)
 {
   struct marjoram_claim_entry entry = attempt->entry;
   const struct marjoram_claim_record *record
@@ -115,14 +115,14 @@
 marjoram_claims_finish (marjoram_claims *claims, int64_t now, uint64_t attempt,
                         const struct marjoram_kept_answer *kept)
 {
-  struct marjoram_attempt *found
+  struct marjoram_claim_attempt *found
       = marjoram_claims_find_attempt (claims, attempt);
   struct marjoram_claim_entry entry;
 
   claims->now = now;
-  if (!found || found->phase != MARJORAM_ATTEMPT_GRANTED)
+  if (!found || found->phase != MARJORAM_CLAIM_ATTEMPT_GRANTED)
     return;
-  found->phase = MARJORAM_ATTEMPT_FINISHING;
+  found->phase = MARJORAM_CLAIM_ATTEMPT_FINISHING;
   found->entry.state = MARJORAM_CLAIM_DONE;
   marjoram_claims_release_key (claims, found);
   entry = found->entry;
@@ -143,13 +143,13 @@
 report_outcome (marjoram_claims *claims, int to,
                 const struct marjoram_claim_entry *entry)
 {
-  const struct marjoram_attempt *attempt
+  const struct marjoram_claim_attempt *attempt
       = marjoram_claims_find_attempt (claims, entry->number);
   const struct marjoram_claim_record *record;
   struct marjoram_claim_entry done;
 
   if (!marjoram_claims_owns (claims, entry)
-      || (attempt && attempt->phase != MARJORAM_ATTEMPT_FINISHING))
+      || (attempt && attempt->phase != MARJORAM_CLAIM_ATTEMPT_FINISHING))
     return;
   record = marjoram_claim_records_get (claims->records, entry);
   if (!record || record->state != MARJORAM_CLAIM_DONE)
@@ -201,7 +201,7 @@
                const struct marjoram_claim_message *m)
 {
   const struct marjoram_claim_entry *entries = m->entries.items;
-  struct marjoram_attempt *attempt
+  struct marjoram_claim_attempt *attempt
       = marjoram_claims_find_attempt (claims, entries[0].number);
 
   if (!marjoram_claims_owns (claims, &entries[0]))
@@ -233,9 +233,10 @@
 static void
 retry_key (marjoram_claims *claims, struct marjoram_hash128 key)
 {
-  struct marjoram_attempt *attempt = marjoram_claims_find_by_key (claims, key);
+  struct marjoram_claim_attempt *attempt
+      = marjoram_claims_find_by_key (claims, key);
 
-  if (!attempt || attempt->phase != MARJORAM_ATTEMPT_WAITING)
+  if (!attempt || attempt->phase != MARJORAM_CLAIM_ATTEMPT_WAITING)
     return;
   marjoram_claims_vote_locally (claims, attempt);
   if (!attempt->decided)
@@ -276,13 +277,13 @@
 handle_finished (marjoram_claims *claims, int from,
                  const struct marjoram_claim_entry *entry)
 {
-  struct marjoram_attempt *attempt
+  struct marjoram_claim_attempt *attempt
       = marjoram_claims_find_attempt (claims, entry->number);
   uint64_t all
       = marjoram_claims_slot_bit (claims->options.slot_count - 1) * 2 - 1;
 
   if (!marjoram_claims_owns (claims, entry) || !attempt
-      || attempt->phase != MARJORAM_ATTEMPT_FINISHING)
+      || attempt->phase != MARJORAM_CLAIM_ATTEMPT_FINISHING)
     return;
   attempt->acknowledged |= marjoram_claims_slot_bit (from);
   if ((attempt->acknowledged | marjoram_claims_slot_bit (claims->options.self))
@@ -463,9 +464,9 @@
 }
 
 static void
-tick_attempt (marjoram_claims *claims, struct marjoram_attempt *attempt)
+tick_attempt (marjoram_claims *claims, struct marjoram_claim_attempt *attempt)
 {
-  if (attempt->phase == MARJORAM_ATTEMPT_FINISHING)
+  if (attempt->phase == MARJORAM_CLAIM_ATTEMPT_FINISHING)
     {
       if (claims->now < attempt->resend_at)
         return;
@@ -475,7 +476,7 @@
         send_finish (claims, attempt);
       return;
     }
-  if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
+  if (attempt->phase == MARJORAM_CLAIM_ATTEMPT_GRANTED)
     return;
   marjoram_claims_vote_locally (claims, attempt);
   marjoram_claims_evaluate (claims, attempt);
@@ -489,7 +490,7 @@
 void
 marjoram_claims_tick (marjoram_claims *claims, int64_t now, int64_t wall)
 {
-  struct marjoram_attempt *attempt, *next;
+  struct marjoram_claim_attempt *attempt, *next;
   int64_t retention = claims->options.retention_ms;
 
   set_clock (claims, now, wall);
@@ -530,7 +531,7 @@
 void
 marjoram_claims_destroy (marjoram_claims *claims)
 {
-  struct marjoram_attempt *attempt, *next;
+  struct marjoram_claim_attempt *attempt, *next;
 
   if (!claims)
     return;
@@ -570,7 +571,7 @@
 size_t
 marjoram_claims_memory (const marjoram_claims *claims)
 {
-  size_t each = sizeof (struct marjoram_attempt)
+  size_t each = sizeof (struct marjoram_claim_attempt)
                 + claims->options.slot_count * sizeof (uint64_t);
 
   return sizeof *claims + marjoram_claim_records_memory (claims->records)
--- a/src/claim_attempt.c
+++ b/src/claim_attempt.c
@@ -28,20 +28,20 @@
          && entry->incarnation == claims->options.incarnation;
 }
 
-struct marjoram_attempt *
+struct marjoram_claim_attempt *
 marjoram_claims_find_attempt (const marjoram_claims *claims, uint64_t number)
 {
-  struct marjoram_attempt *attempt;
+  struct marjoram_claim_attempt *attempt;
 
   HASH_FIND (hh, claims->by_number, &number, sizeof number, attempt);
   return attempt;
 }
 
-struct marjoram_attempt *
+struct marjoram_claim_attempt *
 marjoram_claims_find_by_key (const marjoram_claims *claims,
                              struct marjoram_hash128 key)
 {
-  struct marjoram_attempt *attempt;
+  struct marjoram_claim_attempt *attempt;
 
   HASH_FIND (hh_key, claims->by_key, &key, sizeof key, attempt);
   return attempt;
@@ -49,7 +49,7 @@
 
 void
 marjoram_claims_release_key (marjoram_claims *claims,
-                             struct marjoram_attempt *attempt)
+                             struct marjoram_claim_attempt *attempt)
 {
   if (marjoram_claims_find_by_key (claims, attempt->entry.key) == attempt)
     HASH_DELETE (hh_key, claims->by_key, attempt);
@@ -57,7 +57,7 @@
 
 void
 marjoram_claims_remove_attempt (marjoram_claims *claims,
-                                struct marjoram_attempt *attempt)
+                                struct marjoram_claim_attempt *attempt)
 {
   marjoram_claims_release_key (claims, attempt);
   HASH_DELETE (hh, claims->by_number, attempt);
@@ -109,14 +109,14 @@
    are not reused, so votes that arrive later match no attempt.  */
 void
 marjoram_claims_abandon (marjoram_claims *claims,
-                         struct marjoram_attempt *attempt)
+                         struct marjoram_claim_attempt *attempt)
 {
   struct marjoram_claim_record *record
       = marjoram_claim_records_get (claims->records, &attempt->entry);
 
   if (record)
     marjoram_claim_records_remove (claims->records, record);
-  if (attempt->phase != MARJORAM_ATTEMPT_WAITING)
+  if (attempt->phase != MARJORAM_CLAIM_ATTEMPT_WAITING)
     marjoram_claims_send_all (claims, MARJORAM_CLAIM_WITHDRAW, &attempt->entry,
                               0);
   marjoram_claims_remove_attempt (claims, attempt);
@@ -180,14 +180,14 @@
 }
 
 static void
-decide (marjoram_claims *claims, struct marjoram_attempt *attempt,
+decide (marjoram_claims *claims, struct marjoram_claim_attempt *attempt,
         enum marjoram_claim_verdict verdict,
         const struct marjoram_kept_answer *kept)
 {
   marjoram_claims_queue_verdict (claims, attempt->entry.number, verdict, kept);
   attempt->decided = true;
   if (verdict == MARJORAM_CLAIM_RUN)
-    attempt->phase = MARJORAM_ATTEMPT_GRANTED;
+    attempt->phase = MARJORAM_CLAIM_ATTEMPT_GRANTED;
 }
 
 /* Breaks ties between attempts that block each other: a granted rival wins,
@@ -195,10 +195,10 @@
    always loses.  */
 static bool
 yields_to_rival (const marjoram_claims *claims,
-                 const struct marjoram_attempt *attempt,
+                 const struct marjoram_claim_attempt *attempt,
                  const struct marjoram_claim_entry *rival)
 {
-  return attempt->phase == MARJORAM_ATTEMPT_WAITING
+  return attempt->phase == MARJORAM_CLAIM_ATTEMPT_WAITING
          || rival->state == MARJORAM_CLAIM_GRANTED
          || rival->owner < (uint64_t)claims->options.self;
 }
@@ -207,8 +207,8 @@
    FROM.  */
 void
 marjoram_claims_handle_conflict (marjoram_claims *claims,
-                                 struct marjoram_attempt *attempt, int from,
-                                 uint64_t incarnation,
+                                 struct marjoram_claim_attempt *attempt,
+                                 int from, uint64_t incarnation,
                                  const struct marjoram_claim_entry *entry)
 {
   struct marjoram_claim_answers *answers = &attempt->answers;
@@ -236,7 +236,7 @@
    so counting them could give two attempts a majority.  */
 static int
 count_votes (const marjoram_claims *claims,
-             const struct marjoram_attempt *attempt)
+             const struct marjoram_claim_attempt *attempt)
 {
   int votes = 0;
 
@@ -250,7 +250,7 @@
 
 void
 marjoram_claims_evaluate (marjoram_claims *claims,
-                          struct marjoram_attempt *attempt)
+                          struct marjoram_claim_attempt *attempt)
 {
   const struct marjoram_claim_answers *answers = &attempt->answers;
   uint64_t all
@@ -274,7 +274,7 @@
    no host reported a conflicting attempt.  */
 void
 marjoram_claims_time_out (marjoram_claims *claims,
-                          struct marjoram_attempt *attempt)
+                          struct marjoram_claim_attempt *attempt)
 {
   const struct marjoram_claim_answers *answers = &attempt->answers;
 
@@ -354,7 +354,7 @@
 {
   const struct marjoram_claim_record *record
       = marjoram_claim_records_find (claims->records, key);
-  const struct marjoram_attempt *attempt
+  const struct marjoram_claim_attempt *attempt
       = marjoram_claims_find_by_key (claims, key);
   size_t count = 0;
   bool listed = false;
@@ -366,15 +366,15 @@
           && marjoram_claim_same_attempt (&held[count], &attempt->entry))
         {
           listed = true;
-          if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
+          if (attempt->phase == MARJORAM_CLAIM_ATTEMPT_GRANTED)
             held[count].state = MARJORAM_CLAIM_GRANTED;
         }
       count++;
     }
-  if (attempt && !listed && attempt->phase != MARJORAM_ATTEMPT_WAITING)
+  if (attempt && !listed && attempt->phase != MARJORAM_CLAIM_ATTEMPT_WAITING)
     {
       held[count] = attempt->entry;
-      if (attempt->phase == MARJORAM_ATTEMPT_GRANTED)
+      if (attempt->phase == MARJORAM_CLAIM_ATTEMPT_GRANTED)
         held[count].state = MARJORAM_CLAIM_GRANTED;
       count++;
     }
@@ -414,7 +414,7 @@
    vote.  */
 void
 marjoram_claims_vote_locally (marjoram_claims *claims,
-                              struct marjoram_attempt *attempt)
+                              struct marjoram_claim_attempt *attempt)
 {
   struct marjoram_claim_entry held[REPORTED_ATTEMPTS_MAX];
   size_t count
@@ -440,12 +440,12 @@
       answers->yes |= self;
       attempt->vote_incarnations[claims->options.self]
           = claims->options.incarnation;
-      attempt->phase = MARJORAM_ATTEMPT_ASKING;
+      attempt->phase = MARJORAM_CLAIM_ATTEMPT_ASKING;
       break;
     case MARJORAM_VOTE_BLOCKED:
       marjoram_claims_set_blocked (answers, claims->options.self,
                                    claims->recovery.done);
-      attempt->phase = MARJORAM_ATTEMPT_ASKING;
+      attempt->phase = MARJORAM_CLAIM_ATTEMPT_ASKING;
       break;
     default:
       break;
@@ -454,10 +454,10 @@
 
 void
 marjoram_claims_request_votes (marjoram_claims *claims,
-                               const struct marjoram_attempt *attempt)
+                               const struct marjoram_claim_attempt *attempt)
 {
   marjoram_claims_send_all (claims,
-                            attempt->phase == MARJORAM_ATTEMPT_ASKING
+                            attempt->phase == MARJORAM_CLAIM_ATTEMPT_ASKING
                                 ? MARJORAM_CLAIM_ASK
                                 : MARJORAM_CLAIM_PROBE,
                             &attempt->entry, 0);
@@ -465,17 +465,17 @@
 
 void
 marjoram_claims_remove_refused (marjoram_claims *claims,
-                                struct marjoram_attempt *attempt)
+                                struct marjoram_claim_attempt *attempt)
 {
-  if (attempt->decided && attempt->phase < MARJORAM_ATTEMPT_GRANTED)
+  if (attempt->decided && attempt->phase < MARJORAM_CLAIM_ATTEMPT_GRANTED)
     marjoram_claims_abandon (claims, attempt);
 }
 
-struct marjoram_attempt *
+struct marjoram_claim_attempt *
 marjoram_claims_add_attempt (marjoram_claims *claims,
                              const struct marjoram_claim_entry *entry)
 {
-  struct marjoram_attempt *attempt = marjoram_alloc (sizeof *attempt);
+  struct marjoram_claim_attempt *attempt = marjoram_alloc (sizeof *attempt);
 
   attempt->entry = *entry;
   attempt->deadline = claims->now + claims->options.timeout_ms;
--- a/src/claim_attempt.h
+++ b/src/claim_attempt.h
@@ -21,13 +21,13 @@
   STATE_BODY_BYTES = 256 * 1024 /* soft limit on answer bodies in a STATE */
 };
 
-enum marjoram_attempt_phase
+enum marjoram_claim_attempt_phase
 {
-  MARJORAM_ATTEMPT_WAITING, /* a conflicting attempt is known locally; no votes
-                               have been requested */
-  MARJORAM_ATTEMPT_ASKING,
-  MARJORAM_ATTEMPT_GRANTED,
-  MARJORAM_ATTEMPT_FINISHING /* sending FINISH until peers acknowledge */
+  MARJORAM_CLAIM_ATTEMPT_WAITING, /* a conflicting attempt is known locally; no
+                               votes have been requested */
+  MARJORAM_CLAIM_ATTEMPT_ASKING,
+  MARJORAM_CLAIM_ATTEMPT_GRANTED,
+  MARJORAM_CLAIM_ATTEMPT_FINISHING /* sending FINISH until peers acknowledge */
 };
 
 /* The latest answer of each host, as bit masks indexed by slot.  */
@@ -43,10 +43,10 @@
   uint64_t done;  /* reports a completed attempt with no stored answer */
 };
 
-struct marjoram_attempt
+struct marjoram_claim_attempt
 {
   struct marjoram_claim_entry entry;
-  enum marjoram_attempt_phase phase;
+  enum marjoram_claim_attempt_phase phase;
   bool decided;
   int64_t deadline;
   struct marjoram_claim_answers answers;
@@ -57,7 +57,7 @@
   int64_t resend_at;
   UT_hash_handle hh;
   UT_hash_handle hh_key;
-  TAILQ_ENTRY (marjoram_attempt) link;
+  TAILQ_ENTRY (marjoram_claim_attempt) link;
 };
 
 struct marjoram_claim_decision
@@ -85,24 +85,24 @@
   int64_t horizon;     /* keys issued earlier are refused */
   int64_t own_horizon; /* HORIZON as set when this host started */
   int64_t issue_floor; /* highest horizon reported in the zone */
-  struct marjoram_attempt *by_number;
-  struct marjoram_attempt *by_key;
-  TAILQ_HEAD (marjoram_attempt_list, marjoram_attempt) attempts;
+  struct marjoram_claim_attempt *by_number;
+  struct marjoram_claim_attempt *by_key;
+  TAILQ_HEAD (marjoram_claim_attempt_list, marjoram_claim_attempt) attempts;
   STAILQ_HEAD (, marjoram_claim_decision) decisions;
 };
 
 uint64_t marjoram_claims_slot_bit (int ordinal);
 bool marjoram_claims_owns (const marjoram_claims *claims,
                            const struct marjoram_claim_entry *entry);
-struct marjoram_attempt *
+struct marjoram_claim_attempt *
 marjoram_claims_find_attempt (const marjoram_claims *claims, uint64_t number);
-struct marjoram_attempt *
+struct marjoram_claim_attempt *
 marjoram_claims_find_by_key (const marjoram_claims *claims,
                              struct marjoram_hash128 key);
 void marjoram_claims_release_key (marjoram_claims *claims,
-                                  struct marjoram_attempt *attempt);
+                                  struct marjoram_claim_attempt *attempt);
 void marjoram_claims_remove_attempt (marjoram_claims *claims,
-                                     struct marjoram_attempt *attempt);
+                                     struct marjoram_claim_attempt *attempt);
 struct marjoram_claim_message marjoram_claims_make_message (
     const marjoram_claims *claims, enum marjoram_claim_kind kind,
     const struct marjoram_claim_entry *entries, size_t count);
@@ -114,7 +114,7 @@
                                const struct marjoram_claim_entry *entry,
                                uint64_t except);
 void marjoram_claims_abandon (marjoram_claims *claims,
-                              struct marjoram_attempt *attempt);
+                              struct marjoram_claim_attempt *attempt);
 void marjoram_claims_queue_verdict (marjoram_claims *claims, uint64_t attempt,
                                     enum marjoram_claim_verdict verdict,
                                     const struct marjoram_kept_answer *kept);
@@ -122,12 +122,12 @@
                                      uint64_t attempt);
 void marjoram_claims_deliver_verdicts (marjoram_claims *claims);
 void marjoram_claims_handle_conflict (
-    marjoram_claims *claims, struct marjoram_attempt *attempt, int from,
+    marjoram_claims *claims, struct marjoram_claim_attempt *attempt, int from,
     uint64_t incarnation, const struct marjoram_claim_entry *entry);
 void marjoram_claims_evaluate (marjoram_claims *claims,
-                               struct marjoram_attempt *attempt);
+                               struct marjoram_claim_attempt *attempt);
 void marjoram_claims_time_out (marjoram_claims *claims,
-                               struct marjoram_attempt *attempt);
+                               struct marjoram_claim_attempt *attempt);
 bool marjoram_claims_key_expired (const marjoram_claims *claims,
                                   int64_t issued);
 void marjoram_claims_store_record (marjoram_claims *claims,
@@ -145,12 +145,13 @@
 void marjoram_claims_set_blocked (struct marjoram_claim_answers *answers,
                                   int from, bool recovered);
 void marjoram_claims_vote_locally (marjoram_claims *claims,
-                                   struct marjoram_attempt *attempt);
-void marjoram_claims_request_votes (marjoram_claims *claims,
-                                    const struct marjoram_attempt *attempt);
+                                   struct marjoram_claim_attempt *attempt);
+void
+marjoram_claims_request_votes (marjoram_claims *claims,
+                               const struct marjoram_claim_attempt *attempt);
 void marjoram_claims_remove_refused (marjoram_claims *claims,
-                                     struct marjoram_attempt *attempt);
-struct marjoram_attempt *
+                                     struct marjoram_claim_attempt *attempt);
+struct marjoram_claim_attempt *
 marjoram_claims_add_attempt (marjoram_claims *claims,
                              const struct marjoram_claim_entry *entry);
 
--- a/src/control.c
+++ b/src/control.c
@@ -573,8 +573,8 @@
 }
 
 void
-marjoram_control_answer (marjoram_control *control, uint64_t request,
-                         const struct marjoram_apply_answer *answer)
+marjoram_control_respond (marjoram_control *control, uint64_t request,
+                          const struct marjoram_apply_answer *answer)
 {
   struct pending *pending;
 
--- a/src/control.h
+++ b/src/control.h
@@ -35,7 +35,7 @@
   /* Returns the state in force, for diff; null if none.  */
   const struct marjoram_state *(*state) (void *context);
   char *(*counters) (void *context); /* malloc'd metrics text */
-  /* Commands.  Apply and replace each call marjoram_control_answer exactly
+  /* Commands.  Apply and replace each call marjoram_control_respond exactly
      once with the same REQUEST, possibly before they return.  */
   void (*apply) (void *context, uint64_t request, const char *change_id,
                  const struct marjoram_file *file);
@@ -54,7 +54,7 @@
                          const struct marjoram_control_ops *ops, void *context,
                          struct marjoram_error *err);
 void marjoram_control_destroy (marjoram_control *control);
-void marjoram_control_answer (marjoram_control *control, uint64_t request,
-                              const struct marjoram_apply_answer *answer);
+void marjoram_control_respond (marjoram_control *control, uint64_t request,
+                               const struct marjoram_apply_answer *answer);
 
 #endif
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -179,7 +179,7 @@
 {
   marjoram_daemon *daemon = context;
 
-  marjoram_control_answer (daemon->control, request, answer);
+  marjoram_control_respond (daemon->control, request, answer);
 }
 
 static void
--- a/src/fair.c
+++ b/src/fair_share.c
@@ -1,4 +1,4 @@
-#include "fair.h"
+#include "fair_share.h"
 
 #include "cleanup.h"
 
--- a/src/fair.h
+++ b/src/fair_share.h
@@ -1,7 +1,7 @@
 /* Fair sharing between callers under overload: the ratio of a caller's usage
    of this host to its weighted share.  Performs no I/O.  */
-#ifndef MARJORAM_FAIR_H
-#define MARJORAM_FAIR_H
+#ifndef MARJORAM_FAIR_SHARE_H
+#define MARJORAM_FAIR_SHARE_H
 
 #include "config.h"
 
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -48,8 +48,8 @@
   bool (*forward) (void *context, const char *host,
                    const struct marjoram_forward *forward);
   void (*cancel_forward) (void *context, const char *host, uint64_t attempt);
-  /* Processing delay of this host (own_lag.h): answers that upstreams sent
-     within this time may not have been read yet.  */
+  /* Processing delay of this host (own_receive_lag.h): answers that upstreams
+     sent within this time may not have been read yet.  */
   int64_t (*lag_ms) (void *context);
 };
 
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -109,7 +109,7 @@
                const struct marjoram_route_rule *route, int64_t now,
                enum region_order order, struct marjoram_host_offer *found)
 {
-  const struct marjoram_host_view *offering
+  const struct marjoram_host_slice *offering
       = marjoram_host_list_offering (gateway->options.place.hosts, now);
   const char *best = NULL;
 
@@ -138,7 +138,7 @@
 {
   const char *region
       = choose_region (gateway, exchange, route, now, order, offer);
-  const struct marjoram_host_view *offering
+  const struct marjoram_host_slice *offering
       = marjoram_host_list_offering (gateway->options.place.hosts, now);
   const struct marjoram_listed_host *best = NULL;
 
--- a/src/host.c
+++ b/src/host.c
@@ -40,7 +40,7 @@
                                 host);
   host->router = marjoram_router_create (settings->zone, host->members,
                                          host->suspects, host->random);
-  host->spread = marjoram_host_create_spread (host, now);
+  host->gossip = marjoram_host_create_gossip (host, now);
   if (settings->keeper && !marjoram_host_create_keeper (host, options, err))
     {
       marjoram_host_destroy (host);
@@ -69,10 +69,10 @@
     }
   marjoram_router_destroy (host->router);
   marjoram_claims_destroy (host->claims);
-  marjoram_place_destroy (host->place);
+  marjoram_model_placement_destroy (host->model_placement);
   marjoram_orders_destroy (host->orders);
   marjoram_keeper_destroy (host->keeper);
-  marjoram_spread_destroy (host->spread);
+  marjoram_state_gossip_destroy (host->gossip);
   marjoram_suspects_destroy (host->suspects);
   marjoram_members_destroy (host->members);
   marjoram_config_release (host->config);
@@ -165,13 +165,14 @@
       marjoram_claims_tick (host->claims, now, wall);
       marjoram_orders_tick (host->orders, now);
       if (!host->draining)
-        marjoram_place_tick (host->place, now, host->config, host->members,
-                             host->orders);
+        marjoram_model_placement_tick (host->model_placement, now,
+                                       host->config, host->members,
+                                       host->orders);
     }
   marjoram_host_deliver_claim_results (host, now);
   if (host->keeper)
     marjoram_keeper_tick (host->keeper, now);
-  marjoram_spread_tick (host->spread, now);
+  marjoram_state_gossip_tick (host->gossip, now);
   marjoram_links_replan (host, now);
   marjoram_links_tick (host, now);
   marjoram_renewals_tick (host, now);
@@ -198,7 +199,7 @@
 marjoram_host_ready (const marjoram_host *host)
 {
   return host->config && host->zone >= 0
-         && marjoram_spread_ready (host->spread);
+         && marjoram_state_gossip_ready (host->gossip);
 }
 
 bool
@@ -222,7 +223,7 @@
 const struct marjoram_state *
 marjoram_host_state (const marjoram_host *host)
 {
-  return marjoram_spread_state (host->spread);
+  return marjoram_state_gossip_state (host->gossip);
 }
 
 const marjoram_members *
--- a/src/host.h
+++ b/src/host.h
@@ -10,7 +10,7 @@
 #include "frame.h"
 #include "keeper.h"
 #include "member.h"
-#include "place.h"
+#include "model_placement.h"
 #include "random.h"
 #include "route.h"
 #include "settings.h"
--- a/src/host_consensus.c
+++ b/src/host_consensus.c
@@ -64,7 +64,7 @@
 }
 
 static void
-on_spread_ask (void *context, const char *slot,
+on_gossip_ask (void *context, const char *slot,
                const struct marjoram_state_ask *ask)
 {
   marjoram_host *host = context;
@@ -73,7 +73,7 @@
 }
 
 static void
-on_spread_piece (void *context, const char *slot,
+on_gossip_piece (void *context, const char *slot,
                  const struct marjoram_state_piece *piece)
 {
   marjoram_host *host = context;
@@ -82,25 +82,25 @@
 }
 
 static void
-on_spread_adopted (void *context, const struct marjoram_state *state)
+on_gossip_adopted (void *context, const struct marjoram_state *state)
 {
   marjoram_host *host = context;
 
   apply_configuration (host, host->now, state);
 }
 
-static const struct marjoram_spread_ops spread_ops
-    = { on_spread_ask, on_spread_piece, on_spread_adopted };
+static const struct marjoram_state_gossip_ops gossip_ops
+    = { on_gossip_ask, on_gossip_piece, on_gossip_adopted };
 
-marjoram_spread *
-marjoram_host_create_spread (marjoram_host *host, int64_t now)
+marjoram_state_gossip *
+marjoram_host_create_gossip (marjoram_host *host, int64_t now)
 {
   const struct marjoram_settings *settings = host->settings;
-  struct marjoram_spread_options options;
+  struct marjoram_state_gossip_options options;
 
   options.keepers = (const char *const *)settings->first_keepers;
   options.keeper_count = settings->first_keeper_count;
-  return marjoram_spread_create (&options, &spread_ops, host, now);
+  return marjoram_state_gossip_create (&options, &gossip_ops, host, now);
 }
 
 /* ---- Keeper.  ---- */
@@ -127,7 +127,7 @@
 {
   marjoram_host *host = context;
 
-  marjoram_spread_set_local (host->spread, host->now, state);
+  marjoram_state_gossip_set_local (host->gossip, host->now, state);
 }
 
 static void
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -231,7 +231,7 @@
    rendezvous hashing to spread the links of different hosts.  */
 static void
 require_links_in_region (marjoram_host_links *links,
-                         const struct marjoram_host_view *remote)
+                         const struct marjoram_host_slice *remote)
 {
   const struct marjoram_listed_host *best[LINKS_PER_REGION];
   uint64_t weights[LINKS_PER_REGION];
--- a/src/host_links.h
+++ b/src/host_links.h
@@ -40,8 +40,9 @@
     const struct marjoram_gateway_settings *settings);
 
 bool marjoram_host_links_is_up (marjoram_host_links *links, const char *host);
-/* This host's receive lag at the last tick, in ms; see own_lag.h.  Subtract it
-   from the age of received data before comparing with a timeout.  */
+/* This host's receive lag at the last tick, in ms; see own_receive_lag.h.
+   Subtract it from the age of received data before comparing with a timeout.
+ */
 int64_t marjoram_host_links_lag (const marjoram_host_links *links);
 /* Sends over this host's own link to HOST; returns false if it is not up.  */
 bool marjoram_host_links_send (marjoram_host_links *links, const char *host,
--- a/src/host_links_private.h
+++ b/src/host_links_private.h
@@ -4,7 +4,7 @@
 #define MARJORAM_HOST_LINKS_PRIVATE_H
 
 #include "host_links.h"
-#include "own_lag.h"
+#include "own_receive_lag.h"
 
 #include <sys/queue.h>
 #include <uthash.h>
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -42,7 +42,7 @@
 {
   enum view_kind kind;
   char *name; /* region or zone */
-  struct marjoram_host_view result;
+  struct marjoram_host_slice result;
   size_t next; /* index at which the next lookup starts */
   size_t capacity;
   int64_t built_at;
@@ -462,14 +462,14 @@
   return find_view (list, &list->regions, VIEW_REGION, region, now);
 }
 
-const struct marjoram_host_view *
+const struct marjoram_host_slice *
 marjoram_host_list_offering (marjoram_host_list *list, int64_t now)
 {
   refresh_view (list, &list->offering, now);
   return &list->offering.result;
 }
 
-const struct marjoram_host_view *
+const struct marjoram_host_slice *
 marjoram_host_list_of_region (marjoram_host_list *list, int64_t now,
                               const char *region)
 {
--- a/src/host_list.h
+++ b/src/host_list.h
@@ -88,15 +88,15 @@
                                       const char *region, const char *key);
 /* Serving hosts of all regions whose heartbeats carry offers.  Valid until the
    next call with LIST.  */
-struct marjoram_host_view
+struct marjoram_host_slice
 {
   struct marjoram_listed_host **hosts;
   size_t count;
 };
-const struct marjoram_host_view *
+const struct marjoram_host_slice *
 marjoram_host_list_offering (marjoram_host_list *list, int64_t now);
 /* The same for all serving hosts of REGION.  */
-const struct marjoram_host_view *
+const struct marjoram_host_slice *
 marjoram_host_list_of_region (marjoram_host_list *list, int64_t now,
                               const char *region);
 /* Weight of HOST for KEY in rendezvous hashing.  */
--- a/src/host_peer.c
+++ b/src/host_peer.c
@@ -47,7 +47,7 @@
   if (!link)
     return;
   link->up = false;
-  marjoram_spread_disconnected (host->spread, now, slot);
+  marjoram_state_gossip_disconnected (host->gossip, now, slot);
 }
 
 void
@@ -71,7 +71,7 @@
   if (sender && sender->session == session)
     {
       sender->session = 0;
-      marjoram_spread_disconnected (host->spread, now, slot);
+      marjoram_state_gossip_disconnected (host->gossip, now, slot);
     }
   marjoram_relay_session_closed (host, now, slot, session);
 }
@@ -87,8 +87,8 @@
     marjoram_members_record_heartbeat (host->members, now, ordinal,
                                        heartbeat->incarnation,
                                        heartbeat->draining);
-  marjoram_spread_announced (host->spread, now, slot,
-                             heartbeat->config_number);
+  marjoram_state_gossip_announced (host->gossip, now, slot,
+                                   heartbeat->config_number);
   if (host->keeper && heartbeat->config_number > 0)
     marjoram_keeper_observe_number (host->keeper, heartbeat->config_number);
 }
@@ -182,10 +182,10 @@
       handle_offers (host, now, slot, message);
       break;
     case MARJORAM_FRAME_STATE_ASK:
-      marjoram_spread_receive_ask (host->spread, now, slot, message);
+      marjoram_state_gossip_receive_ask (host->gossip, now, slot, message);
       break;
     case MARJORAM_FRAME_STATE_PIECE:
-      marjoram_spread_receive_piece (host->spread, now, slot, message);
+      marjoram_state_gossip_receive_piece (host->gossip, now, slot, message);
       break;
     case MARJORAM_FRAME_APPLY:
       marjoram_apply_frame (host, now, slot, session, message);
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -5,9 +5,9 @@
 
 #include "host.h"
 #include "order.h"
-#include "place.h"
+#include "model_placement.h"
 #include "request.h"
-#include "spread.h"
+#include "state_gossip.h"
 #include "suspect.h"
 
 #include <sys/queue.h>
@@ -104,8 +104,8 @@
   marjoram_router *router;
   marjoram_claims *claims;
   marjoram_orders *orders;
-  marjoram_place *place;
-  marjoram_spread *spread;
+  marjoram_model_placement *model_placement;
+  marjoram_state_gossip *gossip;
   marjoram_keeper *keeper;
 
   struct marjoram_link *links;
@@ -140,8 +140,8 @@
 void marjoram_claim_result_destroy (struct marjoram_claim_result *result);
 
 /* host_consensus.c: the configuration in force, and the keeper.  */
-marjoram_spread *marjoram_host_create_spread (marjoram_host *host,
-                                              int64_t now);
+marjoram_state_gossip *marjoram_host_create_gossip (marjoram_host *host,
+                                                    int64_t now);
 bool marjoram_host_create_keeper (marjoram_host *host,
                                   const struct marjoram_host_options *options,
                                   struct marjoram_error *err);
--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -207,6 +207,7 @@
                        int status, int64_t retry_ms)
 {
   host->now = now;
-  if (host->place)
-    marjoram_place_answered (host->place, now, number, status, retry_ms);
+  if (host->model_placement)
+    marjoram_model_placement_answered (host->model_placement, now, number,
+                                       status, retry_ms);
 }
--- a/src/host_zone.c
+++ b/src/host_zone.c
@@ -133,14 +133,15 @@
 }
 
 static void
-place_send_order (void *context, const struct marjoram_order *order)
+model_placement_send_order (void *context, const struct marjoram_order *order)
 {
   marjoram_host *host = context;
 
   host->ops->order (host->context, order);
 }
 
-static const struct marjoram_place_ops place_ops = { place_send_order };
+static const struct marjoram_model_placement_ops model_placement_ops
+    = { model_placement_send_order };
 
 static const struct marjoram_orders_ops orders_ops
     = { order_send, order_lease };
@@ -167,5 +168,6 @@
   orders.lease_ms = ORDER_LEASE_MS;
   orders.longest_order_ms = LONGEST_ORDER_MS;
   host->orders = marjoram_orders_create (&orders, &orders_ops, host);
-  host->place = marjoram_place_create (&place_ops, host, host->random);
+  host->model_placement = marjoram_model_placement_create (
+      &model_placement_ops, host, host->random);
 }
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -62,7 +62,7 @@
                                       const char *address);
 /* Closes expired idle connections and times out pending connects.  Has to be
    called at least every 250 ms.  LAG_MS is the delay with which this host
-   processes its own network events (own_lag.h).  */
+   processes its own network events (own_receive_lag.h).  */
 void marjoram_http_client_tick (marjoram_http_client *client, int64_t lag_ms);
 
 #endif
--- a/src/keeper_encoding.c
+++ b/src/keeper_encoding.c
@@ -79,22 +79,22 @@
 }
 
 /* Encodes VALUE against the value that the receiver reported as last accepted.
-   ACCEPTED_MARK, its hash, identifies that value, as the state number is not
+   ACCEPTED_HASH, its hash, identifies that value, as the state number is not
    unique among competing proposals.  A receiver that no longer holds the value
    drops the message and reports what it holds.  The hash and the checksum of
    the compressed data prevent decoding to a different value.  */
 static void
 encode_against (const marjoram_keeper *keeper,
-                const struct marjoram_value_hash *accepted_mark,
+                const struct marjoram_value_hash *accepted_hash,
                 marjoram_value *value, struct marjoram_keeper_message *message)
 {
   struct marjoram_value_hash hash = marjoram_value_hash (value);
-  marjoram_value *base = find_by_hash (keeper, accepted_mark);
+  marjoram_value *base = find_by_hash (keeper, accepted_hash);
 
-  message->base_mark = *accepted_mark;
+  message->base_hash = *accepted_hash;
   message->encoding = MARJORAM_KEEPER_REFERENCE;
   message->value = keeper->empty_bytes;
-  if (marjoram_value_hash_equal (&hash, accepted_mark))
+  if (marjoram_value_hash_equal (&hash, accepted_hash))
     return;
   message->encoding
       = base ? MARJORAM_KEEPER_DELTA : MARJORAM_KEEPER_COMPRESSED;
@@ -111,7 +111,7 @@
   message->value = marjoram_value_packed (value);
   if (marjoram_bytes_size (message->value) > MARJORAM_KEEPER_SMALL_MAX && peer
       && peer->max_encoding >= MARJORAM_KEEPER_REFERENCE)
-    encode_against (keeper, &peer->accepted_mark, value, message);
+    encode_against (keeper, &peer->accepted_hash, value, message);
 }
 
 marjoram_value *
@@ -124,7 +124,7 @@
     return decode_packed (keeper, message->value);
   if (message->encoding == MARJORAM_KEEPER_COMPRESSED)
     return decode_compressed (keeper, message->value, NULL);
-  base = find_by_hash (keeper, &message->base_mark);
+  base = find_by_hash (keeper, &message->base_hash);
   if (!base || message->encoding > MARJORAM_KEEPER_REFERENCE)
     return NULL;
   if (message->encoding == MARJORAM_KEEPER_REFERENCE)
--- a/src/keeper_message.c
+++ b/src/keeper_message.c
@@ -40,9 +40,9 @@
   { MARJORAM_WIRE_BYTES (struct marjoram_keeper_message, value,
                          MARJORAM_FRAME_MAX) },
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, encoding) },
-  VALUE_HASH (struct marjoram_keeper_message, base_mark),
+  VALUE_HASH (struct marjoram_keeper_message, base_hash),
   { MARJORAM_WIRE_UINT (struct marjoram_keeper_message, max_encoding) },
-  VALUE_HASH (struct marjoram_keeper_message, accepted_mark),
+  VALUE_HASH (struct marjoram_keeper_message, accepted_hash),
 };
 const struct marjoram_layout marjoram_keeper_message_layout
     = { "marjoram_keeper_message", sizeof (struct marjoram_keeper_message),
--- a/src/keeper_message.h
+++ b/src/keeper_message.h
@@ -24,8 +24,8 @@
 {
   MARJORAM_KEEPER_PLAIN, /* the packed value */
   MARJORAM_KEEPER_COMPRESSED,
-  MARJORAM_KEEPER_DELTA,    /* compressed against the value of BASE_MARK */
-  MARJORAM_KEEPER_REFERENCE /* no bytes; equal to the value of BASE_MARK */
+  MARJORAM_KEEPER_DELTA,    /* compressed against the value of BASE_HASH */
+  MARJORAM_KEEPER_REFERENCE /* no bytes; equal to the value of BASE_HASH */
 };
 
 /* Each message carries the sender's store and incarnation, and what the sender
@@ -48,10 +48,10 @@
   marjoram_bytes *value; /* marjoram_state_layout, in ENCODING */
   uint64_t encoding;     /* enum marjoram_keeper_encoding */
   struct marjoram_value_hash
-      base_mark;         /* hash of the base; DELTA, REFERENCE */
+      base_hash;         /* hash of the base; DELTA, REFERENCE */
   uint64_t max_encoding; /* the highest encoding that the sender can read */
   struct marjoram_value_hash
-      accepted_mark; /* hash of its last accepted value */
+      accepted_hash; /* hash of its last accepted value */
 };
 
 /* What was last seen of a store.  */
--- a/src/keeper_peer.c
+++ b/src/keeper_peer.c
@@ -117,7 +117,7 @@
     }
   peer->last_seen_at = now;
   peer->max_encoding = message->max_encoding;
-  peer->accepted_mark = message->accepted_mark;
+  peer->accepted_hash = message->accepted_hash;
 }
 
 struct marjoram_keeper_peer *
--- a/src/keeper_peer.h
+++ b/src/keeper_peer.h
@@ -19,7 +19,7 @@
   bool knows_incarnation; /* it has seen this incarnation of our store */
   uint64_t max_encoding;  /* the highest value encoding that it can read */
   struct marjoram_value_hash
-      accepted_mark;     /* hash of its last accepted value */
+      accepted_hash;     /* hash of its last accepted value */
   int64_t large_sent_at; /* when a large message was last sent, or INT64_MIN */
   bool large_probed;     /* a heartbeat was sent since, to confirm receipt */
   bool large_dropped;    /* another was dropped while it was in flight */
--- a/src/keeper_publish.c
+++ b/src/keeper_publish.c
@@ -13,7 +13,7 @@
       = marjoram_keeper_durable_state (self->keeper);
 
   if (state)
-    marjoram_state_giver_set (self->giver, state);
+    marjoram_state_sender_set (self->state_sender, state);
 }
 
 /* Only the number is announced; hosts request what they lack.  Pushing a large
@@ -25,7 +25,7 @@
   struct marjoram_state_news news;
 
   load_newest_state (self);
-  news.number = marjoram_state_giver_number (self->giver);
+  news.number = marjoram_state_sender_number (self->state_sender);
   marjoram_host_links_multicast (self->parts->links, false,
                                  self->parts->settings->region,
                                  MARJORAM_FRAME_STATE_NEWS, &news);
@@ -39,7 +39,7 @@
   struct marjoram_state_news news;
 
   load_newest_state (self);
-  news.number = marjoram_state_giver_number (self->giver);
+  news.number = marjoram_state_sender_number (self->state_sender);
   if (!beat->keeper && beat->config_number < news.number)
     marjoram_host_links_reply (self->parts->links, host, session,
                                MARJORAM_FRAME_STATE_NEWS, &news);
@@ -52,7 +52,7 @@
 {
   struct marjoram_state_piece piece = { 0 };
 
-  if (!marjoram_state_giver_answer (self->giver, ask, &piece))
+  if (!marjoram_state_sender_answer (self->state_sender, ask, &piece))
     return;
   marjoram_host_links_reply (self->parts->links, host, session,
                              MARJORAM_FRAME_STATE_PIECE, &piece);
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -362,7 +362,7 @@
   marjoram_keeper_repair_destroy (self->repair);
   marjoram_crash_list_destroy (self->crashes);
   marjoram_random_destroy (self->random);
-  marjoram_state_giver_destroy (self->giver);
+  marjoram_state_sender_destroy (self->state_sender);
   marjoram_repeat_sums_list_destroy (self->repeats);
   free (self);
 }
@@ -438,7 +438,7 @@
   self->random = marjoram_random_create (seed);
   self->registry = marjoram_registry_create ();
   self->crashes = marjoram_crash_list_create ();
-  self->giver = marjoram_state_giver_create ();
+  self->state_sender = marjoram_state_sender_create ();
   self->repeats = marjoram_repeat_sums_list_create ();
   self->repair = marjoram_keeper_repair_create (
       parts->settings->ip, (size_t)parts->settings->disk_losses);
--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -9,7 +9,7 @@
 #include "registrar.h"
 #include "repeat_sums.h"
 #include "role.h"
-#include "state_giver.h"
+#include "state_sender.h"
 
 struct marjoram_keeper_role
 {
@@ -24,7 +24,7 @@
   marjoram_crash_list *crashes; /* sent to hosts that have just started */
   int64_t repair_ticked_at;
   int64_t ticked_at;
-  marjoram_state_giver *giver;
+  marjoram_state_sender *state_sender;
   marjoram_repeat_sums_list *repeats;
   int64_t stopped_at;
 };
--- a/src/keeper_transport.c
+++ b/src/keeper_transport.c
@@ -82,7 +82,7 @@
     .ballot = envelope->ballot,
     .accepted = envelope->accepted,
     .max_encoding = MARJORAM_KEEPER_REFERENCE,
-    .accepted_mark = marjoram_value_hash (keeper->acceptor.value),
+    .accepted_hash = marjoram_value_hash (keeper->acceptor.value),
   };
   struct marjoram_keeper_peer *peer
       = envelope->store_id
--- a/src/place.c
+++ b/src/model_placement.c
@@ -1,4 +1,4 @@
-#include "place.h"
+#include "model_placement.h"
 
 #include "cleanup.h"
 #include "log.h"
@@ -35,46 +35,50 @@
   UT_hash_handle hh;
 };
 
-struct marjoram_place
+struct marjoram_model_placement
 {
-  const struct marjoram_place_ops *ops;
+  const struct marjoram_model_placement_ops *ops;
   void *context;
   marjoram_random *random;
   struct load *loads;
   uint64_t next_number;
 };
 
-marjoram_place *
-marjoram_place_create (const struct marjoram_place_ops *ops, void *context,
-                       marjoram_random *random)
+marjoram_model_placement *
+marjoram_model_placement_create (
+    const struct marjoram_model_placement_ops *ops, void *context,
+    marjoram_random *random)
 {
-  marjoram_place *place = marjoram_alloc (sizeof *place);
+  marjoram_model_placement *placement = marjoram_alloc (sizeof *placement);
 
-  place->ops = ops;
-  place->context = context;
-  place->random = random;
-  return place;
+  placement->ops = ops;
+  placement->context = context;
+  placement->random = random;
+  return placement;
 }
 
 static void
-load_destroy (marjoram_place *place, struct load *load)
+load_destroy (marjoram_model_placement *placement, struct load *load)
 {
   /* The uthash macro confuses the analyzer.  */
   /* NOLINTNEXTLINE(clang-analyzer-*) */
-  HASH_DEL (place->loads, load);
+  HASH_DEL (placement->loads, load);
   free (load);
 }
 
 void
-marjoram_place_destroy (marjoram_place *place)
+marjoram_model_placement_destroy (marjoram_model_placement *placement)
 {
   struct load *load;
   struct load *next;
 
-  if (!place)
+  if (!placement)
     return;
-  HASH_ITER (hh, place->loads, load, next) { load_destroy (place, load); }
-  free (place);
+  HASH_ITER (hh, placement->loads, load, next)
+  {
+    load_destroy (placement, load);
+  }
+  free (placement);
 }
 
 static void
@@ -84,27 +88,29 @@
 }
 
 static struct load *
-find_load (const marjoram_place *place, const char *engine, const char *model)
+find_load (const marjoram_model_placement *placement, const char *engine,
+           const char *model)
 {
   char key[KEY_SIZE];
   struct load *load;
 
   make_key (key, engine, model);
-  HASH_FIND_STR (place->loads, key, load);
+  HASH_FIND_STR (placement->loads, key, load);
   return load;
 }
 
 static struct load *
-find_or_add_load (marjoram_place *place, const char *engine, const char *model)
+find_or_add_load (marjoram_model_placement *placement, const char *engine,
+                  const char *model)
 {
-  struct load *load = find_load (place, engine, model);
+  struct load *load = find_load (placement, engine, model);
 
   if (load)
     return load;
   load = marjoram_alloc (sizeof *load);
   make_key (load->key, engine, model);
   load->engine_length = strlen (engine);
-  HASH_ADD_STR (place->loads, key, load);
+  HASH_ADD_STR (placement->loads, key, load);
   return load;
 }
 
@@ -138,20 +144,20 @@
 /* Removes completed and stale entries, expires overdue orders, and returns the
    number of outstanding ones.  */
 static int
-expire_loads (marjoram_place *place, int64_t now,
+expire_loads (marjoram_model_placement *placement, int64_t now,
               const marjoram_members *members)
 {
   struct load *load;
   struct load *next;
   int outstanding = 0;
 
-  HASH_ITER (hh, place->loads, load, next)
+  HASH_ITER (hh, placement->loads, load, next)
   {
     bool is_idle = !load->number && now >= load->not_before + RETRY_MAX_MS;
 
     if (is_idle || is_loaded (load, now, members))
       {
-        load_destroy (place, load);
+        load_destroy (placement, load);
         continue;
       }
     if (load->number && now >= load->until)
@@ -163,7 +169,7 @@
 
 /* Number of engines that have the model loaded or are loading it.  */
 static int
-count_replicas (const marjoram_place *place, int64_t now,
+count_replicas (const marjoram_model_placement *placement, int64_t now,
                 const marjoram_members *members, const char *model)
 {
   int replicas = 0;
@@ -173,7 +179,7 @@
       const struct marjoram_upstream *upstream
           = marjoram_members_at (members, i);
       const struct marjoram_announcement *a = upstream->announcement;
-      const struct load *load = find_load (place, a->name, model);
+      const struct load *load = find_load (placement, a->name, model);
 
       if (marjoram_upstream_usable (upstream, now)
           && (contains_name (&a->works, model) || (load && load->number)))
@@ -184,13 +190,13 @@
 
 /* An engine loads one model at a time.  */
 static bool
-is_loading (const marjoram_place *place, const char *engine)
+is_loading (const marjoram_model_placement *placement, const char *engine)
 {
   size_t length = strlen (engine);
   struct load *load;
   struct load *next;
 
-  HASH_ITER (hh, place->loads, load, next)
+  HASH_ITER (hh, placement->loads, load, next)
   {
     if (load->number && load->engine_length == length
         && strncmp (load->key, engine, length) == 0)
@@ -200,22 +206,23 @@
 }
 
 static bool
-can_load (marjoram_place *place, int64_t now,
+can_load (marjoram_model_placement *placement, int64_t now,
           const struct marjoram_upstream *upstream, const char *model)
 {
   const struct marjoram_announcement *a = upstream->announcement;
-  const struct load *load = find_load (place, a->name, model);
+  const struct load *load = find_load (placement, a->name, model);
 
   return a->engine && marjoram_upstream_usable (upstream, now)
          && !contains_name (&a->works, model)
-         && contains_name (&a->loadable, model) && !is_loading (place, a->name)
+         && contains_name (&a->loadable, model)
+         && !is_loading (placement, a->name)
          && (!load || now >= load->not_before);
 }
 
 /* The engine with the fewest loaded models, then the least load; NULL if none
    can load MODEL now.  */
 static const struct marjoram_announcement *
-choose_engine (marjoram_place *place, int64_t now,
+choose_engine (marjoram_model_placement *placement, int64_t now,
                const marjoram_members *members, const char *model)
 {
   const struct marjoram_announcement *best = NULL;
@@ -226,7 +233,7 @@
           = marjoram_members_at (members, i);
       const struct marjoram_announcement *a = upstream->announcement;
 
-      if (!can_load (place, now, upstream, model))
+      if (!can_load (placement, now, upstream, model))
         continue;
       if (!best || a->works.count < best->works.count
           || (a->works.count == best->works.count
@@ -249,24 +256,24 @@
 }
 
 static void
-send_order (marjoram_place *place, int64_t now, uint64_t fence,
+send_order (marjoram_model_placement *placement, int64_t now, uint64_t fence,
             const struct marjoram_announcement *engine,
             const struct marjoram_work *model)
 {
-  struct load *load = find_or_add_load (place, engine->name, model->name);
+  struct load *load = find_or_add_load (placement, engine->name, model->name);
   struct marjoram_order order
-      = { ++place->next_number, engine->address, fence, model->name };
+      = { ++placement->next_number, engine->address, fence, model->name };
 
   load->number = order.number;
   load->until = now + 2 * model->load_ms + LOAD_MARGIN_MS;
   marjoram_log (MARJORAM_LOG_NOTICE,
                 "ordering engine %s to load model %s, fence %llu",
                 engine->name, model->name, (unsigned long long)fence);
-  place->ops->give (place->context, &order);
+  placement->ops->give (placement->context, &order);
 }
 
 static void
-reconcile_model (marjoram_place *place, int64_t now,
+reconcile_model (marjoram_model_placement *placement, int64_t now,
                  const marjoram_config *config,
                  const marjoram_members *members,
                  const marjoram_orders *orders, int work)
@@ -276,39 +283,42 @@
   uint64_t fence;
 
   if (model->kind != MARJORAM_WORK_MODEL
-      || count_replicas (place, now, members, model->name) >= model->copies)
+      || count_replicas (placement, now, members, model->name)
+             >= model->copies)
     return;
-  engine = choose_engine (place, now, members, model->name);
+  engine = choose_engine (placement, now, members, model->name);
   if (!engine)
     return;
   fence = fence_for (config, orders, now, work, engine);
   if (fence)
-    send_order (place, now, fence, engine, model);
+    send_order (placement, now, fence, engine, model);
 }
 
 void
-marjoram_place_tick (marjoram_place *place, int64_t now,
-                     const marjoram_config *config,
-                     const marjoram_members *members,
-                     const marjoram_orders *orders)
+marjoram_model_placement_tick (marjoram_model_placement *placement,
+                               int64_t now, const marjoram_config *config,
+                               const marjoram_members *members,
+                               const marjoram_orders *orders)
 {
   int works = marjoram_config_work_count (config);
 
   if (!marjoram_orders_fence (orders, now, true))
     return;
   for (int i = 0;
-       i < works && expire_loads (place, now, members) < MAX_CONCURRENT_LOADS;
+       i < works
+       && expire_loads (placement, now, members) < MAX_CONCURRENT_LOADS;
        i++)
-    reconcile_model (place, now, config, members, orders, i);
+    reconcile_model (placement, now, config, members, orders, i);
 }
 
 static struct load *
-find_load_by_number (const marjoram_place *place, uint64_t number)
+find_load_by_number (const marjoram_model_placement *placement,
+                     uint64_t number)
 {
   struct load *load;
   struct load *next;
 
-  HASH_ITER (hh, place->loads, load, next)
+  HASH_ITER (hh, placement->loads, load, next)
   {
     if (load->number == number)
       return load;
@@ -317,10 +327,11 @@
 }
 
 void
-marjoram_place_answered (marjoram_place *place, int64_t now, uint64_t number,
-                         int status, int64_t retry_ms)
+marjoram_model_placement_answered (marjoram_model_placement *placement,
+                                   int64_t now, uint64_t number, int status,
+                                   int64_t retry_ms)
 {
-  struct load *load = find_load_by_number (place, number);
+  struct load *load = find_load_by_number (placement, number);
   int64_t wait;
 
   if (!load || status == STATUS_OK || status == STATUS_ACCEPTED)
@@ -330,9 +341,9 @@
   if (load->failures < MAX_BACKOFF_DOUBLINGS)
     load->failures++;
   wait = (int64_t)RETRY_MIN_MS << (load->failures - 1);
-  wait += marjoram_random_below (place->random, (uint32_t)wait);
+  wait += marjoram_random_below (placement->random, (uint32_t)wait);
   if (wait < retry_ms)
-    wait = retry_ms + marjoram_random_below (place->random, RETRY_MIN_MS);
+    wait = retry_ms + marjoram_random_below (placement->random, RETRY_MIN_MS);
   if (wait > RETRY_MAX_MS)
     wait = RETRY_MAX_MS;
   load->number = 0;
--- a/src/offer.h
+++ b/src/offer.h
@@ -5,7 +5,7 @@
 #ifndef MARJORAM_OFFER_H
 #define MARJORAM_OFFER_H
 
-#include "choose.h"
+#include "chooser.h"
 #include "config.h"
 #include "query.h"
 #include "random.h"
--- a/src/own_lag.c
+++ b/src/own_receive_lag.c
@@ -1,4 +1,4 @@
-#include "own_lag.h"
+#include "own_receive_lag.h"
 
 enum
 {
--- a/src/own_lag.h
+++ b/src/own_receive_lag.h
@@ -4,8 +4,8 @@
    connections.  Pure decision logic.  Heartbeats are acknowledged at once and
    in order on each connection, so that acknowledgements need not identify the
    heartbeat.  */
-#ifndef MARJORAM_OWN_LAG_H
-#define MARJORAM_OWN_LAG_H
+#ifndef MARJORAM_OWN_RECEIVE_LAG_H
+#define MARJORAM_OWN_RECEIVE_LAG_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/route.c
+++ b/src/route.c
@@ -1,8 +1,8 @@
 #include "route.h"
 
-#include "choose.h"
+#include "chooser.h"
 #include "cleanup.h"
-#include "fair.h"
+#include "fair_share.h"
 #include "retry.h"
 
 #include <math.h>
--- a/src/state_giver.c
+++ b/src/state_sender.c
@@ -1,4 +1,4 @@
-#include "state_giver.h"
+#include "state_sender.h"
 
 #include "cleanup.h"
 #include "compress.h"
@@ -25,104 +25,104 @@
   marjoram_bytes *bytes;
 };
 
-struct marjoram_state_giver
+struct marjoram_state_sender
 {
   struct marjoram_packed_state states[STATES_MAX]; /* newest first */
   struct encoding encodings[ENCODINGS_MAX];        /* newest first */
 };
 
-marjoram_state_giver *
-marjoram_state_giver_create (void)
+marjoram_state_sender *
+marjoram_state_sender_create (void)
 {
-  return marjoram_alloc (sizeof (marjoram_state_giver));
+  return marjoram_alloc (sizeof (marjoram_state_sender));
 }
 
 void
-marjoram_state_giver_destroy (marjoram_state_giver *giver)
+marjoram_state_sender_destroy (marjoram_state_sender *sender)
 {
-  if (!giver)
+  if (!sender)
     return;
   for (int i = 0; i < STATES_MAX; i++)
-    marjoram_packed_state_clear (&giver->states[i]);
+    marjoram_packed_state_clear (&sender->states[i]);
   for (int i = 0; i < ENCODINGS_MAX; i++)
-    marjoram_bytes_release (giver->encodings[i].bytes);
-  free (giver);
+    marjoram_bytes_release (sender->encodings[i].bytes);
+  free (sender);
 }
 
 uint64_t
-marjoram_state_giver_number (const marjoram_state_giver *giver)
+marjoram_state_sender_number (const marjoram_state_sender *sender)
 {
-  return giver->states[0].number;
+  return sender->states[0].number;
 }
 
 static void
-evict_over_limit (marjoram_state_giver *giver)
+evict_over_limit (marjoram_state_sender *sender)
 {
   size_t size = 0;
 
   for (int i = 1; i < STATES_MAX; i++)
     {
-      size += marjoram_bytes_size (giver->states[i].bytes);
+      size += marjoram_bytes_size (sender->states[i].bytes);
       if (size > STATE_BYTES_MAX)
-        marjoram_packed_state_clear (&giver->states[i]);
+        marjoram_packed_state_clear (&sender->states[i]);
     }
 }
 
 void
-marjoram_state_giver_set (marjoram_state_giver *giver,
-                          const struct marjoram_state *state)
+marjoram_state_sender_set (marjoram_state_sender *sender,
+                           const struct marjoram_state *state)
 {
-  if (state->number <= marjoram_state_giver_number (giver))
+  if (state->number <= marjoram_state_sender_number (sender))
     return;
-  marjoram_packed_state_clear (&giver->states[STATES_MAX - 1]);
-  memmove (giver->states + 1, giver->states,
-           (STATES_MAX - 1) * sizeof *giver->states);
-  giver->states[0] = marjoram_packed_state_make (state);
-  evict_over_limit (giver);
+  marjoram_packed_state_clear (&sender->states[STATES_MAX - 1]);
+  memmove (sender->states + 1, sender->states,
+           (STATES_MAX - 1) * sizeof *sender->states);
+  sender->states[0] = marjoram_packed_state_make (state);
+  evict_over_limit (sender);
 }
 
 static const struct marjoram_packed_state *
-find_state (const marjoram_state_giver *giver, uint64_t number)
+find_state (const marjoram_state_sender *sender, uint64_t number)
 {
   for (int i = 0; number > 0 && i < STATES_MAX; i++)
-    if (giver->states[i].number == number)
-      return &giver->states[i];
+    if (sender->states[i].number == number)
+      return &sender->states[i];
   return NULL;
 }
 
 /* Different states have the same number only after unrecoverable loss of
    stores; comparing digests avoids a delta against the wrong one.  */
 static const struct marjoram_packed_state *
-find_base (const marjoram_state_giver *giver,
+find_base (const marjoram_state_sender *sender,
            const struct marjoram_state_ask *ask)
 {
-  const struct marjoram_packed_state *base = find_state (giver, ask->base);
+  const struct marjoram_packed_state *base = find_state (sender, ask->base);
 
   return base && base->digest == ask->base_digest ? base : NULL;
 }
 
 static struct encoding *
-find_encoding (marjoram_state_giver *giver, uint64_t number,
+find_encoding (marjoram_state_sender *sender, uint64_t number,
                const struct marjoram_state_ask *ask)
 {
   for (int i = 0; i < ENCODINGS_MAX; i++)
-    if (giver->encodings[i].bytes && giver->encodings[i].number == number
-        && giver->encodings[i].base == ask->base
-        && giver->encodings[i].base_digest == ask->base_digest)
-      return &giver->encodings[i];
+    if (sender->encodings[i].bytes && sender->encodings[i].number == number
+        && sender->encodings[i].base == ask->base
+        && sender->encodings[i].base_digest == ask->base_digest)
+      return &sender->encodings[i];
   return NULL;
 }
 
 static struct encoding *
-add_encoding (marjoram_state_giver *giver,
+add_encoding (marjoram_state_sender *sender,
               const struct marjoram_packed_state *state,
               const struct marjoram_state_ask *ask)
 {
-  const struct marjoram_packed_state *base = find_base (giver, ask);
-  struct encoding *encoding = &giver->encodings[0];
+  const struct marjoram_packed_state *base = find_base (sender, ask);
+  struct encoding *encoding = &sender->encodings[0];
 
-  marjoram_bytes_release (giver->encodings[ENCODINGS_MAX - 1].bytes);
-  memmove (giver->encodings + 1, giver->encodings,
+  marjoram_bytes_release (sender->encodings[ENCODINGS_MAX - 1].bytes);
+  memmove (sender->encodings + 1, sender->encodings,
            (ENCODINGS_MAX - 1) * sizeof *encoding);
   encoding->number = state->number;
   encoding->base = ask->base;
@@ -151,21 +151,21 @@
 }
 
 bool
-marjoram_state_giver_answer (marjoram_state_giver *giver,
-                             const struct marjoram_state_ask *ask,
-                             struct marjoram_state_piece *piece)
+marjoram_state_sender_answer (marjoram_state_sender *sender,
+                              const struct marjoram_state_ask *ask,
+                              struct marjoram_state_piece *piece)
 {
-  const struct marjoram_packed_state *state = find_state (giver, ask->number);
+  const struct marjoram_packed_state *state = find_state (sender, ask->number);
   uint64_t offset = state ? ask->offset : 0;
   struct encoding *encoding;
 
   if (!state)
-    state = &giver->states[0];
+    state = &sender->states[0];
   if (state->number == 0)
     return false;
-  encoding = find_encoding (giver, state->number, ask);
+  encoding = find_encoding (sender, state->number, ask);
   if (!encoding)
-    encoding = add_encoding (giver, state, ask);
+    encoding = add_encoding (sender, state, ask);
   make_piece (encoding, offset, piece);
   return true;
 }
--- a/test/lib_keeper_net.c
+++ b/test/lib_keeper_net.c
@@ -99,7 +99,7 @@
   if (node->earlier_release)
     {
       sent.max_encoding = MARJORAM_KEEPER_PLAIN;
-      sent.accepted_mark = (struct marjoram_value_hash){ 0 };
+      sent.accepted_hash = (struct marjoram_value_hash){ 0 };
     }
   packet = marjoram_alloc (sizeof *packet);
   packet->packed = marjoram_wire_pack (&marjoram_keeper_message_layout, &sent);
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -117,7 +117,7 @@
   for (int i = 0; i < 5; i++)
     if (strcmp (id, names[i]) == 0)
       answer.result = (enum marjoram_change_result)i;
-  marjoram_control_answer (host.control, request, &answer);
+  marjoram_control_respond (host.control, request, &answer);
 }
 
 static void
--- a/test/test_fuzz_state.c
+++ b/test/test_fuzz_state.c
@@ -4,7 +4,7 @@
 #include "suite.h"
 
 #include "state_fetch.h"
-#include "state_giver.h"
+#include "state_sender.h"
 
 #include <stdio.h>
 
@@ -22,7 +22,7 @@
 
 struct world
 {
-  marjoram_state_giver *giver;
+  marjoram_state_sender *sender;
   marjoram_state_fetch *fetch;
   bool asked;
   char keeper[8];
@@ -70,7 +70,7 @@
 {
   struct marjoram_state_piece piece = { 0 };
 
-  if (!marjoram_state_giver_answer (world->giver, ask, &piece))
+  if (!marjoram_state_sender_answer (world->sender, ask, &piece))
     return;
   ck_assert_uint_le (marjoram_bytes_size (piece.bytes),
                      MARJORAM_STATE_PIECE_MAX);
@@ -85,7 +85,7 @@
   struct marjoram_state *state = marjoram_state_copy (NULL);
 
   state->number = number;
-  marjoram_state_giver_set (world->giver, state);
+  marjoram_state_sender_set (world->sender, state);
   marjoram_state_destroy (state);
 }
 
@@ -119,7 +119,7 @@
   int64_t end;
 
   in.random = marjoram_random_create ((uint64_t)_i);
-  world.giver = marjoram_state_giver_create ();
+  world.sender = marjoram_state_sender_create ();
   world.fetch = marjoram_state_fetch_create (&options, &ops, &world);
   for (int n = 0; n < MESSAGES; n++, now += TICK_MS)
     {
@@ -142,7 +142,7 @@
     }
   ck_assert_uint_eq (world.number, MESSAGES);
   marjoram_state_fetch_destroy (world.fetch);
-  marjoram_state_giver_destroy (world.giver);
+  marjoram_state_sender_destroy (world.sender);
   marjoram_random_destroy (in.random);
 }
 END_TEST
--- a/test/test_place.c
+++ b/test/test_model_placement.c
@@ -3,7 +3,7 @@
 
 #include "cleanup.h"
 #include "log.h"
-#include "place.h"
+#include "model_placement.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -32,7 +32,7 @@
 static marjoram_config *config;
 static marjoram_members *members;
 static marjoram_orders *orders;
-static marjoram_place *place;
+static marjoram_model_placement *placement;
 static marjoram_random *rng;
 static int64_t now;
 
@@ -49,7 +49,8 @@
   snprintf (copy->model, sizeof copy->model, "%s", order->model);
 }
 
-static const struct marjoram_place_ops place_ops = { record_order };
+static const struct marjoram_model_placement_ops placement_ops
+    = { record_order };
 
 static void
 on_send (void *context, int ordinal,
@@ -130,7 +131,7 @@
     {
       now += STEP_MS;
       marjoram_orders_tick (orders, now);
-      marjoram_place_tick (place, now, config, members, orders);
+      marjoram_model_placement_tick (placement, now, config, members, orders);
     }
 }
 
@@ -149,7 +150,7 @@
   members = marjoram_members_create ("z", 0);
   rng = marjoram_random_create (1);
   orders = marjoram_orders_create (&options, &orders_ops, NULL);
-  place = marjoram_place_create (&place_ops, NULL, rng);
+  placement = marjoram_model_placement_create (&placement_ops, NULL, rng);
   for (int i = 0; i < ENGINES; i++)
     announce (i, NULL);
 }
@@ -157,7 +158,7 @@
 static void
 teardown (void)
 {
-  marjoram_place_destroy (place);
+  marjoram_model_placement_destroy (placement);
   marjoram_orders_destroy (orders);
   marjoram_random_destroy (rng);
   marjoram_members_destroy (members);
@@ -181,8 +182,8 @@
       for (; answered_count < recorded_count && round % 4 == 3;
            answered_count++)
         {
-          marjoram_place_answered (
-              place, now, recorded_orders[answered_count].number, 200, 0);
+          marjoram_model_placement_answered (
+              placement, now, recorded_orders[answered_count].number, 200, 0);
           announce (recorded_orders[answered_count].engine,
                     recorded_orders[answered_count].model);
         }
@@ -203,8 +204,8 @@
     {
       advance (STEP_MS);
       for (; answered < recorded_count; answered++)
-        marjoram_place_answered (place, now, recorded_orders[answered].number,
-                                 429, 0);
+        marjoram_model_placement_answered (
+            placement, now, recorded_orders[answered].number, 429, 0);
     }
   ck_assert_int_lt (recorded_count, 60);
   ck_assert_int_gt (recorded_count, 4);
@@ -222,7 +223,7 @@
   before = recorded_orders[recorded_count - 1].fence;
   recorded_count = 0;
   now += 60000;
-  marjoram_place_tick (place, now, config, members, orders);
+  marjoram_model_placement_tick (placement, now, config, members, orders);
   ck_assert_int_eq (recorded_count, 0);
   for (int i = 0; i < ENGINES; i++)
     announce (i, NULL);
@@ -235,8 +236,8 @@
 Suite *
 suite (void)
 {
-  Suite *s = suite_create ("place");
-  TCase *c = tcase_create ("place");
+  Suite *s = suite_create ("model_placement");
+  TCase *c = tcase_create ("model_placement");
 
   marjoram_log_open ("test", MARJORAM_LOG_ERROR);
   tcase_add_checked_fixture (c, setup, teardown);
--- a/test/test_own_lag.c
+++ b/test/test_own_receive_lag.c
@@ -1,7 +1,7 @@
 /* Tests the estimate of a host's receive lag.  */
 #include "suite.h"
 
-#include "own_lag.h"
+#include "own_receive_lag.h"
 
 enum
 {
@@ -219,8 +219,8 @@
 Suite *
 suite (void)
 {
-  Suite *all = suite_create ("own_lag");
-  TCase *tests = tcase_create ("own_lag");
+  Suite *all = suite_create ("own_receive_lag");
+  TCase *tests = tcase_create ("own_receive_lag");
 
   tcase_add_checked_fixture (tests, setup, NULL);
   tcase_add_test (tests, no_lag_without_delays);
--- a/test/test_spread.c
+++ b/test/test_state_gossip.c
@@ -6,7 +6,7 @@
 #include "compress.h"
 #include "frame.h"
 #include "random.h"
-#include "spread.h"
+#include "state_gossip.h"
 #include "state_packed.h"
 
 #include <stdio.h>
@@ -54,7 +54,7 @@
   struct world *world;
   int index;
   char slot[16];
-  marjoram_spread *spread;
+  marjoram_state_gossip *gossip;
   int64_t heartbeat_at;
   uint64_t adopted_number;
   bool partitioned;
@@ -135,7 +135,8 @@
 static void
 announce (struct host *host)
 {
-  const struct marjoram_state *state = marjoram_spread_state (host->spread);
+  const struct marjoram_state *state
+      = marjoram_state_gossip_state (host->gossip);
 
   for (int i = 0; i < HOSTS; i++)
     send (host, &host->world->hosts[i],
@@ -176,16 +177,17 @@
   announce (host);
 }
 
-static const struct marjoram_spread_ops ops = { on_ask, on_piece, on_adopted };
+static const struct marjoram_state_gossip_ops ops
+    = { on_ask, on_piece, on_adopted };
 
 static void
 start (struct host *host)
 {
   static const char *const keepers[] = { "h0", "h12", "h24" };
-  const struct marjoram_spread_options options = { keepers, 3 };
+  const struct marjoram_state_gossip_options options = { keepers, 3 };
 
-  host->spread
-      = marjoram_spread_create (&options, &ops, host, host->world->now);
+  host->gossip
+      = marjoram_state_gossip_create (&options, &ops, host, host->world->now);
   host->adopted_number = 0;
 }
 
@@ -197,7 +199,8 @@
       marjoram_bytes_size (bytes), NULL);
 
   ck_assert_ptr_nonnull (piece);
-  marjoram_spread_receive_piece (host->spread, host->world->now, from, piece);
+  marjoram_state_gossip_receive_piece (host->gossip, host->world->now, from,
+                                       piece);
   marjoram_wire_destroy (&marjoram_state_piece_layout, piece);
 }
 
@@ -208,11 +211,13 @@
   const char *from = world->hosts[packet->from].slot;
 
   if (packet->kind == PACKET_NUMBER)
-    marjoram_spread_announced (host->spread, world->now, from, packet->number);
+    marjoram_state_gossip_announced (host->gossip, world->now, from,
+                                     packet->number);
   else if (packet->kind == PACKET_PIECE)
     deliver_piece (host, from, packet->bytes);
   else
-    marjoram_spread_receive_ask (host->spread, world->now, from, &packet->ask);
+    marjoram_state_gossip_receive_ask (host->gossip, world->now, from,
+                                       &packet->ask);
   marjoram_bytes_release (packet->bytes);
 }
 
@@ -243,7 +248,7 @@
         {
           struct host *host = &world->hosts[i];
 
-          marjoram_spread_tick (host->spread, world->now);
+          marjoram_state_gossip_tick (host->gossip, world->now);
           if (world->now < host->heartbeat_at)
             continue;
           host->heartbeat_at = world->now + HEARTBEAT_MS;
@@ -278,7 +283,7 @@
   for (size_t i = 0; i < world->packet_count; i++)
     marjoram_bytes_release (world->packets[i].bytes);
   for (int i = 0; i < HOSTS; i++)
-    marjoram_spread_destroy (world->hosts[i].spread);
+    marjoram_state_gossip_destroy (world->hosts[i].gossip);
   marjoram_random_destroy (world->random);
   free (world);
 }
@@ -314,7 +319,8 @@
 {
   struct marjoram_state *state = make_state (number);
 
-  marjoram_spread_set_local (world->hosts[index].spread, world->now, state);
+  marjoram_state_gossip_set_local (world->hosts[index].gossip, world->now,
+                                   state);
   marjoram_state_destroy (state);
 }
 
@@ -342,7 +348,8 @@
 {
   struct marjoram_state *state = make_large_state (number);
 
-  marjoram_spread_set_local (world->hosts[index].spread, world->now, state);
+  marjoram_state_gossip_set_local (world->hosts[index].gossip, world->now,
+                                   state);
   marjoram_state_destroy (state);
 }
 
@@ -394,16 +401,16 @@
 
   choose (world, 0, 7);
   run (world, 5000);
-  marjoram_spread_destroy (host->spread);
+  marjoram_state_gossip_destroy (host->gossip);
   start (host);
-  marjoram_spread_announced (host->spread, world->now, "h60", 6);
+  marjoram_state_gossip_announced (host->gossip, world->now, "h60", 6);
   for (int ms = 0; ms < 5000; ms += STEP_MS)
     {
       run (world, STEP_MS);
-      ck_assert (!marjoram_spread_ready (host->spread)
+      ck_assert (!marjoram_state_gossip_ready (host->gossip)
                  || host->adopted_number == 7);
     }
-  ck_assert (marjoram_spread_ready (host->spread));
+  ck_assert (marjoram_state_gossip_ready (host->gossip));
   destroy_world (world);
 }
 END_TEST
@@ -422,12 +429,12 @@
   choose (world, 0, 2);
   run (world, 2000);
   ck_assert_int_eq (count_at (world, 2), HOSTS - ZONE_HOSTS);
-  marjoram_spread_destroy (host->spread);
+  marjoram_state_gossip_destroy (host->gossip);
   start (host);
   run (world, 1000);
-  ck_assert (!marjoram_spread_ready (host->spread));
+  ck_assert (!marjoram_state_gossip_ready (host->gossip));
   run (world, 3000);
-  ck_assert (marjoram_spread_ready (host->spread));
+  ck_assert (marjoram_state_gossip_ready (host->gossip));
   ck_assert_uint_eq (host->adopted_number, 1);
   for (int i = 0; i < HOSTS; i++)
     world->hosts[i].partitioned = false;
@@ -553,13 +560,13 @@
   record->adopted = state->number;
 }
 
-static const struct marjoram_spread_ops recording_ops
+static const struct marjoram_state_gossip_ops recording_ops
     = { record_ask, record_piece, record_adopted };
-static const struct marjoram_spread_options no_keepers = { NULL, 0 };
+static const struct marjoram_state_gossip_options no_keepers = { NULL, 0 };
 
 /* Delivers STATE in one piece as if a host sent it with the number NUMBER.  */
 static void
-inject_state (marjoram_spread *spread, int64_t now, uint64_t number,
+inject_state (marjoram_state_gossip *gossip, int64_t now, uint64_t number,
               const struct marjoram_state *state)
 {
   struct marjoram_packed_state packed = marjoram_packed_state_make (state);
@@ -567,8 +574,8 @@
 
   piece.bytes = marjoram_compress (packed.bytes, NULL);
   piece.size = marjoram_bytes_size (piece.bytes);
-  marjoram_spread_announced (spread, now, "a", number);
-  marjoram_spread_receive_piece (spread, now, "a", &piece);
+  marjoram_state_gossip_announced (gossip, now, "a", number);
+  marjoram_state_gossip_receive_piece (gossip, now, "a", &piece);
   marjoram_bytes_release (piece.bytes);
   marjoram_packed_state_clear (&packed);
 }
@@ -600,17 +607,17 @@
   struct marjoram_state *old = make_large_state (1);
   struct marjoram_state *new = make_large_state (2);
   struct marjoram_state *received;
-  marjoram_spread *a
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
-  marjoram_spread *b
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
-
-  marjoram_spread_set_local (a, 0, old);
-  marjoram_spread_set_local (a, 0, new);
-  marjoram_spread_set_local (b, 0, old);
-  marjoram_spread_announced (b, 0, "a", 2);
+  marjoram_state_gossip *a
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_state_gossip *b
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
+
+  marjoram_state_gossip_set_local (a, 0, old);
+  marjoram_state_gossip_set_local (a, 0, new);
+  marjoram_state_gossip_set_local (b, 0, old);
+  marjoram_state_gossip_announced (b, 0, "a", 2);
   ck_assert_int_eq (record.asks, 1);
-  marjoram_spread_receive_ask (a, 0, "b", &record.ask);
+  marjoram_state_gossip_receive_ask (a, 0, "b", &record.ask);
   ck_assert_uint_lt (marjoram_bytes_size (record.piece), 1000);
   received = decode_piece (&record, old);
   ck_assert_ptr_nonnull (received);
@@ -620,8 +627,8 @@
   ck_assert_uint_gt (new->changes.count, 0);
 
   marjoram_bytes_release (record.piece);
-  marjoram_spread_destroy (a);
-  marjoram_spread_destroy (b);
+  marjoram_state_gossip_destroy (a);
+  marjoram_state_gossip_destroy (b);
   marjoram_state_destroy (old);
   marjoram_state_destroy (new);
   marjoram_state_destroy (received);
@@ -637,13 +644,13 @@
   struct marjoram_state *old = make_state (1), *new = make_state (2);
   struct marjoram_state *faulty = make_state (2);
   struct marjoram_file *files = faulty->files.items;
-  marjoram_spread *b
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_state_gossip *b
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
 
   files[1].text[0] ^= 1;
   inject_state (b, 0, 2, faulty);
   ck_assert_uint_eq (record.adopted, 0);
-  marjoram_spread_set_local (b, 0, old);
+  marjoram_state_gossip_set_local (b, 0, old);
   inject_state (b, 1000, 2, faulty);
   ck_assert_uint_eq (record.adopted, 1);
   free (files[0].text);
@@ -657,10 +664,10 @@
   ck_assert_uint_eq (record.adopted, 2);
   inject_state (b, 30000, 3, old); /* a lower number than claimed */
   ck_assert_int_eq (record.asks, 5);
-  ck_assert_uint_eq (marjoram_spread_state (b)->number, 2);
+  ck_assert_uint_eq (marjoram_state_gossip_state (b)->number, 2);
   ck_assert_uint_eq (record.adopted, 2);
 
-  marjoram_spread_destroy (b);
+  marjoram_state_gossip_destroy (b);
   marjoram_state_destroy (old);
   marjoram_state_destroy (new);
   marjoram_state_destroy (faulty);
@@ -674,36 +681,36 @@
   struct marjoram_state *first = make_state (1), *second = make_state (2);
   struct marjoram_state *third = make_state (3);
   struct marjoram_state_piece *piece;
-  marjoram_spread *a
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record_a, 0);
-  marjoram_spread *b
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record_b, 0);
-
-  marjoram_spread_set_local (a, 0, first);
-  marjoram_spread_set_local (a, 0, third);
-  marjoram_spread_set_local (b, 0, first);
-  marjoram_spread_announced (b, 0, "a", 3);
+  marjoram_state_gossip *a = marjoram_state_gossip_create (
+      &no_keepers, &recording_ops, &record_a, 0);
+  marjoram_state_gossip *b = marjoram_state_gossip_create (
+      &no_keepers, &recording_ops, &record_b, 0);
+
+  marjoram_state_gossip_set_local (a, 0, first);
+  marjoram_state_gossip_set_local (a, 0, third);
+  marjoram_state_gossip_set_local (b, 0, first);
+  marjoram_state_gossip_announced (b, 0, "a", 3);
   ck_assert_uint_eq (record_b.ask.base, 1);
-  marjoram_spread_receive_ask (a, 0, "b", &record_b.ask);
-  marjoram_spread_set_local (b, 0, second);
+  marjoram_state_gossip_receive_ask (a, 0, "b", &record_b.ask);
+  marjoram_state_gossip_set_local (b, 0, second);
   ck_assert_uint_eq (record_b.ask.base, 2);
   piece = marjoram_wire_unpack (&marjoram_state_piece_layout,
                                 marjoram_bytes_data (record_a.piece),
                                 marjoram_bytes_size (record_a.piece), NULL);
-  marjoram_spread_receive_piece (b, 0, "a", piece);
+  marjoram_state_gossip_receive_piece (b, 0, "a", piece);
   ck_assert_uint_eq (record_b.adopted, 2);
   marjoram_wire_destroy (&marjoram_state_piece_layout, piece);
-  marjoram_spread_receive_ask (a, 0, "b", &record_b.ask);
+  marjoram_state_gossip_receive_ask (a, 0, "b", &record_b.ask);
   piece = marjoram_wire_unpack (&marjoram_state_piece_layout,
                                 marjoram_bytes_data (record_a.piece),
                                 marjoram_bytes_size (record_a.piece), NULL);
-  marjoram_spread_receive_piece (b, 0, "a", piece);
+  marjoram_state_gossip_receive_piece (b, 0, "a", piece);
   ck_assert_uint_eq (record_b.adopted, 3);
 
   marjoram_wire_destroy (&marjoram_state_piece_layout, piece);
   marjoram_bytes_release (record_a.piece);
-  marjoram_spread_destroy (a);
-  marjoram_spread_destroy (b);
+  marjoram_state_gossip_destroy (a);
+  marjoram_state_gossip_destroy (b);
   marjoram_state_destroy (first);
   marjoram_state_destroy (second);
   marjoram_state_destroy (third);
@@ -715,20 +722,20 @@
 START_TEST (another_peer_is_asked_after_disconnection)
 {
   struct record record = { 0 };
-  marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_state_gossip *gossip
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
 
-  marjoram_spread_announced (spread, 0, "a", 2);
-  marjoram_spread_announced (spread, 0, "b", 2);
+  marjoram_state_gossip_announced (gossip, 0, "a", 2);
+  marjoram_state_gossip_announced (gossip, 0, "b", 2);
   ck_assert_int_eq (record.asks, 1);
-  marjoram_spread_disconnected (spread, 10, "a");
+  marjoram_state_gossip_disconnected (gossip, 10, "a");
   ck_assert_int_eq (record.asks, 2);
-  marjoram_spread_disconnected (spread, 20, "b");
-  marjoram_spread_tick (spread, 5000);
+  marjoram_state_gossip_disconnected (gossip, 20, "b");
+  marjoram_state_gossip_tick (gossip, 5000);
   ck_assert_int_eq (record.asks, 2);
-  marjoram_spread_announced (spread, 6000, "a", 2);
+  marjoram_state_gossip_announced (gossip, 6000, "a", 2);
   ck_assert_int_eq (record.asks, 3);
-  marjoram_spread_destroy (spread);
+  marjoram_state_gossip_destroy (gossip);
 }
 END_TEST
 
@@ -737,20 +744,20 @@
 START_TEST (timeout_doubles_without_response)
 {
   struct record record = { 0 };
-  marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_state_gossip *gossip
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
 
-  marjoram_spread_announced (spread, 0, "a", 2);
+  marjoram_state_gossip_announced (gossip, 0, "a", 2);
   for (int64_t now = 0; now < 20000; now += 50)
     {
       if (now % HEARTBEAT_MS == 0)
-        marjoram_spread_announced (spread, now, "a", 2);
-      marjoram_spread_tick (spread, now);
+        marjoram_state_gossip_announced (gossip, now, "a", 2);
+      marjoram_state_gossip_tick (gossip, now);
     }
   /* Requested again at 0.5, 1, 1.5, 2.5, 4.5, 8.5, 12.5 and 16.5 s.  */
   ck_assert_int_le (record.asks, 9);
   ck_assert_int_ge (record.asks, 8);
-  marjoram_spread_destroy (spread);
+  marjoram_state_gossip_destroy (gossip);
 }
 END_TEST
 
@@ -760,16 +767,16 @@
   struct record record = { 0 };
   struct marjoram_state *faulty = make_state (2);
   struct marjoram_file *files = faulty->files.items;
-  marjoram_spread *spread
-      = marjoram_spread_create (&no_keepers, &recording_ops, &record, 0);
+  marjoram_state_gossip *gossip
+      = marjoram_state_gossip_create (&no_keepers, &recording_ops, &record, 0);
 
   files[1].text[0] ^= 1;
   for (int64_t now = 0; now < 16000; now += 50)
-    inject_state (spread, now, 2, faulty);
+    inject_state (gossip, now, 2, faulty);
   /* Requested at 0, 0.5, 1.5, 3.5, 7.5 and 15.5 s.  */
   ck_assert_int_eq (record.asks, 6);
   ck_assert_uint_eq (record.adopted, 0);
-  marjoram_spread_destroy (spread);
+  marjoram_state_gossip_destroy (gossip);
   marjoram_state_destroy (faulty);
 }
 END_TEST
@@ -779,22 +786,22 @@
 START_TEST (waits_for_the_newest_announced_state)
 {
   static const char *const keepers[] = { "h0", "h12", "h24" };
-  const struct marjoram_spread_options options = { keepers, 3 };
+  const struct marjoram_state_gossip_options options = { keepers, 3 };
   struct record record = { 0 };
   struct marjoram_state *state = make_state (1);
-  marjoram_spread *a
-      = marjoram_spread_create (&options, &recording_ops, &record, 0);
+  marjoram_state_gossip *a
+      = marjoram_state_gossip_create (&options, &recording_ops, &record, 0);
 
-  marjoram_spread_announced (a, 10, "neighbour", 2);
-  marjoram_spread_set_local (a, 20, state);
+  marjoram_state_gossip_announced (a, 10, "neighbour", 2);
+  marjoram_state_gossip_set_local (a, 20, state);
   for (int i = 0; i < 3; i++)
-    marjoram_spread_announced (a, 30, keepers[i], 1);
-  ck_assert (!marjoram_spread_ready (a));
-  marjoram_spread_tick (a, 9000);
-  ck_assert (!marjoram_spread_ready (a));
-  marjoram_spread_tick (a, 10000);
-  ck_assert (marjoram_spread_ready (a));
-  marjoram_spread_destroy (a);
+    marjoram_state_gossip_announced (a, 30, keepers[i], 1);
+  ck_assert (!marjoram_state_gossip_ready (a));
+  marjoram_state_gossip_tick (a, 9000);
+  ck_assert (!marjoram_state_gossip_ready (a));
+  marjoram_state_gossip_tick (a, 10000);
+  ck_assert (marjoram_state_gossip_ready (a));
+  marjoram_state_gossip_destroy (a);
   marjoram_state_destroy (state);
 }
 END_TEST
@@ -802,8 +809,8 @@
 Suite *
 suite (void)
 {
-  Suite *s = suite_create ("spread");
-  TCase *c = tcase_create ("spread");
+  Suite *s = suite_create ("state_gossip");
+  TCase *c = tcase_create ("state_gossip");
 
   tcase_set_timeout (c, 60);
   tcase_add_loop_test (c, reaches_all_hosts, 0, SEEDS);
--- a/test/test_state_transfer.c
+++ b/test/test_state_transfer.c
@@ -3,7 +3,7 @@
 
 #include "cleanup.h"
 #include "state_fetch.h"
-#include "state_giver.h"
+#include "state_sender.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -24,7 +24,7 @@
 /* A host and its keepers, with at most one piece in transit.  */
 struct world
 {
-  marjoram_state_giver *givers[KEEPERS];
+  marjoram_state_sender *senders[KEEPERS];
   marjoram_state_fetch *fetch;
   int64_t now;
   int64_t piece_ms; /* transfer time of a piece */
@@ -112,7 +112,7 @@
   struct marjoram_state *state = make_state (number, routes, timeout);
 
   for (int i = 0; i < KEEPERS; i++)
-    marjoram_state_giver_set (w.givers[i], state);
+    marjoram_state_sender_set (w.senders[i], state);
   marjoram_state_destroy (state);
 }
 
@@ -130,7 +130,7 @@
 {
   marjoram_state_fetch_announced (
       w.fetch, w.now, name_of (keeper), keeper < LOCAL_KEEPERS,
-      marjoram_state_giver_number (w.givers[keeper]));
+      marjoram_state_sender_number (w.senders[keeper]));
 }
 
 static void
@@ -140,7 +140,7 @@
   int keeper = w.asked;
 
   w.asked = -1;
-  ck_assert (marjoram_state_giver_answer (w.givers[keeper], &w.ask, &piece));
+  ck_assert (marjoram_state_sender_answer (w.senders[keeper], &w.ask, &piece));
   w.bytes += marjoram_bytes_size (piece.bytes);
   marjoram_state_fetch_receive_piece (w.fetch, w.now, name_of (keeper),
                                       &piece);
@@ -169,7 +169,7 @@
   w.asked = -1;
   w.now = HEARTBEAT_MS;
   for (int i = 0; i < KEEPERS; i++)
-    w.givers[i] = marjoram_state_giver_create ();
+    w.senders[i] = marjoram_state_sender_create ();
   w.fetch = marjoram_state_fetch_create (&options, &ops, NULL);
 }
 
@@ -177,7 +177,7 @@
 teardown (void)
 {
   for (int i = 0; i < KEEPERS; i++)
-    marjoram_state_giver_destroy (w.givers[i]);
+    marjoram_state_sender_destroy (w.senders[i]);
   marjoram_state_fetch_destroy (w.fetch);
 }
 
@@ -309,10 +309,10 @@
 
   choose (1, 10, 500);
   run (SECONDS (1), 0, 1);
-  marjoram_state_giver_set (w.givers[0], state);
-  marjoram_state_giver_destroy (w.givers[1]);
-  w.givers[1] = marjoram_state_giver_create ();
-  marjoram_state_giver_set (w.givers[1], state);
+  marjoram_state_sender_set (w.senders[0], state);
+  marjoram_state_sender_destroy (w.senders[1]);
+  w.senders[1] = marjoram_state_sender_create ();
+  marjoram_state_sender_set (w.senders[1], state);
   marjoram_state_destroy (state);
   announce (0);
   w.piece_ms = 100;
@@ -391,8 +391,8 @@
   struct marjoram_state *other = make_state (1, 10, 999);
   struct marjoram_state *next = make_state (2, 10, 500);
 
-  marjoram_state_giver_set (w.givers[0], other);
-  marjoram_state_giver_set (w.givers[0], next);
+  marjoram_state_sender_set (w.senders[0], other);
+  marjoram_state_sender_set (w.senders[0], next);
   choose (1, 10, 500);
   run (SECONDS (1), 1, 1);
   ck_assert_uint_eq (w.number, 1);
@@ -483,7 +483,7 @@
     choose (number, 4200, (int)number);
   for (other.base = 20; other.base < 24; other.base++)
     {
-      ck_assert (marjoram_state_giver_answer (w.givers[0], &other, &piece));
+      ck_assert (marjoram_state_sender_answer (w.senders[0], &other, &piece));
       marjoram_wire_clear (&marjoram_state_piece_layout, &piece);
     }
   run (stall_ms - TICK_MS, 0, 1);
