--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -177,7 +177,7 @@
 void
 marjoram_crash_list_add_crash (marjoram_crash_list *list, int64_t now,
                                const char *digest, const char *upstream,
-                               int64_t born)
+                               int64_t started_at)
 {
   char life[MARJORAM_LIFE_MAX];
 
@@ -186,7 +186,7 @@
      it.  */
   if (was_answered (list, digest))
     return;
-  snprintf (life, sizeof life, "%s/%" PRId64, upstream, born);
+  snprintf (life, sizeof life, "%s/%" PRId64, upstream, started_at);
   if (add_crash (list, now, digest, life))
     add_report_item (list, digest, life);
 }
--- a/src/crash_list.h
+++ b/src/crash_list.h
@@ -20,11 +20,11 @@
 marjoram_crash_list *marjoram_crash_list_create (void);
 void marjoram_crash_list_destroy (marjoram_crash_list *list);
 
-/* Records that the request DIGEST was running at UPSTREAM, started at BORN,
-   when that crashed.  */
+/* Records that the request DIGEST was running at UPSTREAM, started at
+   STARTED_AT, when that crashed.  */
 void marjoram_crash_list_add_crash (marjoram_crash_list *list, int64_t now,
                                     const char *digest, const char *upstream,
-                                    int64_t born);
+                                    int64_t started_at);
 /* Records that the request was answered completely.  */
 void marjoram_crash_list_add_answer (marjoram_crash_list *list,
                                      const char *digest);
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -76,10 +76,10 @@
   char address[MARJORAM_ID_MAX]; /* IP:port, for requests */
   char zone[MARJORAM_ID_MAX];
   enum marjoram_upstream_state state;
-  int64_t born;     /* start time in ms since the epoch; 0 if not given */
-  int64_t sequence; /* increases with each heartbeat since its start */
-  int64_t cold_ms;  /* remaining warm-up time */
-  int64_t ends_ms;  /* time until it is terminated; -1 if unknown */
+  int64_t started_at; /* start time in ms since the epoch; 0 if not given */
+  int64_t sequence;   /* increases with each heartbeat since its start */
+  int64_t cold_ms;    /* remaining warm-up time */
+  int64_t ends_ms;    /* time until it is terminated; -1 if unknown */
   int64_t slots;
 };
 
@@ -102,7 +102,7 @@
   char zone[MARJORAM_ID_MAX];   /* EVACUATE, RESTORE, LOOKUP */
   char region[MARJORAM_ID_MAX]; /* LOOKUP */
   char host[MARJORAM_ID_MAX];   /* LOOKUP: host name of the routes */
-  struct marjoram_upstream_heartbeat news;
+  struct marjoram_upstream_heartbeat heartbeat;
 };
 
 struct marjoram_dialect;
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -68,45 +68,47 @@
       = marjoram_host_list_find (self->parts->hosts, host);
 
   return listed
-         && strcmp (listed->beat.region, self->parts->settings->region) == 0;
+         && strcmp (listed->heartbeat.region, self->parts->settings->region)
+                == 0;
 }
 
 static void
 handle_state_announcement (struct marjoram_entry *self, const char *host,
-                           const struct marjoram_state_news *news)
+                           const struct marjoram_state_news *announcement)
 {
   marjoram_state_fetch_announced (self->fetch, marjoram_entry_now (self), host,
                                   is_in_same_region (self, host),
-                                  news->number);
+                                  announcement->number);
 }
 
 /* ---- Upstreams and requests.  ---- */
 
 static void
-handle_upstream_news (struct marjoram_entry *self, const char *host,
-                      uint64_t session,
-                      const struct marjoram_news_batch *batch)
+handle_upstream_batch (struct marjoram_entry *self, const char *host,
+                       uint64_t session,
+                       const struct marjoram_news_batch *batch)
 {
   const struct marjoram_news_item *items = batch->items.items;
   int64_t now = marjoram_entry_now (self);
 
   for (size_t i = 0; i < batch->items.count; i++)
     {
-      struct marjoram_upstream_heartbeat news;
+      struct marjoram_upstream_heartbeat heartbeat;
       enum marjoram_registry_result result;
 
-      if (!marjoram_registry_unpack (&items[i], &news))
+      if (!marjoram_registry_unpack (&items[i], &heartbeat))
         continue;
-      result = marjoram_registry_update (self->registry, now, &news,
+      result = marjoram_registry_update (self->registry, now, &heartbeat,
                                          items[i].age_ms);
       if (result == MARJORAM_REGISTRY_CHANGED)
         marjoram_event (MARJORAM_EVENT_UPSTREAM,
                         "id=%s state=%d service=%s address=%s zone=%s "
                         "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64
                         " age_ms=%" PRId64 " keeper=%s",
-                        news.id, (int)news.state, news.service, news.address,
-                        news.zone, news.born, news.sequence, news.cold_ms,
-                        items[i].age_ms, host);
+                        heartbeat.id, (int)heartbeat.state, heartbeat.service,
+                        heartbeat.address, heartbeat.zone,
+                        heartbeat.started_at, heartbeat.sequence,
+                        heartbeat.cold_ms, items[i].age_ms, host);
     }
   if (batch->ticket)
     {
@@ -221,7 +223,7 @@
           self->fetch, marjoram_entry_now (self), host, message);
       break;
     case MARJORAM_FRAME_NEWS:
-      handle_upstream_news (self, host, session, message);
+      handle_upstream_batch (self, host, session, message);
       break;
     case MARJORAM_FRAME_LOADS:
       marjoram_placement_apply_report (
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -245,14 +245,14 @@
 /* ---- Role operations.  ---- */
 
 static void
-role_beat (struct marjoram_role *role, const char *host, uint64_t session,
-           bool first, const struct marjoram_host_beat *beat)
+role_heartbeat (struct marjoram_role *role, const char *host, uint64_t session,
+                bool first, const struct marjoram_host_beat *heartbeat)
 {
   (void)role;
   (void)host;
   (void)session;
   (void)first;
-  (void)beat;
+  (void)heartbeat;
 }
 
 static void
@@ -308,17 +308,18 @@
 }
 
 static void
-role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
+role_fill_heartbeat (struct marjoram_role *role,
+                     struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_entry *self = entry_from_role (role);
 
   update_offers (self);
-  beat->ready = marjoram_entry_is_ready (self);
-  beat->leaving = self->stopped_at != 0;
-  beat->config_number = self->config_number;
-  beat->offers = self->offers;
-  beat->uses.items = self->uses;
-  beat->uses.count = marjoram_repeat_budget_report (
+  heartbeat->ready = marjoram_entry_is_ready (self);
+  heartbeat->leaving = self->stopped_at != 0;
+  heartbeat->config_number = self->config_number;
+  heartbeat->offers = self->offers;
+  heartbeat->uses.items = self->uses;
+  heartbeat->uses.count = marjoram_repeat_budget_report (
       marjoram_gateway_budget (self->gateway), marjoram_entry_now (self),
       self->uses, MARJORAM_REPEAT_USES_MAX);
 }
@@ -391,13 +392,13 @@
 should_survey (struct marjoram_entry *self,
                const struct marjoram_registered *upstream)
 {
-  const struct marjoram_service_rule *service
-      = marjoram_route_table_service (self->table, upstream->news.service);
-  const char *region = marjoram_gateway_settings_region (self->parts->settings,
-                                                         upstream->news.zone);
+  const struct marjoram_service_rule *service = marjoram_route_table_service (
+      self->table, upstream->heartbeat.service);
+  const char *region = marjoram_gateway_settings_region (
+      self->parts->settings, upstream->heartbeat.zone);
 
   return service && service->has_engine
-         && upstream->news.state == MARJORAM_UPSTREAM_READY && region
+         && upstream->heartbeat.state == MARJORAM_UPSTREAM_READY && region
          && strcmp (region, self->parts->settings->region) == 0;
 }
 
@@ -413,8 +414,8 @@
     return;
   TAILQ_FOREACH (upstream, marjoram_registry_all (self->registry), link)
   if (should_survey (self, upstream))
-    marjoram_engine_survey_query (self->survey, upstream->news.id,
-                                  upstream->news.address);
+    marjoram_engine_survey_query (self->survey, upstream->heartbeat.id,
+                                  upstream->heartbeat.address);
 }
 
 static void
@@ -488,10 +489,10 @@
 
 static const struct marjoram_role_ops role_ops = {
   .frame = role_frame,
-  .beat = role_beat,
+  .heartbeat = role_heartbeat,
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
-  .fill_beat = role_fill_beat,
+  .fill_heartbeat = role_fill_heartbeat,
   .ask = role_ask,
   .report = role_report,
   .reload = role_reload,
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -391,9 +391,9 @@
       gateway->options.place.registry, exchange->upstream);
   const char *digest = marjoram_exchange_digest (exchange);
 
-  marjoram_crash_list_add_crash (gateway->crashes, now, digest,
-                                 exchange->upstream,
-                                 upstream ? upstream->news.born : 0);
+  marjoram_crash_list_add_crash (
+      gateway->crashes, now, digest, exchange->upstream,
+      upstream ? upstream->heartbeat.started_at : 0);
   if (marjoram_crash_list_is_blocked (gateway->crashes, now, digest))
     marjoram_event (MARJORAM_EVENT_ATTEMPT,
                     "id=%s convicted=yes digest=%s upstream=%s service=%s",
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -72,13 +72,14 @@
 }
 
 static void
-on_beat (void *context, const char *host, uint64_t session, bool first,
-         const struct marjoram_host_beat *beat)
+on_heartbeat (void *context, const char *host, uint64_t session, bool first,
+              const struct marjoram_host_beat *heartbeat)
 {
   marjoram_gateway_daemon *daemon = context;
 
   if (daemon->role)
-    daemon->role->ops->beat (daemon->role, host, session, first, beat);
+    daemon->role->ops->heartbeat (daemon->role, host, session, first,
+                                  heartbeat);
 }
 
 static void
@@ -101,20 +102,20 @@
 }
 
 static void
-fill_beat (void *context, struct marjoram_host_beat *beat)
+fill_heartbeat (void *context, struct marjoram_host_beat *heartbeat)
 {
   marjoram_gateway_daemon *daemon = context;
 
   if (daemon->role)
-    daemon->role->ops->fill_beat (daemon->role, beat);
+    daemon->role->ops->fill_heartbeat (daemon->role, heartbeat);
 }
 
 static const struct marjoram_host_links_ops links_ops = {
   .frame = on_frame,
-  .beat = on_beat,
+  .heartbeat = on_heartbeat,
   .session_closed = on_session_closed,
   .link_lost = on_link_lost,
-  .fill_beat = fill_beat,
+  .fill_heartbeat = fill_heartbeat,
 };
 
 /* ---- HTTP requests to the status interface. ---- */
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -73,9 +73,9 @@
             const struct marjoram_listed_host *host, int64_t now)
 {
   if (!marjoram_host_list_serves (host, now)
-      || strcmp (host->beat.region, gateway->region) == 0
-      || !marjoram_route_allows (route, host->beat.region)
-      || !gateway->ops->reaches (gateway->context, host->beat.name))
+      || strcmp (host->heartbeat.region, gateway->region) == 0
+      || !marjoram_route_allows (route, host->heartbeat.region)
+      || !gateway->ops->reaches (gateway->context, host->heartbeat.name))
     return NULL;
   return marjoram_listed_host_offer (host, exchange->service);
 }
@@ -121,7 +121,7 @@
 
       if (!offer || (best && load_of (offer, order) >= load_of (found, order)))
         continue;
-      best = host->beat.region;
+      best = host->heartbeat.region;
       *found = *offer;
     }
   return best;
@@ -148,7 +148,7 @@
     {
       const struct marjoram_listed_host *host = offering->hosts[i];
 
-      if (strcmp (host->beat.region, region) == 0
+      if (strcmp (host->heartbeat.region, region) == 0
           && find_offer (gateway, exchange, route, host, now)
           && (!best
               || host_weight (exchange, host) > host_weight (exchange, best)))
@@ -185,7 +185,7 @@
   if (!host || (int64_t)offer.wait_ms + REGION_RTT_MS > max_wait_ms)
     return false;
   exchange->estimated_wait_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
-  return forward_to (gateway, exchange, now, host->beat.name);
+  return forward_to (gateway, exchange, now, host->heartbeat.name);
 }
 
 bool
@@ -221,5 +221,5 @@
     return false;
   exchange->estimated_wait_ms
       = query.remote_first_ms + (int64_t)query.prompt_ms;
-  return forward_to (gateway, exchange, now, host->beat.name);
+  return forward_to (gateway, exchange, now, host->heartbeat.name);
 }
--- a/src/gateway_message.c
+++ b/src/gateway_message.c
@@ -76,7 +76,7 @@
 static const struct marjoram_field news_item_fields[] = {
   STRING (marjoram_news_item, id),      STRING (marjoram_news_item, service),
   STRING (marjoram_news_item, address), STRING (marjoram_news_item, zone),
-  UINT (marjoram_news_item, state),     INT (marjoram_news_item, born),
+  UINT (marjoram_news_item, state),     INT (marjoram_news_item, started_at),
   INT (marjoram_news_item, sequence),   INT (marjoram_news_item, cold_ms),
   INT (marjoram_news_item, ends_ms),    INT (marjoram_news_item, age_ms),
   INT (marjoram_news_item, slots),
--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -82,7 +82,7 @@
   char *address;
   char *zone;
   uint64_t state; /* enum marjoram_upstream_state */
-  int64_t born;
+  int64_t started_at;
   int64_t sequence;
   int64_t cold_ms; /* remaining when sent */
   int64_t ends_ms; /* remaining when sent; -1: no known end */
--- a/src/gateway_report.c
+++ b/src/gateway_report.c
@@ -8,13 +8,14 @@
 
   TAILQ_FOREACH (host, marjoram_host_list_all (hosts), link)
   json_array_append_new (
-      list, json_pack ("{s:s, s:s, s:s, s:b, s:b, s:b, s:I, s:I}", "name",
-                       host->beat.name, "zone", host->beat.zone, "role",
-                       host->beat.keeper ? "keeper" : "entry", "alive",
-                       marjoram_host_list_alive (host, now), "ready",
-                       host->beat.ready, "leaving", host->beat.leaving,
-                       "heard_ms_ago", (json_int_t)(now - host->heard_at),
-                       "config_number", (json_int_t)host->beat.config_number));
+      list,
+      json_pack ("{s:s, s:s, s:s, s:b, s:b, s:b, s:I, s:I}", "name",
+                 host->heartbeat.name, "zone", host->heartbeat.zone, "role",
+                 host->heartbeat.keeper ? "keeper" : "entry", "alive",
+                 marjoram_host_list_alive (host, now), "ready",
+                 host->heartbeat.ready, "leaving", host->heartbeat.leaving,
+                 "heard_ms_ago", (json_int_t)(now - host->received_at),
+                 "config_number", (json_int_t)host->heartbeat.config_number));
   return list;
 }
 
@@ -29,12 +30,13 @@
   json_array_append_new (
       list,
       json_pack ("{s:s, s:s, s:s, s:s, s:s, s:b, s:b, s:I}", "id",
-                 upstream->news.id, "service", upstream->news.service,
-                 "address", upstream->news.address, "zone",
-                 upstream->news.zone, "state", states[upstream->news.state],
-                 "usable", marjoram_registry_usable (registry, upstream, now),
-                 "cold", now < upstream->cold_until, "heard_ms_ago",
-                 (json_int_t)(now - upstream->heard_at)));
+                 upstream->heartbeat.id, "service",
+                 upstream->heartbeat.service, "address",
+                 upstream->heartbeat.address, "zone", upstream->heartbeat.zone,
+                 "state", states[upstream->heartbeat.state], "usable",
+                 marjoram_registry_usable (registry, upstream, now), "cold",
+                 now < upstream->cold_until, "heard_ms_ago",
+                 (json_int_t)(now - upstream->received_at)));
   return list;
 }
 
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -182,7 +182,7 @@
   struct marjoram_http_send send = { 0 };
 
   snprintf (exchange->upstream, sizeof exchange->upstream, "%s",
-            place->upstream->news.id);
+            place->upstream->heartbeat.id);
   exchange->host[0] = '\0';
   exchange->estimated_wait_ms = place->wait_ms;
   marjoram_exchange_start_attempt (gateway, exchange);
@@ -195,10 +195,10 @@
     exchange->idle_deadline
         = now + IDLE_MS + IDLE_WAIT_FACTOR * place->wait_ms;
   send.attempt = exchange->attempt;
-  send.address = place->upstream->news.address;
+  send.address = place->upstream->heartbeat.address;
   send.message = write_message (
       gateway, exchange, now,
-      place->copy_from ? place->copy_from->news.address : NULL);
+      place->copy_from ? place->copy_from->heartbeat.address : NULL);
   send.head_only = strcmp (exchange->request->method, "HEAD") == 0;
   send.fresh_only = !exchange->repeatable;
   gateway->ops->send (gateway->context, &send);
--- a/src/host_beats.c
+++ b/src/host_heartbeats.c
@@ -22,11 +22,12 @@
 };
 
 static void
-make_heartbeat (marjoram_host_links *links, struct marjoram_host_beat *beat)
+make_heartbeat (marjoram_host_links *links,
+                struct marjoram_host_beat *heartbeat)
 {
   const struct marjoram_gateway_settings *settings = links->settings;
 
-  *beat = (struct marjoram_host_beat){
+  *heartbeat = (struct marjoram_host_beat){
     .name = settings->ip,
     .zone = settings->zone,
     .region = settings->region,
@@ -36,7 +37,7 @@
     .incarnation = links->incarnation,
     .sequence = ++links->sequence,
   };
-  links->ops->fill_beat (links->context, beat);
+  links->ops->fill_heartbeat (links->context, heartbeat);
 }
 
 /* Recipients of a heartbeat.  Only entry hosts of other regions need offers,
@@ -58,9 +59,9 @@
 
   if (!host)
     return AUDIENCE_LOCAL;
-  if (host->beat.keeper)
+  if (host->heartbeat.keeper)
     return AUDIENCE_KEEPER;
-  return strcmp (host->beat.region, links->settings->region) == 0
+  return strcmp (host->heartbeat.region, links->settings->region) == 0
              ? AUDIENCE_LOCAL
              : AUDIENCE_REMOTE;
 }
@@ -68,7 +69,7 @@
 /* This host's heartbeat, packed on demand for each audience.  */
 struct packed_heartbeats
 {
-  struct marjoram_host_beat beat; /* name is NULL until it is built */
+  struct marjoram_host_beat heartbeat; /* name is NULL until it is built */
   marjoram_bytes *frames[AUDIENCE_COUNT];
 };
 
@@ -76,19 +77,19 @@
 pack_heartbeat (marjoram_host_links *links, struct packed_heartbeats *packed,
                 enum audience audience)
 {
-  struct marjoram_host_beat beat;
+  struct marjoram_host_beat heartbeat;
 
   if (packed->frames[audience])
     return packed->frames[audience];
-  if (!packed->beat.name)
-    make_heartbeat (links, &packed->beat);
-  beat = packed->beat;
+  if (!packed->heartbeat.name)
+    make_heartbeat (links, &packed->heartbeat);
+  heartbeat = packed->heartbeat;
   if (audience != AUDIENCE_REMOTE)
-    beat.offers = (struct marjoram_array){ NULL, 0 };
+    heartbeat.offers = (struct marjoram_array){ NULL, 0 };
   if (audience != AUDIENCE_KEEPER)
-    beat.uses = (struct marjoram_array){ NULL, 0 };
+    heartbeat.uses = (struct marjoram_array){ NULL, 0 };
   packed->frames[audience]
-      = marjoram_frame_pack (MARJORAM_FRAME_HOST_BEAT, &beat);
+      = marjoram_frame_pack (MARJORAM_FRAME_HOST_BEAT, &heartbeat);
   return packed->frames[audience];
 }
 
@@ -169,14 +170,15 @@
 }
 
 static void
-log_host (const struct marjoram_host_beat *beat)
+log_host (const struct marjoram_host_beat *heartbeat)
 {
   marjoram_event (MARJORAM_EVENT_HOST,
                   "name=%s zone=%s ready=%d leaving=%d keeper=%d "
                   "incarnation=%" PRIu64 " config=%" PRIu64 " age_ms=%" PRIu64,
-                  beat->name, beat->zone, beat->ready, beat->leaving,
-                  beat->keeper, beat->incarnation, beat->config_number,
-                  beat->age_ms);
+                  heartbeat->name, heartbeat->zone, heartbeat->ready,
+                  heartbeat->leaving, heartbeat->keeper,
+                  heartbeat->incarnation, heartbeat->config_number,
+                  heartbeat->age_ms);
 }
 
 /* Replies with a full heartbeat to entry hosts of other regions: they need
@@ -184,29 +186,31 @@
    short acknowledgement.  */
 static void
 reply_to_heartbeat (marjoram_host_links *links,
-                    const struct marjoram_host_beat *beat, uint64_t session)
+                    const struct marjoram_host_beat *heartbeat,
+                    uint64_t session)
 {
-  const struct marjoram_heartbeat echo = { .sequence = beat->sequence };
+  const struct marjoram_heartbeat echo = { .sequence = heartbeat->sequence };
   struct marjoram_host_beat own;
 
-  if (links->settings->role == MARJORAM_ROLE_ENTRY && beat->entry
-      && beat->entry[0] && beat->region
-      && strcmp (beat->region, links->settings->region) != 0)
+  if (links->settings->role == MARJORAM_ROLE_ENTRY && heartbeat->entry
+      && heartbeat->entry[0] && heartbeat->region
+      && strcmp (heartbeat->region, links->settings->region) != 0)
     {
       make_heartbeat (links, &own);
       own.uses = (struct marjoram_array){ NULL, 0 };
-      marjoram_peer_reply (links->peer, beat->name, session,
+      marjoram_peer_reply (links->peer, heartbeat->name, session,
                            MARJORAM_FRAME_HOST_BEAT, &own);
       return;
     }
-  marjoram_peer_reply (links->peer, beat->name, session,
+  marjoram_peer_reply (links->peer, heartbeat->name, session,
                        MARJORAM_FRAME_HEARTBEAT, &echo);
 }
 
 static void
-broadcast_change (marjoram_host_links *links, struct marjoram_host_beat *beat)
+broadcast_change (marjoram_host_links *links,
+                  struct marjoram_host_beat *heartbeat)
 {
-  struct marjoram_host_beat copy = *beat;
+  struct marjoram_host_beat copy = *heartbeat;
   const struct marjoram_host_beats list = { { &copy, 1 } };
 
   copy.offers = (struct marjoram_array){ NULL, 0 };
@@ -218,14 +222,14 @@
 void
 marjoram_host_links_process_reply (marjoram_host_links *links,
                                    const char *host,
-                                   struct marjoram_host_beat *beat)
+                                   struct marjoram_host_beat *heartbeat)
 {
-  if (!beat->name || strcmp (beat->name, host) != 0)
+  if (!heartbeat->name || strcmp (heartbeat->name, host) != 0)
     return;
-  beat->age_ms = 0;
+  heartbeat->age_ms = 0;
   if (marjoram_host_list_update (links->hosts, marjoram_host_links_now (links),
-                                 beat, true))
-    log_host (beat);
+                                 heartbeat, true))
+    log_host (heartbeat);
 }
 
 /* Lists the hosts whose heartbeats this host receives directly.  The caller
@@ -246,10 +250,10 @@
   if (host->direct && marjoram_host_list_alive (host, now)
       && list.items.count < MARJORAM_HOST_BEATS_MAX)
     {
-      items[list.items.count] = host->beat;
+      items[list.items.count] = host->heartbeat;
       /* Offers are sent only by their own host.  */
       items[list.items.count].offers = (struct marjoram_array){ NULL, 0 };
-      items[list.items.count++].age_ms = (uint64_t)(now - host->heard_at);
+      items[list.items.count++].age_ms = (uint64_t)(now - host->received_at);
     }
   return list;
 }
@@ -291,16 +295,16 @@
 static void
 report_higher_incarnation (marjoram_host_links *links, const char *host,
                            uint64_t number,
-                           const struct marjoram_host_beat *beat)
+                           const struct marjoram_host_beat *heartbeat)
 {
   const struct marjoram_listed_host *known
       = marjoram_host_list_find (links->hosts, host);
   struct marjoram_host_beat copy;
   const struct marjoram_host_beats list = { { &copy, 1 } };
 
-  if (!known || known->beat.incarnation <= beat->incarnation)
+  if (!known || known->heartbeat.incarnation <= heartbeat->incarnation)
     return;
-  copy = known->beat;
+  copy = known->heartbeat;
   copy.offers = (struct marjoram_array){ NULL, 0 };
   marjoram_peer_reply (links->peer, host, number, MARJORAM_FRAME_HOST_LIST,
                        &list);
@@ -309,30 +313,30 @@
 void
 marjoram_host_links_process_heartbeat (marjoram_host_links *links,
                                        const char *host, uint64_t number,
-                                       struct marjoram_host_beat *beat)
+                                       struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_host_session *session
       = marjoram_host_links_session (links, host);
   bool first = !session || session->number != number;
 
-  if (!beat->name || strcmp (beat->name, host) != 0 || !beat->zone
-      || !beat->region)
+  if (!heartbeat->name || strcmp (heartbeat->name, host) != 0
+      || !heartbeat->zone || !heartbeat->region)
     return;
   if (!session)
     session = marjoram_host_links_add_session (links, host);
   session->number = number;
-  beat->age_ms = 0;
-  report_higher_incarnation (links, host, number, beat);
+  heartbeat->age_ms = 0;
+  report_higher_incarnation (links, host, number, heartbeat);
   if (marjoram_host_list_update (links->hosts, marjoram_host_links_now (links),
-                                 beat, true))
+                                 heartbeat, true))
     {
-      log_host (beat);
-      broadcast_change (links, beat);
+      log_host (heartbeat);
+      broadcast_change (links, heartbeat);
     }
   if (first && links->settings->role == MARJORAM_ROLE_KEEPER)
     send_list (links, host, number);
-  reply_to_heartbeat (links, beat, number);
-  links->ops->beat (links->context, host, number, first, beat);
+  reply_to_heartbeat (links, heartbeat, number);
+  links->ops->heartbeat (links->context, host, number, first, heartbeat);
 }
 
 /* Adopts an incarnation above that of a previous run of this host.  It takes
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -102,7 +102,7 @@
   if (!link)
     return;
   link->up = true;
-  link->heard_at = now;
+  link->received_at = now;
   link->sent_at = 0;
   marjoram_link_lag_start (&link->lag);
   marjoram_event (MARJORAM_EVENT_LINK, "host=%s state=up", host);
@@ -122,7 +122,7 @@
                                       marjoram_host_links_now (links), host);
   marjoram_event (MARJORAM_EVENT_LINK,
                   "host=%s state=lost silent_ms=%" PRId64 " lag_ms=%" PRId64,
-                  host, marjoram_host_links_now (links) - link->heard_at,
+                  host, marjoram_host_links_now (links) - link->received_at,
                   marjoram_host_links_lag (links));
   links->ops->link_lost (links->context, host);
 }
@@ -137,7 +137,7 @@
   struct marjoram_host_link *link = marjoram_host_links_find (links, host);
 
   if (link)
-    link->heard_at = marjoram_host_links_now (links);
+    link->received_at = marjoram_host_links_now (links);
 }
 
 static void
@@ -160,7 +160,7 @@
 {
   const int64_t now = marjoram_host_links_now (links);
 
-  link->heard_at = now;
+  link->received_at = now;
   if (type == MARJORAM_FRAME_HEARTBEAT || type == MARJORAM_FRAME_HOST_BEAT)
     marjoram_link_lag_answered (&link->lag, now);
 }
@@ -258,7 +258,7 @@
       weights[rank] = weight;
     }
   for (int i = 0; i < count; i++)
-    require_link (links, best[i]->beat.name, false);
+    require_link (links, best[i]->heartbeat.name, false);
 }
 
 static void
@@ -270,7 +270,7 @@
 
   TAILQ_FOREACH (host, marjoram_host_list_all (links->hosts), link)
   {
-    const char *region = host->beat.region;
+    const char *region = host->heartbeat.region;
     size_t i = 0;
 
     if (strcmp (region, links->settings->region) == 0)
@@ -289,9 +289,9 @@
 is_required (const marjoram_host_links *links,
              const struct marjoram_listed_host *host)
 {
-  return host->beat.keeper
+  return host->heartbeat.keeper
          || (links->settings->role == MARJORAM_ROLE_ENTRY
-             && strcmp (host->beat.region, links->settings->region) == 0);
+             && strcmp (host->heartbeat.region, links->settings->region) == 0);
 }
 
 static void
@@ -306,7 +306,7 @@
   link->wanted = link->seed;
   TAILQ_FOREACH (host, marjoram_host_list_all (links->hosts), link)
   if (is_required (links, host))
-    require_link (links, host->beat.name, false);
+    require_link (links, host->heartbeat.name, false);
   if (links->settings->role == MARJORAM_ROLE_ENTRY)
     require_remote_links (links, now);
   for (link = TAILQ_FIRST (&links->links); link; link = next)
@@ -326,7 +326,7 @@
   marjoram_own_lag_begin (&links->own_lag);
   TAILQ_FOREACH (link, &links->links, next)
   if (link->up)
-    marjoram_own_lag_add (&links->own_lag, now, &link->lag, link->heard_at);
+    marjoram_own_lag_add (&links->own_lag, now, &link->lag, link->received_at);
   marjoram_own_lag_end (&links->own_lag, now);
   marjoram_host_list_set_lag (links->hosts, links->own_lag.ms);
 }
@@ -354,7 +354,8 @@
   struct marjoram_host_link *link;
 
   TAILQ_FOREACH (link, &links->links, next)
-  if (link->up && now - link->heard_at - lag > silence_timeout (links, link))
+  if (link->up
+      && now - link->received_at - lag > silence_timeout (links, link))
     marjoram_peer_reconnect (links->peer, link->host);
 }
 
@@ -439,8 +440,8 @@
     const struct marjoram_listed_host *host
         = marjoram_host_list_find (links->hosts, session->host);
 
-    if (!host || host->beat.keeper != keepers
-        || (region && strcmp (host->beat.region, region) != 0))
+    if (!host || host->heartbeat.keeper != keepers
+        || (region && strcmp (host->heartbeat.region, region) != 0))
       continue;
     marjoram_peer_reply_packed (links->peer, session->host, session->number,
                                 frame);
@@ -464,8 +465,8 @@
     const struct marjoram_listed_host *host
         = marjoram_host_list_find (links->hosts, link->host);
 
-    if (!link->up || !host || host->beat.keeper != keepers
-        || (!keepers && strcmp (host->beat.region, region) != 0))
+    if (!link->up || !host || host->heartbeat.keeper != keepers
+        || (!keepers && strcmp (host->heartbeat.region, region) != 0))
       continue;
     marjoram_peer_send_packed (links->peer, link->host, frame);
   }
--- a/src/host_links.h
+++ b/src/host_links.h
@@ -19,13 +19,13 @@
                  enum marjoram_frame_type type, void *message);
   /* Receives a heartbeat on a session that HOST opened; FIRST if it is the
      first on this session.  */
-  void (*beat) (void *context, const char *host, uint64_t session, bool first,
-                const struct marjoram_host_beat *beat);
+  void (*heartbeat) (void *context, const char *host, uint64_t session,
+                     bool first, const struct marjoram_host_beat *heartbeat);
   void (*session_closed) (void *context, const char *host, uint64_t session);
   void (*link_lost) (void *context, const char *host);
   /* Fills in the variable parts of this host's heartbeat; offers remain owned
      by the callee.  */
-  void (*fill_beat) (void *context, struct marjoram_host_beat *beat);
+  void (*fill_heartbeat) (void *context, struct marjoram_host_beat *heartbeat);
 };
 
 marjoram_host_links *marjoram_host_links_create (
--- a/src/host_links_private.h
+++ b/src/host_links_private.h
@@ -1,5 +1,5 @@
 /* Internal interface between host_links.c (link selection and sending) and
-   host_beats.c (heartbeats and host lists).  */
+   host_heartbeats.c (heartbeats and host lists).  */
 #ifndef MARJORAM_HOST_LINKS_PRIVATE_H
 #define MARJORAM_HOST_LINKS_PRIVATE_H
 
@@ -17,7 +17,7 @@
   bool up;
   bool seed;
   bool wanted;
-  int64_t heard_at;
+  int64_t received_at;
   int64_t sent_at;
   struct marjoram_link_lag lag;
   UT_hash_handle hh;
@@ -65,7 +65,7 @@
 marjoram_host_links_add_session (marjoram_host_links *links, const char *host);
 int64_t marjoram_host_links_now (const marjoram_host_links *links);
 
-/* host_beats.c */
+/* host_heartbeats.c */
 /* Sets the heartbeat interval within the own region by its host count.  */
 void marjoram_host_links_update_interval (marjoram_host_links *links,
                                           int64_t now);
@@ -77,12 +77,13 @@
                                           int64_t now, bool all);
 /* Processes a heartbeat received on HOST's session NUMBER, or one received as
    a reply on this host's own link.  */
-void marjoram_host_links_process_heartbeat (marjoram_host_links *links,
-                                            const char *host, uint64_t number,
-                                            struct marjoram_host_beat *beat);
+void
+marjoram_host_links_process_heartbeat (marjoram_host_links *links,
+                                       const char *host, uint64_t number,
+                                       struct marjoram_host_beat *heartbeat);
 void marjoram_host_links_process_reply (marjoram_host_links *links,
                                         const char *host,
-                                        struct marjoram_host_beat *beat);
+                                        struct marjoram_host_beat *heartbeat);
 void marjoram_host_links_process_list (marjoram_host_links *links,
                                        const struct marjoram_host_beats *list);
 /* Sends a keeper's host list to the recipients to whom it is due.  */
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -55,8 +55,8 @@
 {
   int64_t relayed_valid_ms;
   int64_t lag_ms; /* receive lag of this host */
-  char *region;   /* region whose entry hosts use BEAT_MS; NULL if none */
-  int64_t beat_ms;
+  char *region;   /* region whose entry hosts use HEARTBEAT_MS; NULL if none */
+  int64_t heartbeat_ms;
   struct marjoram_listed_hosts hosts;
   struct marjoram_listed_host *by_name;
   size_t entries;
@@ -94,26 +94,26 @@
 }
 
 static void
-clear_beat (struct marjoram_host_beat *beat)
+clear_heartbeat (struct marjoram_host_beat *heartbeat)
 {
-  marjoram_wire_clear (&marjoram_host_beat_layout, beat);
+  marjoram_wire_clear (&marjoram_host_beat_layout, heartbeat);
 }
 
 static bool
-is_entry (const struct marjoram_host_beat *beat)
+is_entry (const struct marjoram_host_beat *heartbeat)
 {
-  return beat->entry && beat->entry[0];
+  return heartbeat->entry && heartbeat->entry[0];
 }
 
 static void
 remove_host (marjoram_host_list *list, struct marjoram_listed_host *host)
 {
   list->changes++;
-  list->entries -= is_entry (&host->beat);
+  list->entries -= is_entry (&host->heartbeat);
   /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
   HASH_DELETE (hh, list->by_name, host);
   TAILQ_REMOVE (&list->hosts, host, link);
-  clear_beat (&host->beat);
+  clear_heartbeat (&host->heartbeat);
   free (host);
 }
 
@@ -210,27 +210,27 @@
 /* Fast path for heartbeats with unchanged strings and no offers: updates in
    place.  */
 static bool
-update_beat_in_place (struct marjoram_host_beat *known,
-                      const struct marjoram_host_beat *beat)
+update_heartbeat_in_place (struct marjoram_host_beat *known,
+                           const struct marjoram_host_beat *heartbeat)
 {
-  if (known->offers.count > 0 || beat->offers.count > 0
-      || !is_same_text (known->zone, beat->zone)
-      || !is_same_text (known->region, beat->region)
-      || !is_same_text (known->entry, beat->entry))
+  if (known->offers.count > 0 || heartbeat->offers.count > 0
+      || !is_same_text (known->zone, heartbeat->zone)
+      || !is_same_text (known->region, heartbeat->region)
+      || !is_same_text (known->entry, heartbeat->entry))
     return false;
-  known->keeper = beat->keeper;
-  known->ready = beat->ready;
-  known->leaving = beat->leaving;
-  known->incarnation = beat->incarnation;
-  known->sequence = beat->sequence;
-  known->config_number = beat->config_number;
-  known->age_ms = beat->age_ms;
+  known->keeper = heartbeat->keeper;
+  known->ready = heartbeat->ready;
+  known->leaving = heartbeat->leaving;
+  known->incarnation = heartbeat->incarnation;
+  known->sequence = heartbeat->sequence;
+  known->config_number = heartbeat->config_number;
+  known->age_ms = heartbeat->age_ms;
   return true;
 }
 
 static void
-copy_beat (struct marjoram_host_beat *target,
-           const struct marjoram_host_beat *source)
+copy_heartbeat (struct marjoram_host_beat *target,
+                const struct marjoram_host_beat *source)
 {
   *target = *source;
   target->name = marjoram_strdup (source->name);
@@ -242,83 +242,85 @@
 }
 
 static bool
-is_older (const struct marjoram_host_beat *beat,
+is_older (const struct marjoram_host_beat *heartbeat,
           const struct marjoram_host_beat *known)
 {
-  if (beat->incarnation != known->incarnation)
-    return beat->incarnation < known->incarnation;
-  return beat->sequence < known->sequence;
+  if (heartbeat->incarnation != known->incarnation)
+    return heartbeat->incarnation < known->incarnation;
+  return heartbeat->sequence < known->sequence;
 }
 
 static struct marjoram_listed_host *
-add (marjoram_host_list *list, const struct marjoram_host_beat *beat,
-     int64_t heard_at)
+add (marjoram_host_list *list, const struct marjoram_host_beat *heartbeat,
+     int64_t received_at)
 {
   struct marjoram_listed_host *host = marjoram_alloc (sizeof *host);
 
-  host->heard_at = heard_at;
+  host->received_at = received_at;
   host->lost_at = INT64_MIN;
   host->list = list;
-  host->name_hash = XXH3_64bits (beat->name, strlen (beat->name));
-  copy_beat (&host->beat, beat);
+  host->name_hash = XXH3_64bits (heartbeat->name, strlen (heartbeat->name));
+  copy_heartbeat (&host->heartbeat, heartbeat);
   TAILQ_INSERT_TAIL (&list->hosts, host, link);
-  HASH_ADD_KEYPTR (hh, list->by_name, host->beat.name,
-                   strlen (host->beat.name), host);
+  HASH_ADD_KEYPTR (hh, list->by_name, host->heartbeat.name,
+                   strlen (host->heartbeat.name), host);
   return host;
 }
 
 /* The name is the hash key and must stay allocated.  */
 static void
-replace_beat (struct marjoram_listed_host *host,
-              const struct marjoram_host_beat *beat)
+replace_heartbeat (struct marjoram_listed_host *host,
+                   const struct marjoram_host_beat *heartbeat)
 {
-  char *name = host->beat.name;
+  char *name = host->heartbeat.name;
 
-  if (update_beat_in_place (&host->beat, beat))
+  if (update_heartbeat_in_place (&host->heartbeat, heartbeat))
     return;
-  host->beat.name = NULL;
-  clear_beat (&host->beat);
-  copy_beat (&host->beat, beat);
-  free (host->beat.name);
-  host->beat.name = name;
+  host->heartbeat.name = NULL;
+  clear_heartbeat (&host->heartbeat);
+  copy_heartbeat (&host->heartbeat, heartbeat);
+  free (host->heartbeat.name);
+  host->heartbeat.name = name;
 }
 
-/* Whether BEAT may add HOST to a view or remove it.  */
+/* Whether HEARTBEAT may add HOST to a view or remove it.  */
 static bool
 changes_views (const struct marjoram_listed_host *host, int64_t now,
-               const struct marjoram_host_beat *beat)
+               const struct marjoram_host_beat *heartbeat)
 {
   return !marjoram_host_list_alive (host, now)
-         || (host->beat.offers.count > 0) != (beat->offers.count > 0);
+         || (host->heartbeat.offers.count > 0)
+                != (heartbeat->offers.count > 0);
 }
 
 bool
 marjoram_host_list_update (marjoram_host_list *list, int64_t now,
-                           const struct marjoram_host_beat *beat, bool direct)
+                           const struct marjoram_host_beat *heartbeat,
+                           bool direct)
 {
-  int64_t heard_at = now - (int64_t)beat->age_ms;
+  int64_t received_at = now - (int64_t)heartbeat->age_ms;
   struct marjoram_listed_host *host;
   bool changed;
 
-  if (!beat->name || !beat->zone || !beat->region)
+  if (!heartbeat->name || !heartbeat->zone || !heartbeat->region)
     return false;
-  host = find (list, beat->name);
-  if (host && is_older (beat, &host->beat))
+  host = find (list, heartbeat->name);
+  if (host && is_older (heartbeat, &host->heartbeat))
     return false;
-  changed = !host || host->beat.incarnation != beat->incarnation
-            || host->beat.ready != beat->ready
-            || host->beat.leaving != beat->leaving;
-  list->changes += changed || changes_views (host, now, beat);
+  changed = !host || host->heartbeat.incarnation != heartbeat->incarnation
+            || host->heartbeat.ready != heartbeat->ready
+            || host->heartbeat.leaving != heartbeat->leaving;
+  list->changes += changed || changes_views (host, now, heartbeat);
   if (host)
     {
-      list->entries -= is_entry (&host->beat);
-      replace_beat (host, beat);
+      list->entries -= is_entry (&host->heartbeat);
+      replace_heartbeat (host, heartbeat);
     }
   else
-    host = add (list, beat, heard_at);
-  list->entries += is_entry (&host->beat);
-  if (heard_at > host->heard_at)
-    host->heard_at = heard_at;
+    host = add (list, heartbeat, received_at);
+  list->entries += is_entry (&host->heartbeat);
+  if (received_at > host->received_at)
+    host->received_at = received_at;
   if (direct)
     host->direct = true;
   return changed;
@@ -332,14 +334,15 @@
 
 void
 marjoram_host_list_set_heartbeat_interval (marjoram_host_list *list,
-                                           const char *region, int64_t beat_ms)
+                                           const char *region,
+                                           int64_t heartbeat_ms)
 {
   if (!list->region || strcmp (list->region, region) != 0)
     {
       free (list->region);
       list->region = marjoram_strdup (region);
     }
-  list->beat_ms = beat_ms;
+  list->heartbeat_ms = heartbeat_ms;
 }
 
 void
@@ -359,29 +362,31 @@
 max_silence_ms (const struct marjoram_listed_host *host)
 {
   const marjoram_host_list *list = host->list;
-  int64_t beats_ms = list->beat_ms * ALIVE_HEARTBEATS + ALIVE_MARGIN_MS;
+  int64_t heartbeats_ms
+      = list->heartbeat_ms * ALIVE_HEARTBEATS + ALIVE_MARGIN_MS;
 
   if (!host->direct)
     return list->relayed_valid_ms;
-  if (host->beat.keeper || !list->region || beats_ms < ALIVE_MS
-      || strcmp (host->beat.region, list->region) != 0)
+  if (host->heartbeat.keeper || !list->region || heartbeats_ms < ALIVE_MS
+      || strcmp (host->heartbeat.region, list->region) != 0)
     return ALIVE_MS;
-  return beats_ms;
+  return heartbeats_ms;
 }
 
 bool
 marjoram_host_list_alive (const struct marjoram_listed_host *host, int64_t now)
 {
-  return host->heard_at > host->lost_at
-         && now - host->heard_at - host->list->lag_ms <= max_silence_ms (host);
+  return host->received_at > host->lost_at
+         && now - host->received_at - host->list->lag_ms
+                <= max_silence_ms (host);
 }
 
 bool
 marjoram_host_list_serves (const struct marjoram_listed_host *host,
                            int64_t now)
 {
-  return host->beat.entry[0] && host->beat.ready && !host->beat.leaving
-         && marjoram_host_list_alive (host, now);
+  return host->heartbeat.entry[0] && host->heartbeat.ready
+         && !host->heartbeat.leaving && marjoram_host_list_alive (host, now);
 }
 
 /* ---- Views.  ---- */
@@ -393,15 +398,15 @@
   switch (view->kind)
     {
     case VIEW_REGION:
-      if (strcmp (host->beat.region, view->name) != 0)
+      if (strcmp (host->heartbeat.region, view->name) != 0)
         return false;
       break;
     case VIEW_ZONE:
-      if (strcmp (host->beat.zone, view->name) != 0)
+      if (strcmp (host->heartbeat.zone, view->name) != 0)
         return false;
       break;
     case VIEW_OFFERING:
-      if (host->beat.offers.count == 0)
+      if (host->heartbeat.offers.count == 0)
         return false;
       break;
     }
@@ -518,7 +523,7 @@
       HASH_ADD_KEYPTR (hh, view->owners, owner->key, strlen (owner->key),
                        owner);
     }
-  return owner->host ? owner->host->beat.name : NULL;
+  return owner->host ? owner->host->heartbeat.name : NULL;
 }
 
 static uint64_t
@@ -567,7 +572,7 @@
           = view->result.hosts[(view->next + i) % view->result.count];
 
       if (marjoram_host_list_serves (host, now))
-        addresses[count++] = host->beat.entry;
+        addresses[count++] = host->heartbeat.entry;
     }
   if (view->result.count > 0)
     view->next = (view->next + count) % view->result.count;
@@ -584,8 +589,8 @@
 
   TAILQ_FOREACH (host, &list->hosts, link)
   if (count < MARJORAM_LOOKUP_MAX && marjoram_host_list_serves (host, now)
-      && (!allowed || allowed (context, host->beat.region)))
-    addresses[count++] = host->beat.entry;
+      && (!allowed || allowed (context, host->heartbeat.region)))
+    addresses[count++] = host->heartbeat.entry;
   return count;
 }
 
@@ -620,9 +625,9 @@
 marjoram_listed_host_offer (const struct marjoram_listed_host *host,
                             const char *service)
 {
-  const struct marjoram_host_offer *offers = host->beat.offers.items;
+  const struct marjoram_host_offer *offers = host->heartbeat.offers.items;
 
-  for (size_t i = 0; i < host->beat.offers.count; i++)
+  for (size_t i = 0; i < host->heartbeat.offers.count; i++)
     if (strcmp (offers[i].service, service) == 0 && offers[i].upstreams > 0)
       return &offers[i];
   return NULL;
@@ -637,7 +642,7 @@
     {
       struct marjoram_listed_host *next = TAILQ_NEXT (host, link);
 
-      if (now - host->heard_at > FORGET_MS)
+      if (now - host->received_at > FORGET_MS)
         remove_host (list, host);
       host = next;
     }
--- a/src/host_list.h
+++ b/src/host_list.h
@@ -14,8 +14,8 @@
 struct marjoram_listed_host
 {
   TAILQ_ENTRY (marjoram_listed_host) link;
-  struct marjoram_host_beat beat; /* owns its strings */
-  int64_t heard_at;
+  struct marjoram_host_beat heartbeat; /* owns its strings */
+  int64_t received_at;
   bool direct;     /* heartbeats arrive directly, not only relayed */
   int64_t lost_at; /* last loss of the connection; INT64_MIN if never */
   const marjoram_host_list *list;
@@ -39,7 +39,7 @@
 /* Sets the heartbeat interval of the entry hosts of REGION.  */
 void marjoram_host_list_set_heartbeat_interval (marjoram_host_list *list,
                                                 const char *region,
-                                                int64_t beat_ms);
+                                                int64_t heartbeat_ms);
 /* The connection to NAME broke: if its heartbeats arrive directly, it counts
    as dead until the next one.  */
 void marjoram_host_list_connection_lost (marjoram_host_list *list, int64_t now,
@@ -49,7 +49,7 @@
 /* Processes a heartbeat received from its host (DIRECT) or relayed.  Returns
    whether it changed anything besides the host's liveness.  */
 bool marjoram_host_list_update (marjoram_host_list *list, int64_t now,
-                                const struct marjoram_host_beat *beat,
+                                const struct marjoram_host_beat *heartbeat,
                                 bool direct);
 struct marjoram_listed_hosts *
 marjoram_host_list_all (marjoram_host_list *list);
--- a/src/keeper_publish.c
+++ b/src/keeper_publish.c
@@ -22,27 +22,27 @@
 void
 marjoram_keeper_announce_state (struct marjoram_keeper_role *self)
 {
-  struct marjoram_state_news news;
+  struct marjoram_state_news announcement;
 
   load_newest_state (self);
-  news.number = marjoram_state_sender_number (self->state_sender);
+  announcement.number = marjoram_state_sender_number (self->state_sender);
   marjoram_host_links_multicast (self->parts->links, false,
                                  self->parts->settings->region,
-                                 MARJORAM_FRAME_STATE_NEWS, &news);
+                                 MARJORAM_FRAME_STATE_NEWS, &announcement);
 }
 
 void
 marjoram_keeper_announce_state_to (struct marjoram_keeper_role *self,
                                    const char *host, uint64_t session,
-                                   const struct marjoram_host_beat *beat)
+                                   const struct marjoram_host_beat *heartbeat)
 {
-  struct marjoram_state_news news;
+  struct marjoram_state_news announcement;
 
   load_newest_state (self);
-  news.number = marjoram_state_sender_number (self->state_sender);
-  if (!beat->keeper && beat->config_number < news.number)
+  announcement.number = marjoram_state_sender_number (self->state_sender);
+  if (!heartbeat->keeper && heartbeat->config_number < announcement.number)
     marjoram_host_links_reply (self->parts->links, host, session,
-                               MARJORAM_FRAME_STATE_NEWS, &news);
+                               MARJORAM_FRAME_STATE_NEWS, &announcement);
 }
 
 void
@@ -144,16 +144,17 @@
 /* Sends all upstreams to a keeper, and those of its region to a host.  */
 static void
 send_upstreams (struct marjoram_keeper_role *self, const char *host,
-                uint64_t session, const struct marjoram_host_beat *beat)
+                uint64_t session, const struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_news_batch all;
   struct marjoram_news_batch part;
 
   marjoram_registrar_snapshot (self->registrar,
                                marjoram_keeper_role_now (self), &all);
-  filter_region (self->parts->settings, beat->region, &all, &part);
+  filter_region (self->parts->settings, heartbeat->region, &all, &part);
   marjoram_host_links_reply (self->parts->links, host, session,
-                             MARJORAM_FRAME_NEWS, beat->keeper ? &all : &part);
+                             MARJORAM_FRAME_NEWS,
+                             heartbeat->keeper ? &all : &part);
   free (part.items.items);
   free (all.items.items);
 }
@@ -186,7 +187,7 @@
 
   marjoram_crash_list_apply (self->crashes, marjoram_keeper_role_now (self),
                              report);
-  if (sender && strcmp (sender->beat.region, region) != 0)
+  if (sender && strcmp (sender->heartbeat.region, region) != 0)
     marjoram_host_links_multicast (self->parts->links, false, region,
                                    MARJORAM_FRAME_CRASHES, report);
 }
@@ -194,25 +195,25 @@
 void
 marjoram_keeper_send_snapshot (struct marjoram_keeper_role *self,
                                const char *host, uint64_t session,
-                               const struct marjoram_host_beat *beat)
+                               const struct marjoram_host_beat *heartbeat)
 {
-  send_upstreams (self, host, session, beat);
+  send_upstreams (self, host, session, heartbeat);
   send_crashes (self, host, session);
 }
 
 void
 marjoram_keeper_exchange_retries (struct marjoram_keeper_role *self,
                                   const char *host, uint64_t session,
-                                  const struct marjoram_host_beat *beat)
+                                  const struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_repeat_use items[MARJORAM_REPEAT_USES_MAX];
   struct marjoram_repeat_sums sums = { 0, { items, 0 } };
 
-  if (beat->uses.count == 0)
+  if (heartbeat->uses.count == 0)
     return;
   marjoram_repeat_sums_list_update (
-      self->repeats, marjoram_keeper_role_now (self), host, &beat->uses);
-  marjoram_repeat_sums_list_query (self->repeats, &beat->uses, &sums);
+      self->repeats, marjoram_keeper_role_now (self), host, &heartbeat->uses);
+  marjoram_repeat_sums_list_query (self->repeats, &heartbeat->uses, &sums);
   if (sums.items.count > 0)
     marjoram_host_links_reply (self->parts->links, host, session,
                                MARJORAM_FRAME_REPEAT_SUMS, &sums);
--- a/src/keeper_repair.c
+++ b/src/keeper_repair.c
@@ -71,7 +71,7 @@
       const struct marjoram_listed_host *host
           = marjoram_host_list_find (hosts, members[i].slot);
 
-      count += host && strcmp (host->beat.region, region) == 0
+      count += host && strcmp (host->heartbeat.region, region) == 0
                && marjoram_keeper_store_in_slot (keeper, members[i].slot,
                                                  FAILED_MS);
     }
@@ -92,16 +92,16 @@
   {
     size_t count;
 
-    if (!host->beat.keeper
-        || marjoram_voters_find (&state->members, host->beat.name)
-        || !marjoram_keeper_store_in_slot (keeper, host->beat.name,
+    if (!host->heartbeat.keeper
+        || marjoram_voters_find (&state->members, host->heartbeat.name)
+        || !marjoram_keeper_store_in_slot (keeper, host->heartbeat.name,
                                            PRESENT_MS))
       continue;
-    count = count_live_members (keeper, state, hosts, host->beat.region);
+    count = count_live_members (keeper, state, hosts, host->heartbeat.region);
     if (count >= fewest)
       continue;
     fewest = count;
-    best = host->beat.name;
+    best = host->heartbeat.name;
   }
   return best;
 }
@@ -159,9 +159,10 @@
   const struct marjoram_listed_host *host;
 
   TAILQ_FOREACH (host, marjoram_host_list_all (hosts), link)
-  if (host->beat.keeper && marjoram_host_list_alive (host, now)
-      && !marjoram_keeper_store_in_slot (keeper, host->beat.name, PRESENT_MS))
-    marjoram_keeper_probe (keeper, now, host->beat.name);
+  if (host->heartbeat.keeper && marjoram_host_list_alive (host, now)
+      && !marjoram_keeper_store_in_slot (keeper, host->heartbeat.name,
+                                         PRESENT_MS))
+    marjoram_keeper_probe (keeper, now, host->heartbeat.name);
 }
 
 static int64_t
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -193,17 +193,17 @@
 }
 
 static void
-role_beat (struct marjoram_role *role, const char *host, uint64_t session,
-           bool first, const struct marjoram_host_beat *beat)
+role_heartbeat (struct marjoram_role *role, const char *host, uint64_t session,
+                bool first, const struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_keeper_role *self = self_of (role);
 
-  if (beat->config_number > 0)
-    marjoram_keeper_observe_number (self->keeper, beat->config_number);
+  if (heartbeat->config_number > 0)
+    marjoram_keeper_observe_number (self->keeper, heartbeat->config_number);
   if (first)
-    marjoram_keeper_send_snapshot (self, host, session, beat);
-  marjoram_keeper_announce_state_to (self, host, session, beat);
-  marjoram_keeper_exchange_retries (self, host, session, beat);
+    marjoram_keeper_send_snapshot (self, host, session, heartbeat);
+  marjoram_keeper_announce_state_to (self, host, session, heartbeat);
+  marjoram_keeper_exchange_retries (self, host, session, heartbeat);
 }
 
 static void
@@ -254,15 +254,16 @@
 }
 
 static void
-role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
+role_fill_heartbeat (struct marjoram_role *role,
+                     struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_keeper_role *self = self_of (role);
   const struct marjoram_state *state
       = marjoram_keeper_durable_state (self->keeper);
 
-  beat->ready = self->stopped_at == 0;
-  beat->leaving = self->stopped_at != 0;
-  beat->config_number = state ? state->number : 0;
+  heartbeat->ready = self->stopped_at == 0;
+  heartbeat->leaving = self->stopped_at != 0;
+  heartbeat->config_number = state ? state->number : 0;
 }
 
 static void
@@ -369,10 +370,10 @@
 
 static const struct marjoram_role_ops role_ops = {
   .frame = role_frame,
-  .beat = role_beat,
+  .heartbeat = role_heartbeat,
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
-  .fill_beat = role_fill_beat,
+  .fill_heartbeat = role_fill_heartbeat,
   .ask = role_ask,
   .report = role_report,
   .reload = role_reload,
--- a/src/keeper_role_private.h
+++ b/src/keeper_role_private.h
@@ -45,21 +45,24 @@
 marjoram_keeper_publish_renewals (struct marjoram_keeper_role *self,
                                   const struct marjoram_news_batch *batch);
 /* Sends the known upstreams and crash reports to a host with a new session. */
-void marjoram_keeper_send_snapshot (struct marjoram_keeper_role *self,
-                                    const char *host, uint64_t session,
-                                    const struct marjoram_host_beat *beat);
-/* Announces the latest state to HOST if BEAT shows that it lacks it.  */
-void marjoram_keeper_announce_state_to (struct marjoram_keeper_role *self,
-                                        const char *host, uint64_t session,
-                                        const struct marjoram_host_beat *beat);
+void
+marjoram_keeper_send_snapshot (struct marjoram_keeper_role *self,
+                               const char *host, uint64_t session,
+                               const struct marjoram_host_beat *heartbeat);
+/* Announces the latest state to HOST if HEARTBEAT shows that it lacks it.  */
+void
+marjoram_keeper_announce_state_to (struct marjoram_keeper_role *self,
+                                   const char *host, uint64_t session,
+                                   const struct marjoram_host_beat *heartbeat);
 void marjoram_keeper_send_state_piece (struct marjoram_keeper_role *self,
                                        const char *host, uint64_t session,
                                        const struct marjoram_state_ask *ask);
 /* Adds the retries that HOST reports, and replies with the totals over all
    hosts if it asks for them.  */
-void marjoram_keeper_exchange_retries (struct marjoram_keeper_role *self,
-                                       const char *host, uint64_t session,
-                                       const struct marjoram_host_beat *beat);
+void
+marjoram_keeper_exchange_retries (struct marjoram_keeper_role *self,
+                                  const char *host, uint64_t session,
+                                  const struct marjoram_host_beat *heartbeat);
 /* Stores a host's crash report and forwards it to the hosts of this region. */
 void
 marjoram_keeper_forward_crashes (struct marjoram_keeper_role *self,
--- a/src/own_receive_lag.c
+++ b/src/own_receive_lag.c
@@ -47,19 +47,19 @@
 {
   own->links = 0;
   own->min_ms = INT64_MAX;
-  own->heard_at = INT64_MIN;
+  own->received_at = INT64_MIN;
 }
 
 /* Connections without a measured round trip are skipped: they would show no
    lag during congestion.  */
 void
 marjoram_own_lag_add (struct marjoram_own_lag *own, int64_t now,
-                      const struct marjoram_link_lag *lag, int64_t heard_at)
+                      const struct marjoram_link_lag *lag, int64_t received_at)
 {
   int64_t ms = lag->round_trip_ms;
 
-  if (heard_at > own->heard_at)
-    own->heard_at = heard_at;
+  if (received_at > own->received_at)
+    own->received_at = received_at;
   if (ms < 0)
     return;
   if (lag->timed != 0 && now - lag->timed_at > ms)
@@ -81,7 +81,7 @@
 marjoram_own_lag_end (struct marjoram_own_lag *own, int64_t now)
 {
   bool is_known
-      = own->links >= LINKS_MIN && now <= own->heard_at + PARTITION_MS;
+      = own->links >= LINKS_MIN && now <= own->received_at + PARTITION_MS;
   int64_t ms = is_known ? own->min_ms : 0;
 
   if (since_last_ms (own, now) > ms)
--- a/src/own_receive_lag.h
+++ b/src/own_receive_lag.h
@@ -30,7 +30,7 @@
   /* Of the measurement in progress.  */
   int links;
   int64_t min_ms;
-  int64_t heard_at; /* last data received on any connection */
+  int64_t received_at; /* last data received on any connection */
 
   int64_t measured_at; /* end of the last measurement; 0 if none */
   int64_t ms;          /* current lag; initially 0 */
@@ -42,7 +42,7 @@
 void marjoram_own_lag_begin (struct marjoram_own_lag *own);
 void marjoram_own_lag_add (struct marjoram_own_lag *own, int64_t now,
                            const struct marjoram_link_lag *lag,
-                           int64_t heard_at);
+                           int64_t received_at);
 void marjoram_own_lag_end (struct marjoram_own_lag *own, int64_t now);
 
 #endif
--- a/src/placement.c
+++ b/src/placement.c
@@ -57,7 +57,7 @@
   endpoint = marjoram_alloc (sizeof *endpoint);
   endpoint->id = marjoram_strdup (id);
   endpoint->cache = marjoram_engine_cache_create ();
-  endpoint->born = MARJORAM_START_UNKNOWN;
+  endpoint->instance_started_at = MARJORAM_START_UNKNOWN;
   endpoint->group = marjoram_load_group (id);
   TAILQ_INIT (&endpoint->unanswered);
   HASH_ADD_KEYPTR (hh, placement->endpoints, endpoint->id,
@@ -157,13 +157,13 @@
 check_restart (struct marjoram_endpoint *endpoint,
                const struct marjoram_registered *upstream)
 {
-  if (endpoint->born == upstream->news.born)
+  if (endpoint->instance_started_at == upstream->heartbeat.started_at)
     return;
   /* Other hosts' reports may have filled the cache model before the upstream's
      first heartbeat.  */
-  if (endpoint->born != MARJORAM_START_UNKNOWN)
+  if (endpoint->instance_started_at != MARJORAM_START_UNKNOWN)
     marjoram_engine_cache_clear (endpoint->cache);
-  endpoint->born = upstream->news.born;
+  endpoint->instance_started_at = upstream->heartbeat.started_at;
   endpoint->paused_until = 0;
   endpoint->connect_failures = 0;
   endpoint->broken_responses = 0;
@@ -174,7 +174,7 @@
                       const struct marjoram_registered *upstream)
 {
   struct marjoram_endpoint *endpoint
-      = marjoram_endpoint_find (placement, upstream->news.id);
+      = marjoram_endpoint_find (placement, upstream->heartbeat.id);
 
   check_restart (endpoint, upstream);
   return endpoint;
@@ -353,7 +353,7 @@
   struct marjoram_placed_attempt *attempt = find_attempt (placement, number);
 
   if (attempt)
-    attempt->endpoint->heard_at = now;
+    attempt->endpoint->last_received_at = now;
 }
 
 int64_t
@@ -363,7 +363,7 @@
   const struct marjoram_placed_attempt *attempt
       = find_attempt (placement, number);
 
-  return attempt ? attempt->endpoint->heard_at : 0;
+  return attempt ? attempt->endpoint->last_received_at : 0;
 }
 
 static void
@@ -444,11 +444,11 @@
 
   TAILQ_FOREACH (upstream, marjoram_registry_all (placement->options.registry),
                  link)
-  if (strcmp (upstream->news.address, address) == 0
-      && upstream->news.state == MARJORAM_UPSTREAM_READY)
+  if (strcmp (upstream->heartbeat.address, address) == 0
+      && upstream->heartbeat.state == MARJORAM_UPSTREAM_READY)
     {
       struct marjoram_endpoint *endpoint
-          = marjoram_endpoint_find (placement, upstream->news.id);
+          = marjoram_endpoint_find (placement, upstream->heartbeat.id);
 
       endpoint->disconnected_at = now;
       endpoint->report_disconnect = true;
@@ -472,8 +472,8 @@
 
   TAILQ_FOREACH (upstream, marjoram_registry_all (placement->options.registry),
                  link)
-  if (strcmp (upstream->news.zone, zone) == 0)
-    marjoram_endpoint_find (placement, upstream->news.id)->disconnected_at
+  if (strcmp (upstream->heartbeat.zone, zone) == 0)
+    marjoram_endpoint_find (placement, upstream->heartbeat.id)->disconnected_at
         = now;
 }
 
--- a/src/placement.h
+++ b/src/placement.h
@@ -89,7 +89,7 @@
   int usable;         /* those that may be sent requests now */
   int64_t backlog_ms; /* queued prompts at the chosen upstream */
   enum marjoram_place_limit limit; /* for BUSY: the limit exceeded */
-  int64_t news_age_ms;             /* age of the oldest heartbeat considered */
+  int64_t heartbeat_age_ms;        /* age of the oldest heartbeat considered */
 };
 
 marjoram_placement *
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -61,7 +61,7 @@
       || now < endpoint->cold_until)
     return true;
   return endpoint->disconnected_at != 0
-         && upstream->heard_at
+         && upstream->received_at
                 <= endpoint->disconnected_at + HEARTBEAT_DELAY_MS;
 }
 
@@ -102,12 +102,13 @@
 
   if (!marjoram_registry_usable (options->registry, upstream, now))
     return false;
-  region = options->region_of (options->context, upstream->news.zone);
+  region = options->region_of (options->context, upstream->heartbeat.zone);
   if (!region || strcmp (region, placement->region) != 0)
     return false;
-  return !options->is_evacuated (options->context, upstream->news.zone)
+  return !options->is_evacuated (options->context, upstream->heartbeat.zone)
          || (query->last_resort
-             && options->is_leaving (options->context, upstream->news.zone));
+             && options->is_leaving (options->context,
+                                     upstream->heartbeat.zone));
 }
 
 /* Tie-breaker that is the same on all hosts.  Hashes the last part that
@@ -209,7 +210,8 @@
       = marjoram_placement_service_stats (placement, query->service->name);
   struct marjoram_endpoint_load load
       = marjoram_endpoint_total_load (endpoint, now);
-  int64_t slots = upstream->news.slots > 0 ? upstream->news.slots : 1;
+  int64_t slots
+      = upstream->heartbeat.slots > 0 ? upstream->heartbeat.slots : 1;
   struct estimate estimate = { 0 };
 
   estimate.idle = load.running == 0;
@@ -249,7 +251,7 @@
 {
   if (now < endpoint->paused_until
       || (endpoint->address_conflict_at != 0
-          && upstream->heard_at <= endpoint->address_conflict_at))
+          && upstream->received_at <= endpoint->address_conflict_at))
     return false;
   if (was_tried (query, endpoint->id) && !query->again)
     return false;
@@ -375,8 +377,8 @@
     if (!marjoram_placement_is_candidate (placement, upstream, query, now))
       continue;
     place->candidates++;
-    if (now - upstream->heard_at > place->news_age_ms)
-      place->news_age_ms = now - upstream->heard_at;
+    if (now - upstream->received_at > place->heartbeat_age_ms)
+      place->heartbeat_age_ms = now - upstream->received_at;
     endpoint = marjoram_endpoint_of (placement, upstream);
     if (!is_usable (placement, endpoint, upstream, query, now))
       continue;
--- a/src/placement_copy.c
+++ b/src/placement_copy.c
@@ -48,7 +48,7 @@
 {
   return now >= endpoint->paused_until && now >= endpoint->suspected_until
          && (endpoint->disconnected_at == 0
-             || upstream->heard_at > endpoint->disconnected_at);
+             || upstream->received_at > endpoint->disconnected_at);
 }
 
 void
@@ -73,7 +73,7 @@
     if (!marjoram_placement_is_candidate (placement, upstream, query, now))
       continue;
     endpoint = marjoram_endpoint_of (placement, upstream);
-    zone = find_or_add_zone (sources, upstream->news.zone);
+    zone = find_or_add_zone (sources, upstream->heartbeat.zone);
     if (zone && may_copy_from (endpoint, upstream, now))
       add_source (zone, upstream,
                   marjoram_endpoint_cached_tokens (endpoint, query->facts));
@@ -85,7 +85,7 @@
             const struct marjoram_registered *upstream)
 {
   for (size_t i = 0; i < sources->zone_count; i++)
-    if (strcmp (sources->zones[i].zone, upstream->news.zone) == 0)
+    if (strcmp (sources->zones[i].zone, upstream->heartbeat.zone) == 0)
       return sources->zones[i].first.upstream == upstream
                  ? &sources->zones[i].second
                  : &sources->zones[i].first;
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -39,7 +39,8 @@
   UT_hash_handle hh;
 };
 
-/* Value of BORN while the endpoint is known only from other hosts' reports. */
+/* Value of INSTANCE_STARTED_AT while the endpoint is known only from other
+ * hosts' reports. */
 #define MARJORAM_START_UNKNOWN INT64_MIN
 
 /* Placement state of one upstream, in addition to the registry entry.  */
@@ -58,12 +59,13 @@
   int64_t reported_at;
   marjoram_engine_cache *cache;
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
-  int64_t born;     /* start time of the instance that CACHE models */
+  int64_t
+      instance_started_at; /* start time of the instance that CACHE models */
   int64_t paused_until;
   int64_t suspected_until; /* used only if there is no alternative */
   int64_t disconnected_at; /* 0 if its connections never broke */
   int64_t address_conflict_at;
-  int64_t heard_at; /* last response data to this host; 0 if none */
+  int64_t last_received_at; /* last response data to this host; 0 if none */
   int64_t cold_until;
   int64_t cold_sent_at; /* last request sent; limits the rate while cold */
   int connect_failures;
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -98,8 +98,8 @@
 static const char *const state_names[] = { "ready", "leaving", "gone" };
 
 static void
-log_news (const struct marjoram_upstream_heartbeat *news,
-          enum marjoram_registry_result result)
+log_heartbeat (const struct marjoram_upstream_heartbeat *heartbeat,
+               enum marjoram_registry_result result)
 {
   if (result == MARJORAM_REGISTRY_RENEWED)
     return;
@@ -107,11 +107,12 @@
       MARJORAM_EVENT_UPSTREAM,
       "id=%s state=%s taken=%s service=%s address=%s zone=%s "
       "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64 " ends_ms=%" PRId64,
-      news->id, state_names[news->state],
+      heartbeat->id, state_names[heartbeat->state],
       result == MARJORAM_REGISTRY_STALE ? "no" : "yes",
-      *news->service ? news->service : "-",
-      *news->address ? news->address : "-", *news->zone ? news->zone : "-",
-      news->born, news->sequence, news->cold_ms, news->ends_ms);
+      *heartbeat->service ? heartbeat->service : "-",
+      *heartbeat->address ? heartbeat->address : "-",
+      *heartbeat->zone ? heartbeat->zone : "-", heartbeat->started_at,
+      heartbeat->sequence, heartbeat->cold_ms, heartbeat->ends_ms);
 }
 
 static size_t
@@ -146,17 +147,17 @@
 }
 
 static bool
-check_news (const marjoram_registrar *registrar,
-            const struct marjoram_upstream_heartbeat *news,
-            struct marjoram_error *err)
+check_heartbeat (const marjoram_registrar *registrar,
+                 const struct marjoram_upstream_heartbeat *heartbeat,
+                 struct marjoram_error *err)
 {
-  if (news->state == MARJORAM_UPSTREAM_GONE
+  if (heartbeat->state == MARJORAM_UPSTREAM_GONE
       || registrar->options.knows_zone (registrar->options.context,
-                                        news->zone))
+                                        heartbeat->zone))
     return true;
   return marjoram_error_set (
       err, MARJORAM_ERROR_INVALID,
-      "unknown zone \"%s\"; use one listed in the settings", news->zone);
+      "unknown zone \"%s\"; use one listed in the settings", heartbeat->zone);
 }
 
 void
@@ -179,30 +180,30 @@
       = marjoram_registry_find (registrar->options.registry, id);
 
   if (upstream)
-    upstream->direct_heard_at = now;
+    upstream->direct_received_at = now;
 }
 
 static void
-process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-              const struct marjoram_upstream_heartbeat *news)
+process_heartbeat (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+                   const struct marjoram_upstream_heartbeat *heartbeat)
 {
-  enum marjoram_registry_result result
-      = marjoram_registry_update (registrar->options.registry, now, news, 0);
+  enum marjoram_registry_result result = marjoram_registry_update (
+      registrar->options.registry, now, heartbeat, 0);
 
-  log_news (news, result);
-  record_contact (registrar, now, news->id);
+  log_heartbeat (heartbeat, result);
+  record_contact (registrar, now, heartbeat->id);
   marjoram_metrics_add (registrar->options.metrics,
                         result == MARJORAM_REGISTRY_STALE
-                            ? MARJORAM_METRIC_NEWS_STALE
-                            : MARJORAM_METRIC_NEWS,
+                            ? MARJORAM_METRIC_UPSTREAM_HEARTBEATS_STALE
+                            : MARJORAM_METRIC_UPSTREAM_HEARTBEATS,
                         1);
-  if (news->state != MARJORAM_UPSTREAM_READY)
+  if (heartbeat->state != MARJORAM_UPSTREAM_READY)
     {
-      confirm_leave (registrar, now, ask, news->id);
+      confirm_leave (registrar, now, ask, heartbeat->id);
       return;
     }
   if (result == MARJORAM_REGISTRY_CHANGED)
-    broadcast_one (registrar, now, news->id, 0);
+    broadcast_one (registrar, now, heartbeat->id, 0);
   else if (result == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
     registrar->renewals_since = now;
   marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
@@ -216,10 +217,10 @@
 
   for (size_t i = 0; i < batch->items.count; i++)
     {
-      struct marjoram_upstream_heartbeat news;
+      struct marjoram_upstream_heartbeat heartbeat;
 
-      if (marjoram_registry_unpack (&items[i], &news))
-        marjoram_registry_update (registrar->options.registry, now, &news,
+      if (marjoram_registry_unpack (&items[i], &heartbeat))
+        marjoram_registry_update (registrar->options.registry, now, &heartbeat,
                                   items[i].age_ms);
     }
 }
@@ -242,7 +243,7 @@
   batch->items.items = items = marjoram_alloc (count * sizeof *items);
   batch->items.count = 0;
   TAILQ_FOREACH (upstream, all, link)
-  if (upstream->direct_heard_at >= since
+  if (upstream->direct_received_at >= since
       && batch->items.count < MARJORAM_NEWS_MAX)
     marjoram_registry_pack (upstream, now, &items[batch->items.count++]);
 }
@@ -355,7 +356,7 @@
   TAILQ_FOREACH (host, marjoram_host_list_all (registrar->options.hosts), link)
   if (marjoram_host_list_serves (host, now))
     {
-      size_t homes = home_route_count (lookup, host->beat.region);
+      size_t homes = home_route_count (lookup, host->heartbeat.region);
 
       if (homes > lookup->most_homes)
         lookup->most_homes = homes;
@@ -411,7 +412,7 @@
   if (!registrar->options.dialect->ops->read_api_request (method, target, body,
                                                           size, &request, &err)
       || (request.kind == MARJORAM_API_HEARTBEAT
-          && !check_news (registrar, &request.news, &err)))
+          && !check_heartbeat (registrar, &request.heartbeat, &err)))
     {
       marjoram_registrar_reject (registrar, ask, target, &err);
       return;
@@ -422,7 +423,7 @@
       look_up (registrar, now, ask, &request);
       break;
     case MARJORAM_API_HEARTBEAT:
-      process_news (registrar, now, ask, &request.news);
+      process_heartbeat (registrar, now, ask, &request.heartbeat);
       break;
     case MARJORAM_API_CONFIG_SET:
       marjoram_registrar_set_config (registrar, now, ask, body, size);
--- a/src/registry.c
+++ b/src/registry.c
@@ -28,7 +28,7 @@
   struct marjoram_registered_service *services;
   struct marjoram_registered_list list;
   struct marjoram_registered *by_id;
-  int64_t heard_at; /* latest heartbeat of any upstream */
+  int64_t received_at; /* latest heartbeat of any upstream */
 };
 
 marjoram_registry *
@@ -37,7 +37,7 @@
   marjoram_registry *registry = marjoram_alloc (sizeof *registry);
 
   TAILQ_INIT (&registry->list);
-  registry->heard_at = INT64_MIN / 2;
+  registry->received_at = INT64_MIN / 2;
   return registry;
 }
 
@@ -81,10 +81,11 @@
               struct marjoram_registered *upstream)
 {
   if (upstream->service
-      && strcmp (upstream->service->name, upstream->news.service) == 0)
+      && strcmp (upstream->service->name, upstream->heartbeat.service) == 0)
     return;
   leave_service (registry, upstream);
-  upstream->service = find_or_add_service (registry, upstream->news.service);
+  upstream->service
+      = find_or_add_service (registry, upstream->heartbeat.service);
   TAILQ_INSERT_TAIL (&upstream->service->upstreams, upstream, service_link);
   upstream->service->count++;
 }
@@ -145,17 +146,19 @@
 }
 
 static void
-store_news (marjoram_registry *registry, struct marjoram_registered *upstream,
-            int64_t now, const struct marjoram_upstream_heartbeat *news,
-            int64_t age_ms)
+store_heartbeat (marjoram_registry *registry,
+                 struct marjoram_registered *upstream, int64_t now,
+                 const struct marjoram_upstream_heartbeat *heartbeat,
+                 int64_t age_ms)
 {
-  int64_t heard_at = now - age_ms;
+  int64_t received_at = now - age_ms;
 
-  upstream->news = *news;
-  upstream->heard_at = heard_at;
-  upstream->cold_until = news->cold_ms > 0 ? heard_at + news->cold_ms : 0;
+  upstream->heartbeat = *heartbeat;
+  upstream->received_at = received_at;
+  upstream->cold_until
+      = heartbeat->cold_ms > 0 ? received_at + heartbeat->cold_ms : 0;
   upstream->ends_at
-      = news->ends_ms >= 0 ? heard_at + news->ends_ms : INT64_MAX;
+      = heartbeat->ends_ms >= 0 ? received_at + heartbeat->ends_ms : INT64_MAX;
   join_service (registry, upstream);
 }
 
@@ -163,50 +166,52 @@
    over; the most recently started instance keeps the address.  */
 static bool
 claim_address (marjoram_registry *registry,
-               const struct marjoram_upstream_heartbeat *news)
+               const struct marjoram_upstream_heartbeat *heartbeat)
 {
   struct marjoram_registered *other;
 
   TAILQ_FOREACH (other, &registry->list, link)
   {
-    if (other->news.state == MARJORAM_UPSTREAM_GONE
-        || strcmp (other->news.address, news->address) != 0
-        || strcmp (other->news.id, news->id) == 0)
+    if (other->heartbeat.state == MARJORAM_UPSTREAM_GONE
+        || strcmp (other->heartbeat.address, heartbeat->address) != 0
+        || strcmp (other->heartbeat.id, heartbeat->id) == 0)
       continue;
-    if (news->born < other->news.born)
+    if (heartbeat->started_at < other->heartbeat.started_at)
       return false;
-    if (news->born > other->news.born)
-      other->news.state = MARJORAM_UPSTREAM_GONE;
+    if (heartbeat->started_at > other->heartbeat.started_at)
+      other->heartbeat.state = MARJORAM_UPSTREAM_GONE;
   }
   return true;
 }
 
 static enum marjoram_registry_result
 add (marjoram_registry *registry, int64_t now,
-     const struct marjoram_upstream_heartbeat *news, int64_t age_ms)
+     const struct marjoram_upstream_heartbeat *heartbeat, int64_t age_ms)
 {
   struct marjoram_registered *upstream;
 
   /* A deregistration of an unknown upstream is recorded too, as delayed
      heartbeats may follow it.  */
-  if (news->state != MARJORAM_UPSTREAM_GONE && !claim_address (registry, news))
+  if (heartbeat->state != MARJORAM_UPSTREAM_GONE
+      && !claim_address (registry, heartbeat))
     return MARJORAM_REGISTRY_STALE;
   upstream = marjoram_alloc (sizeof *upstream);
-  upstream->direct_heard_at = INT64_MIN;
-  store_news (registry, upstream, now, news, age_ms);
+  upstream->direct_received_at = INT64_MIN;
+  store_heartbeat (registry, upstream, now, heartbeat, age_ms);
   TAILQ_INSERT_TAIL (&registry->list, upstream, link);
-  HASH_ADD_STR (registry->by_id, news.id, upstream);
+  HASH_ADD_STR (registry->by_id, heartbeat.id, upstream);
   return MARJORAM_REGISTRY_CHANGED;
 }
 
 static enum marjoram_registry_result
 leave (struct marjoram_registered *upstream,
-       const struct marjoram_upstream_heartbeat *news)
+       const struct marjoram_upstream_heartbeat *heartbeat)
 {
-  if (upstream->news.state == MARJORAM_UPSTREAM_GONE
-      || (news->born != 0 && news->born < upstream->news.born))
+  if (upstream->heartbeat.state == MARJORAM_UPSTREAM_GONE
+      || (heartbeat->started_at != 0
+          && heartbeat->started_at < upstream->heartbeat.started_at))
     return MARJORAM_REGISTRY_STALE;
-  upstream->news.state = MARJORAM_UPSTREAM_GONE;
+  upstream->heartbeat.state = MARJORAM_UPSTREAM_GONE;
   return MARJORAM_REGISTRY_CHANGED;
 }
 
@@ -214,48 +219,49 @@
    does not undo a deregistration.  */
 static enum marjoram_registry_result
 renew (marjoram_registry *registry, struct marjoram_registered *upstream,
-       int64_t now, const struct marjoram_upstream_heartbeat *news,
+       int64_t now, const struct marjoram_upstream_heartbeat *heartbeat,
        int64_t age_ms)
 {
-  enum marjoram_upstream_state before = upstream->news.state;
-  bool moved = strcmp (upstream->news.address, news->address) != 0
-               || strcmp (upstream->news.service, news->service) != 0;
+  enum marjoram_upstream_state before = upstream->heartbeat.state;
+  bool moved
+      = strcmp (upstream->heartbeat.address, heartbeat->address) != 0
+        || strcmp (upstream->heartbeat.service, heartbeat->service) != 0;
 
   if (before == MARJORAM_UPSTREAM_GONE
-      || news->sequence <= upstream->news.sequence)
+      || heartbeat->sequence <= upstream->heartbeat.sequence)
     return MARJORAM_REGISTRY_STALE;
-  store_news (registry, upstream, now, news, age_ms);
-  if (upstream->news.state < before)
-    upstream->news.state = before;
-  return upstream->news.state != before || moved || news->cold_ms > 0
+  store_heartbeat (registry, upstream, now, heartbeat, age_ms);
+  if (upstream->heartbeat.state < before)
+    upstream->heartbeat.state = before;
+  return upstream->heartbeat.state != before || moved || heartbeat->cold_ms > 0
              ? MARJORAM_REGISTRY_CHANGED
              : MARJORAM_REGISTRY_RENEWED;
 }
 
 enum marjoram_registry_result
 marjoram_registry_update (marjoram_registry *registry, int64_t now,
-                          const struct marjoram_upstream_heartbeat *news,
+                          const struct marjoram_upstream_heartbeat *heartbeat,
                           int64_t age_ms)
 {
   struct marjoram_registered *upstream
-      = marjoram_registry_find (registry, news->id);
+      = marjoram_registry_find (registry, heartbeat->id);
 
-  if (now - age_ms > registry->heard_at)
-    registry->heard_at = now - age_ms;
+  if (now - age_ms > registry->received_at)
+    registry->received_at = now - age_ms;
   if (!upstream)
-    return add (registry, now, news, age_ms);
-  if (news->state == MARJORAM_UPSTREAM_GONE)
-    return leave (upstream, news);
-  if (news->born < upstream->news.born)
+    return add (registry, now, heartbeat, age_ms);
+  if (heartbeat->state == MARJORAM_UPSTREAM_GONE)
+    return leave (upstream, heartbeat);
+  if (heartbeat->started_at < upstream->heartbeat.started_at)
     return MARJORAM_REGISTRY_STALE;
-  if (news->born > upstream->news.born)
+  if (heartbeat->started_at > upstream->heartbeat.started_at)
     {
-      if (!claim_address (registry, news))
+      if (!claim_address (registry, heartbeat))
         return MARJORAM_REGISTRY_STALE;
-      store_news (registry, upstream, now, news, age_ms);
+      store_heartbeat (registry, upstream, now, heartbeat, age_ms);
       return MARJORAM_REGISTRY_CHANGED;
     }
-  return renew (registry, upstream, now, news, age_ms);
+  return renew (registry, upstream, now, heartbeat, age_ms);
 }
 
 size_t
@@ -271,10 +277,10 @@
                           const struct marjoram_registered *upstream,
                           int64_t now)
 {
-  return upstream->news.state == MARJORAM_UPSTREAM_READY
+  return upstream->heartbeat.state == MARJORAM_UPSTREAM_READY
          && upstream->ends_at == INT64_MAX
-         && upstream->heard_at > registry->heard_at - SILENT_MS
-         && now - upstream->heard_at < FORGET_MS;
+         && upstream->received_at > registry->received_at - SILENT_MS
+         && now - upstream->received_at < FORGET_MS;
 }
 
 void
@@ -286,8 +292,8 @@
     {
       struct marjoram_registered *next = TAILQ_NEXT (upstream, link);
 
-      if (now - upstream->heard_at > FORGET_MS
-          && registry->heard_at - upstream->heard_at > SILENT_MS)
+      if (now - upstream->received_at > FORGET_MS
+          && registry->received_at - upstream->received_at > SILENT_MS)
         remove_upstream (registry, upstream);
       upstream = next;
     }
@@ -303,22 +309,22 @@
 marjoram_registry_pack (const struct marjoram_registered *upstream,
                         int64_t now, struct marjoram_news_item *item)
 {
-  const struct marjoram_upstream_heartbeat *news = &upstream->news;
+  const struct marjoram_upstream_heartbeat *heartbeat = &upstream->heartbeat;
 
   *item = (struct marjoram_news_item){
-    .id = (char *)news->id,
-    .service = (char *)news->service,
-    .address = (char *)news->address,
-    .zone = (char *)news->zone,
-    .state = news->state,
-    .born = news->born,
-    .sequence = news->sequence,
+    .id = (char *)heartbeat->id,
+    .service = (char *)heartbeat->service,
+    .address = (char *)heartbeat->address,
+    .zone = (char *)heartbeat->zone,
+    .state = heartbeat->state,
+    .started_at = heartbeat->started_at,
+    .sequence = heartbeat->sequence,
     .cold_ms = remaining_ms (upstream->cold_until, now),
     .ends_ms = upstream->ends_at == INT64_MAX
                    ? -1
                    : remaining_ms (upstream->ends_at, now),
-    .age_ms = now - upstream->heard_at,
-    .slots = news->slots,
+    .age_ms = now - upstream->received_at,
+    .slots = heartbeat->slots,
   };
 }
 
@@ -333,21 +339,22 @@
 
 bool
 marjoram_registry_unpack (const struct marjoram_news_item *item,
-                          struct marjoram_upstream_heartbeat *news)
+                          struct marjoram_upstream_heartbeat *heartbeat)
 {
-  memset (news, 0, sizeof *news);
-  if (!copy_id (news->id, item->id) || !copy_id (news->service, item->service)
-      || !copy_id (news->address, item->address)
-      || !copy_id (news->zone, item->zone)
+  memset (heartbeat, 0, sizeof *heartbeat);
+  if (!copy_id (heartbeat->id, item->id)
+      || !copy_id (heartbeat->service, item->service)
+      || !copy_id (heartbeat->address, item->address)
+      || !copy_id (heartbeat->zone, item->zone)
       || item->state > MARJORAM_UPSTREAM_GONE || item->age_ms < 0)
     return false;
-  news->state = (enum marjoram_upstream_state)item->state;
-  news->born = item->born;
-  news->sequence = item->sequence;
+  heartbeat->state = (enum marjoram_upstream_state)item->state;
+  heartbeat->started_at = item->started_at;
+  heartbeat->sequence = item->sequence;
   /* Both are relative to the time of sending, whereas the record counts from
      reception by the keeper.  */
-  news->cold_ms = item->cold_ms > 0 ? item->cold_ms + item->age_ms : 0;
-  news->ends_ms = item->ends_ms >= 0 ? item->ends_ms + item->age_ms : -1;
-  news->slots = item->slots;
+  heartbeat->cold_ms = item->cold_ms > 0 ? item->cold_ms + item->age_ms : 0;
+  heartbeat->ends_ms = item->ends_ms >= 0 ? item->ends_ms + item->age_ms : -1;
+  heartbeat->slots = item->slots;
   return true;
 }
--- a/src/registry.h
+++ b/src/registry.h
@@ -21,9 +21,9 @@
   TAILQ_ENTRY (marjoram_registered) service_link;
   struct marjoram_registered_service *service;
   struct marjoram_upstream_heartbeat
-      news;                /* latest heartbeat, durations as received */
-  int64_t heard_at;        /* when a keeper received the heartbeat */
-  int64_t direct_heard_at; /* last heartbeat received directly; INT64_MIN if
+      heartbeat;              /* latest heartbeat, durations as received */
+  int64_t received_at;        /* when a keeper received the heartbeat */
+  int64_t direct_received_at; /* last heartbeat received directly; INT64_MIN if
                               none */
   int64_t cold_until;
   int64_t ends_at; /* INT64_MAX if unknown */
@@ -41,10 +41,10 @@
 
 marjoram_registry *marjoram_registry_create (void);
 void marjoram_registry_destroy (marjoram_registry *registry);
-/* Applies NEWS, which a keeper received AGE_MS ago.  */
+/* Applies HEARTBEAT, which a keeper received AGE_MS ago.  */
 enum marjoram_registry_result
 marjoram_registry_update (marjoram_registry *registry, int64_t now,
-                          const struct marjoram_upstream_heartbeat *news,
+                          const struct marjoram_upstream_heartbeat *heartbeat,
                           int64_t age_ms);
 /* NULL if ID is unknown.  */
 struct marjoram_registered *
@@ -71,6 +71,6 @@
 void marjoram_registry_pack (const struct marjoram_registered *upstream,
                              int64_t now, struct marjoram_news_item *item);
 bool marjoram_registry_unpack (const struct marjoram_news_item *item,
-                               struct marjoram_upstream_heartbeat *news);
+                               struct marjoram_upstream_heartbeat *heartbeat);
 
 #endif
--- a/src/role.h
+++ b/src/role.h
@@ -17,13 +17,14 @@
   void (*frame) (struct marjoram_role *role, const char *host,
                  uint64_t session, enum marjoram_frame_type type,
                  void *message);
-  void (*beat) (struct marjoram_role *role, const char *host, uint64_t session,
-                bool first, const struct marjoram_host_beat *beat);
+  void (*heartbeat) (struct marjoram_role *role, const char *host,
+                     uint64_t session, bool first,
+                     const struct marjoram_host_beat *heartbeat);
   void (*session_closed) (struct marjoram_role *role, const char *host,
                           uint64_t session);
   void (*link_lost) (struct marjoram_role *role, const char *host);
-  void (*fill_beat) (struct marjoram_role *role,
-                     struct marjoram_host_beat *beat);
+  void (*fill_heartbeat) (struct marjoram_role *role,
+                          struct marjoram_host_beat *heartbeat);
   /* A request to the host's HTTP API, other than for metrics.  */
   void (*ask) (struct marjoram_role *role, uint64_t ask, const char *method,
                const char *target, const char *body, size_t size);
--- a/test/fake_replica.c
+++ b/test/fake_replica.c
@@ -47,11 +47,11 @@
   int keeper_count;
   int keeper; /* index of the current keeper */
   int sequence;
-  int64_t born;
+  int64_t started_at;
   bool leaving;
   bool acknowledged;
   int log;
-  struct event *beat;
+  struct event *heartbeat;
 };
 
 /* Event stream in progress.  */
@@ -113,7 +113,7 @@
       "\"cold_remaining_ms\":0,\"seq\":%d,\"born\":%" PRId64 "}",
       replica->service, replica->address, replica->zone,
       replica->leaving ? "draining" : "ready", ++replica->sequence,
-      replica->born);
+      replica->started_at);
   snprintf (path, sizeof path, "/-/instances/%s/%s", replica->id, what);
   evhttp_make_request (connection, request, EVHTTP_REQ_POST, path);
 }
@@ -140,7 +140,7 @@
       return;
     }
   log_event (replica, "acknowledged", NULL);
-  event_del (replica->beat);
+  event_del (replica->heartbeat);
   post_to_keeper (replica, "deregister");
   event_base_once (replica->base, -1, EV_TIMEOUT, on_exit_timer, replica,
                    &wait);
@@ -387,7 +387,7 @@
     }
   signal (SIGPIPE, SIG_IGN);
   replica.base = event_base_new ();
-  replica.born = marjoram_clock_wall (replica.clock);
+  replica.started_at = marjoram_clock_wall (replica.clock);
   replica.server = marjoram_http_server_create (
       replica.base, replica.clock, replica.listen, &ops, &replica, &err);
   if (!replica.server)
@@ -395,9 +395,9 @@
       fprintf (stderr, "fake_replica: %s\n", err.message);
       return EXIT_FAILURE;
     }
-  replica.beat
+  replica.heartbeat
       = event_new (replica.base, -1, EV_PERSIST, on_heartbeat_timer, &replica);
-  event_add (replica.beat, &every);
+  event_add (replica.heartbeat, &every);
   event_add (evsignal_new (replica.base, SIGTERM, on_sigterm, &replica), NULL);
   log_event (&replica, "start", NULL);
   event_base_dispatch (replica.base);
--- a/test/lib_gateway.c
+++ b/test/lib_gateway.c
@@ -196,14 +196,14 @@
 add_upstream (struct gateway_fixture *f, const char *id, const char *service,
               const char *address)
 {
-  struct marjoram_upstream_heartbeat news
-      = { .born = 1, .sequence = 1, .ends_ms = -1, .slots = 4 };
-
-  snprintf (news.id, sizeof news.id, "%s", id);
-  snprintf (news.service, sizeof news.service, "%s", service);
-  snprintf (news.address, sizeof news.address, "%s", address);
-  snprintf (news.zone, sizeof news.zone, "z1");
-  marjoram_registry_update (f->registry, 0, &news, 0);
+  struct marjoram_upstream_heartbeat heartbeat
+      = { .started_at = 1, .sequence = 1, .ends_ms = -1, .slots = 4 };
+
+  snprintf (heartbeat.id, sizeof heartbeat.id, "%s", id);
+  snprintf (heartbeat.service, sizeof heartbeat.service, "%s", service);
+  snprintf (heartbeat.address, sizeof heartbeat.address, "%s", address);
+  snprintf (heartbeat.zone, sizeof heartbeat.zone, "z1");
+  marjoram_registry_update (f->registry, 0, &heartbeat, 0);
 }
 
 static void
@@ -211,16 +211,16 @@
 {
   struct marjoram_host_offer offers[]
       = { { (char *)"lm", 2, 5, 0 }, { (char *)"app", 1, 5, 0 } };
-  struct marjoram_host_beat beat = { .name = (char *)name,
-                                     .zone = (char *)region,
-                                     .region = (char *)region,
-                                     .entry = (char *)name,
-                                     .ready = true,
-                                     .incarnation = 1,
-                                     .sequence = 1,
-                                     .offers = { offers, 2 } };
-
-  marjoram_host_list_update (f->hosts, 0, &beat, true);
+  struct marjoram_host_beat heartbeat = { .name = (char *)name,
+                                          .zone = (char *)region,
+                                          .region = (char *)region,
+                                          .entry = (char *)name,
+                                          .ready = true,
+                                          .incarnation = 1,
+                                          .sequence = 1,
+                                          .offers = { offers, 2 } };
+
+  marjoram_host_list_update (f->hosts, 0, &heartbeat, true);
 }
 
 void
@@ -290,25 +290,25 @@
 
 void
 gateway_fixture_restart (struct gateway_fixture *f, int64_t now,
-                         const char *id, int64_t born)
+                         const char *id, int64_t started_at)
 {
-  struct marjoram_upstream_heartbeat news
-      = marjoram_registry_find (f->registry, id)->news;
+  struct marjoram_upstream_heartbeat heartbeat
+      = marjoram_registry_find (f->registry, id)->heartbeat;
 
-  news.born = born;
-  news.sequence = 1;
-  marjoram_registry_update (f->registry, now, &news, 0);
+  heartbeat.started_at = started_at;
+  heartbeat.sequence = 1;
+  marjoram_registry_update (f->registry, now, &heartbeat, 0);
 }
 
 void
 gateway_fixture_leave (struct gateway_fixture *f, int64_t now, const char *id)
 {
-  struct marjoram_upstream_heartbeat news
-      = marjoram_registry_find (f->registry, id)->news;
+  struct marjoram_upstream_heartbeat heartbeat
+      = marjoram_registry_find (f->registry, id)->heartbeat;
 
-  news.state = MARJORAM_UPSTREAM_LEAVING;
-  news.sequence++;
-  marjoram_registry_update (f->registry, now, &news, 0);
+  heartbeat.state = MARJORAM_UPSTREAM_LEAVING;
+  heartbeat.sequence++;
+  marjoram_registry_update (f->registry, now, &heartbeat, 0);
 }
 
 static uint64_t
--- a/test/lib_gateway.h
+++ b/test/lib_gateway.h
@@ -54,9 +54,9 @@
 void gateway_fixture_close (struct gateway_fixture *f);
 /* Activates the routes; before, there is no configuration.  */
 void gateway_fixture_configure (struct gateway_fixture *f);
-/* Upstream ID reports at NOW that it was restarted at BORN.  */
+/* Upstream ID reports at NOW that it was restarted at STARTED_AT.  */
 void gateway_fixture_restart (struct gateway_fixture *f, int64_t now,
-                              const char *id, int64_t born);
+                              const char *id, int64_t started_at);
 /* Upstream ID reports at NOW that it is leaving.  */
 void gateway_fixture_leave (struct gateway_fixture *f, int64_t now,
                             const char *id);
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -124,14 +124,16 @@
 {
   for (int i = 0; i < load->terms->engines; i++)
     {
-      struct marjoram_upstream_heartbeat news
-          = { .born = 1, .sequence = now + 1, .ends_ms = -1, .slots = SLOTS };
-
-      snprintf (news.id, sizeof news.id, "%s", load->engines[i].id);
-      snprintf (news.service, sizeof news.service, "lm");
-      snprintf (news.address, sizeof news.address, "10.0.0.%d:80", i + 1);
-      snprintf (news.zone, sizeof news.zone, "z");
-      marjoram_registry_update (load->registry, now, &news, 0);
+      struct marjoram_upstream_heartbeat heartbeat = {
+        .started_at = 1, .sequence = now + 1, .ends_ms = -1, .slots = SLOTS
+      };
+
+      snprintf (heartbeat.id, sizeof heartbeat.id, "%s", load->engines[i].id);
+      snprintf (heartbeat.service, sizeof heartbeat.service, "lm");
+      snprintf (heartbeat.address, sizeof heartbeat.address, "10.0.0.%d:80",
+                i + 1);
+      snprintf (heartbeat.zone, sizeof heartbeat.zone, "z");
+      marjoram_registry_update (load->registry, now, &heartbeat, 0);
     }
 }
 
@@ -400,7 +402,7 @@
 find_engine (struct load *load, const struct marjoram_registered *upstream)
 {
   for (int i = 0; upstream && i < load->terms->engines; i++)
-    if (strcmp (load->engines[i].id, upstream->news.id) == 0)
+    if (strcmp (load->engines[i].id, upstream->heartbeat.id) == 0)
       return &load->engines[i];
   return NULL;
 }
@@ -446,7 +448,7 @@
   query.expected_ms = place.wait_ms;
   query.copied_tokens = place.copied_tokens;
   marjoram_placement_attempt_started (placement, now, job->number,
-                                      place.upstream->news.id, &query);
+                                      place.upstream->heartbeat.id, &query);
   start_job (load, find_engine (load, place.upstream),
              find_engine (load, place.copy_from), job);
 }
--- a/test/test_fuzz_state.c
+++ b/test/test_fuzz_state.c
@@ -94,14 +94,14 @@
 {
   const char *keeper = keepers[below (in, KEEPERS)];
   struct marjoram_state_ask ask = { 0 };
-  struct marjoram_state_news news = { 0 };
+  struct marjoram_state_news announcement = { 0 };
   struct marjoram_state_piece piece = { 0 };
 
   fill_message (in, &marjoram_state_ask_layout, (char *)&ask);
   respond (world, now, NULL, &ask);
-  fill_message (in, &marjoram_state_news_layout, (char *)&news);
+  fill_message (in, &marjoram_state_news_layout, (char *)&announcement);
   marjoram_state_fetch_announced (world->fetch, now, keeper,
-                                  below (in, 2) == 0, news.number);
+                                  below (in, 2) == 0, announcement.number);
   fill_message (in, &marjoram_state_piece_layout, (char *)&piece);
   if (below (in, 2) == 0)
     piece.number = world->ask.number;
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -65,24 +65,25 @@
 static void
 receive_upstream (struct fleet *fleet, int number)
 {
-  struct marjoram_upstream_heartbeat news = { 0 };
-
-  snprintf (news.id, sizeof news.id, "u-%d", number);
-  snprintf (news.service, sizeof news.service, "lm");
-  snprintf (news.address, sizeof news.address, "10.0.0.1:%d", number + 1);
-  snprintf (news.zone, sizeof news.zone, "z");
-  news.state = MARJORAM_UPSTREAM_READY;
-  news.sequence = fleet->now + 1;
-  news.slots = 64;
-  news.ends_ms = -1;
-  marjoram_registry_update (fleet->registry, fleet->now, &news, 0);
+  struct marjoram_upstream_heartbeat heartbeat = { 0 };
+
+  snprintf (heartbeat.id, sizeof heartbeat.id, "u-%d", number);
+  snprintf (heartbeat.service, sizeof heartbeat.service, "lm");
+  snprintf (heartbeat.address, sizeof heartbeat.address, "10.0.0.1:%d",
+            number + 1);
+  snprintf (heartbeat.zone, sizeof heartbeat.zone, "z");
+  heartbeat.state = MARJORAM_UPSTREAM_READY;
+  heartbeat.sequence = fleet->now + 1;
+  heartbeat.slots = 64;
+  heartbeat.ends_ms = -1;
+  marjoram_registry_update (fleet->registry, fleet->now, &heartbeat, 0);
 }
 
 static void
-receive_beat (struct fleet *fleet, int number)
+receive_heartbeat (struct fleet *fleet, int number)
 {
   char name[16];
-  const struct marjoram_host_beat beat
+  const struct marjoram_host_beat heartbeat
       = { .name = name,
           .zone = (char *)"z",
           .region = (char *)"r",
@@ -92,7 +93,7 @@
           .sequence = (uint64_t)fleet->now + 1 };
 
   snprintf (name, sizeof name, "h-%d", number);
-  marjoram_host_list_update (fleet->list, fleet->now, &beat, true);
+  marjoram_host_list_update (fleet->list, fleet->now, &heartbeat, true);
 }
 
 static void
@@ -196,7 +197,7 @@
 {
   for (int i = 0; i < fleet->hosts; i++)
     {
-      receive_beat (fleet, i);
+      receive_heartbeat (fleet, i);
       receive_report (fleet, i);
       collect_report (fleet, i);
       receive_repeats (fleet, i);
@@ -280,9 +281,9 @@
     }
 }
 
-START_TEST (a_beat_costs_the_same_in_any_fleet)
+START_TEST (a_heartbeat_costs_the_same_in_any_fleet)
 {
-  check_growth ("beat", receive_beat);
+  check_growth ("beat", receive_heartbeat);
 }
 END_TEST
 
@@ -334,7 +335,7 @@
   Suite *s = suite_create ("growth");
   TCase *c = tcase_create ("growth");
 
-  tcase_add_test (c, a_beat_costs_the_same_in_any_fleet);
+  tcase_add_test (c, a_heartbeat_costs_the_same_in_any_fleet);
   tcase_add_test (c, a_report_costs_the_same_in_any_fleet);
   tcase_add_test (c, a_report_to_a_collector_costs_the_same_in_any_fleet);
   tcase_add_test (c, a_choice_costs_the_same_in_any_fleet);
--- a/test/test_host_links.c
+++ b/test/test_host_links.c
@@ -60,13 +60,13 @@
 
 static void
 on_heartbeat (void *context, const char *name, uint64_t session, bool first,
-              const struct marjoram_host_beat *beat)
+              const struct marjoram_host_beat *heartbeat)
 {
   (void)context;
   (void)name;
   (void)session;
   (void)first;
-  (void)beat;
+  (void)heartbeat;
 }
 
 static void
@@ -87,18 +87,18 @@
 }
 
 static void
-fill_beat (void *context, struct marjoram_host_beat *beat)
+fill_heartbeat (void *context, struct marjoram_host_beat *heartbeat)
 {
   (void)context;
-  beat->ready = true;
+  heartbeat->ready = true;
 }
 
 static const struct marjoram_host_links_ops ops
     = { .frame = on_frame,
-        .beat = on_heartbeat,
+        .heartbeat = on_heartbeat,
         .session_closed = on_session_closed,
         .link_lost = on_link_lost,
-        .fill_beat = fill_beat };
+        .fill_heartbeat = fill_heartbeat };
 
 /* A loopback address that is unique to this process.  */
 static void
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -24,8 +24,8 @@
 }
 
 static struct marjoram_host_beat
-beat (const char *name, const char *zone, const char *region,
-      uint64_t sequence)
+make_heartbeat (const char *name, const char *zone, const char *region,
+                uint64_t sequence)
 {
   struct marjoram_host_beat heartbeat = { .name = (char *)name,
                                           .zone = (char *)zone,
@@ -39,11 +39,11 @@
 }
 
 static void
-receive_beat (int64_t now, const char *name, const char *zone,
-              const char *region)
+receive_heartbeat (int64_t now, const char *name, const char *zone,
+                   const char *region)
 {
   struct marjoram_host_beat heartbeat
-      = beat (name, zone, region, (uint64_t)now + 1);
+      = make_heartbeat (name, zone, region, (uint64_t)now + 1);
 
   marjoram_host_list_update (list, now, &heartbeat, true);
 }
@@ -63,10 +63,10 @@
 
 START_TEST (own_zone_first_then_region_then_home)
 {
-  receive_beat (0, "h1", "z1", "r1");
-  receive_beat (0, "h2", "z2", "r1");
-  receive_beat (0, "h3", "z3", "r2");
-  receive_beat (0, "h4", "z4", "r3");
+  receive_heartbeat (0, "h1", "z1", "r1");
+  receive_heartbeat (0, "h2", "z2", "r1");
+  receive_heartbeat (0, "h3", "z3", "r2");
+  receive_heartbeat (0, "h4", "z4", "r3");
   ck_assert_uint_eq (look_up (100, "z1", "r1"), 1);
   ck_assert_str_eq (found[0], "h1");
   ck_assert_int_eq (reach, MARJORAM_REACH_ZONE);
@@ -81,10 +81,10 @@
 /* Guards against lookups that return a host two seconds after its death.  */
 START_TEST (dead_host_is_omitted_in_time)
 {
-  receive_beat (0, "h1", "z1", "r1");
-  receive_beat (0, "h2", "z1", "r1");
+  receive_heartbeat (0, "h1", "z1", "r1");
+  receive_heartbeat (0, "h2", "z1", "r1");
   for (int64_t now = 300; now <= 1800; now += 300)
-    receive_beat (now, "h2", "z1", "r1");
+    receive_heartbeat (now, "h2", "z1", "r1");
   ck_assert_uint_eq (look_up (1900, "z1", "r1"), 1);
   ck_assert_str_eq (found[0], "h2");
 }
@@ -93,9 +93,9 @@
 /* Guards against lookups that return a host which is shutting down.  */
 START_TEST (leaving_host_is_omitted_at_once)
 {
-  struct marjoram_host_beat heartbeat = beat ("h1", "z1", "r1", 2);
+  struct marjoram_host_beat heartbeat = make_heartbeat ("h1", "z1", "r1", 2);
 
-  receive_beat (0, "h1", "z1", "r1");
+  receive_heartbeat (0, "h1", "z1", "r1");
   heartbeat.ready = false;
   heartbeat.leaving = true;
   ck_assert (marjoram_host_list_update (list, 10, &heartbeat, true));
@@ -104,10 +104,10 @@
 END_TEST
 
 /* Guards against a delayed relayed heartbeat of an earlier instance.  */
-START_TEST (older_beats_are_ignored)
+START_TEST (older_heartbeats_are_ignored)
 {
-  struct marjoram_host_beat old = beat ("h1", "z1", "r1", 500);
-  struct marjoram_host_beat new = beat ("h1", "z1", "r1", 1);
+  struct marjoram_host_beat old = make_heartbeat ("h1", "z1", "r1", 500);
+  struct marjoram_host_beat new = make_heartbeat ("h1", "z1", "r1", 1);
 
   old.leaving = true;
   new.incarnation = 2;
@@ -121,14 +121,15 @@
 {
   const char *owner;
 
-  receive_beat (0, "h1", "z1", "r1");
-  receive_beat (0, "h2", "z1", "r1");
-  receive_beat (0, "h3", "z3", "r2");
+  receive_heartbeat (0, "h1", "z1", "r1");
+  receive_heartbeat (0, "h2", "z1", "r1");
+  receive_heartbeat (0, "h3", "z3", "r2");
   owner = marjoram_host_list_owner (list, 10, "r1", "upstream-7");
   ck_assert (strcmp (owner, "h1") == 0 || strcmp (owner, "h2") == 0);
   ck_assert_ptr_null (marjoram_host_list_owner (list, 9000, "r1", "a"));
   /* The other host takes over.  */
-  receive_beat (9000, strcmp (owner, "h1") == 0 ? "h2" : "h1", "z1", "r1");
+  receive_heartbeat (9000, strcmp (owner, "h1") == 0 ? "h2" : "h1", "z1",
+                     "r1");
   ck_assert_str_ne (marjoram_host_list_owner (list, 9000, "r1", "upstream-7"),
                     owner);
 }
@@ -138,8 +139,8 @@
    budget at once.  */
 START_TEST (dead_entries_count_for_a_while)
 {
-  receive_beat (0, "h1", "z1", "r1");
-  receive_beat (0, "h2", "z1", "r1");
+  receive_heartbeat (0, "h1", "z1", "r1");
+  receive_heartbeat (0, "h2", "z1", "r1");
   marjoram_host_list_tick (list, 5000);
   ck_assert_uint_eq (marjoram_host_list_entry_count (list), 2);
   marjoram_host_list_tick (list, 90000);
@@ -151,8 +152,8 @@
    late.  */
 START_TEST (lagging_host_takes_no_host_for_dead)
 {
-  receive_beat (0, "h1", "z1", "r1");
-  receive_beat (2000, "h2", "z1", "r1");
+  receive_heartbeat (0, "h1", "z1", "r1");
+  receive_heartbeat (2000, "h2", "z1", "r1");
   marjoram_host_list_set_lag (list, 1500);
   ck_assert_uint_eq (look_up (2000, "z1", "r1"), 2);
   ck_assert_uint_eq (look_up (2900, "z1", "r1"), 1);
@@ -180,7 +181,7 @@
           for (int i = 0; i < 3; i++)
             {
               struct marjoram_host_beat heartbeat
-                  = beat (names[i], "z", "r", 1);
+                  = make_heartbeat (names[i], "z", "r", 1);
 
               if (i != own)
                 marjoram_host_list_update (others, 0, &heartbeat, true);
@@ -208,7 +209,7 @@
   marjoram_host_list_set_heartbeat_interval (list, region, 900);
   free (region);
   region = marjoram_strdup ("xx");
-  receive_beat (0, "h", "z1", "za");
+  receive_heartbeat (0, "h", "z1", "za");
   ck_assert_uint_eq (marjoram_host_list_serving_count (list, 3000, "za"), 1);
   ck_assert_uint_eq (marjoram_host_list_serving_count (list, 4000, "za"), 0);
   free (region);
@@ -217,10 +218,10 @@
 
 START_TEST (disconnected_host_is_dead_until_heartbeat)
 {
-  receive_beat (0, "h", "z1", "za");
+  receive_heartbeat (0, "h", "z1", "za");
   marjoram_host_list_connection_lost (list, 100, "h");
   ck_assert_uint_eq (marjoram_host_list_serving_count (list, 100, "za"), 0);
-  receive_beat (300, "h", "z1", "za");
+  receive_heartbeat (300, "h", "z1", "za");
   ck_assert_uint_eq (marjoram_host_list_serving_count (list, 300, "za"), 1);
 }
 END_TEST
@@ -235,7 +236,7 @@
   tcase_add_test (c, own_zone_first_then_region_then_home);
   tcase_add_test (c, dead_host_is_omitted_in_time);
   tcase_add_test (c, leaving_host_is_omitted_at_once);
-  tcase_add_test (c, older_beats_are_ignored);
+  tcase_add_test (c, older_heartbeats_are_ignored);
   tcase_add_test (c, one_owner_among_live_hosts_of_a_region);
   tcase_add_test (c, dead_entries_count_for_a_while);
   tcase_add_test (c, lagging_host_takes_no_host_for_dead);
--- a/test/test_keeper_care.c
+++ b/test/test_keeper_care.c
@@ -225,16 +225,16 @@
 {
   for (int i = 0; i < NODES; i++)
     {
-      struct marjoram_host_beat beat = { .name = nodes[i].slot,
-                                         .zone = (char *)"z",
-                                         .region = (char *)regions[i],
-                                         .entry = (char *)"",
-                                         .keeper = true,
-                                         .incarnation = 1,
-                                         .sequence = (uint64_t)now };
+      struct marjoram_host_beat heartbeat = { .name = nodes[i].slot,
+                                              .zone = (char *)"z",
+                                              .region = (char *)regions[i],
+                                              .entry = (char *)"",
+                                              .keeper = true,
+                                              .incarnation = 1,
+                                              .sequence = (uint64_t)now };
 
       if (nodes[i].keeper)
-        marjoram_host_list_update (hosts, now, &beat, true);
+        marjoram_host_list_update (hosts, now, &heartbeat, true);
     }
 }
 
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -133,18 +133,19 @@
 pair_create (void)
 {
   struct pair *pair = marjoram_alloc (sizeof *pair);
-  struct marjoram_upstream_heartbeat news = { .id = "u",
-                                              .service = "lm",
-                                              .address = "10.0.0.1:1",
-                                              .zone = "z",
-                                              .state = MARJORAM_UPSTREAM_READY,
-                                              .sequence = 1,
-                                              .ends_ms = -1,
-                                              .slots = 64 };
+  struct marjoram_upstream_heartbeat heartbeat
+      = { .id = "u",
+          .service = "lm",
+          .address = "10.0.0.1:1",
+          .zone = "z",
+          .state = MARJORAM_UPSTREAM_READY,
+          .sequence = 1,
+          .ends_ms = -1,
+          .slots = 64 };
 
   pair->registry = marjoram_registry_create ();
   pair->list = marjoram_host_list_create ();
-  marjoram_registry_update (pair->registry, 1000, &news, 0);
+  marjoram_registry_update (pair->registry, 1000, &heartbeat, 0);
   pair->service.name = (char *)"lm";
   pair->service.has_engine = true;
   pair->service.engine.slots = 64;
--- a/test/test_own_receive_lag.c
+++ b/test/test_own_receive_lag.c
@@ -18,7 +18,7 @@
 struct peer
 {
   struct marjoram_link_lag lag;
-  int64_t heard_at;
+  int64_t received_at;
   int64_t sent_at[BEATS_MAX];
   int pending;
   bool dead;
@@ -41,7 +41,7 @@
 }
 
 static void
-send_beat (struct peer *peer)
+send_timed_heartbeat (struct peer *peer)
 {
   ck_assert_int_lt (peer->pending, BEATS_MAX);
   marjoram_link_lag_sent (&peer->lag, now);
@@ -57,7 +57,7 @@
   while (taken < peer->pending && peer->sent_at[taken] + late_ms <= now)
     {
       marjoram_link_lag_answered (&peer->lag, now);
-      peer->heard_at = now;
+      peer->received_at = now;
       taken++;
     }
   for (int i = taken; i < peer->pending; i++)
@@ -70,7 +70,7 @@
 {
   marjoram_own_lag_begin (&own);
   for (int i = 0; i < LINKS; i++)
-    marjoram_own_lag_add (&own, now, &peers[i].lag, peers[i].heard_at);
+    marjoram_own_lag_add (&own, now, &peers[i].lag, peers[i].received_at);
   marjoram_own_lag_end (&own, now);
 }
 
@@ -86,10 +86,10 @@
           if (!peers[i].dead)
             receive_acks (&peers[i], late_ms);
           if (now % BEAT_MS == 0)
-            send_beat (&peers[i]);
+            send_timed_heartbeat (&peers[i]);
         }
       if (parts)
-        peers[0].heard_at = now;
+        peers[0].received_at = now;
       measure ();
     }
 }
@@ -125,7 +125,7 @@
   advance (QUIET_MS, ROUND_TRIP_MS, false);
   advance (2000, QUIET_MS, true);
   receive_acks (&peers[0], ROUND_TRIP_MS);
-  send_beat (&peers[0]);
+  send_timed_heartbeat (&peers[0]);
   now += TICK_MS;
   receive_acks (&peers[0], ROUND_TRIP_MS);
   measure ();
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -54,17 +54,17 @@
 }
 
 static void
-receive_host_beat (int64_t now, const char *name)
+receive_host_heartbeat (int64_t now, const char *name)
 {
-  struct marjoram_host_beat beat = { .name = (char *)name,
-                                     .zone = (char *)"za",
-                                     .region = (char *)"r1",
-                                     .entry = (char *)name,
-                                     .ready = true,
-                                     .incarnation = 1,
-                                     .sequence = (uint64_t)now + 1 };
-
-  marjoram_host_list_update (hosts, now, &beat, true);
+  struct marjoram_host_beat heartbeat = { .name = (char *)name,
+                                          .zone = (char *)"za",
+                                          .region = (char *)"r1",
+                                          .entry = (char *)name,
+                                          .ready = true,
+                                          .incarnation = 1,
+                                          .sequence = (uint64_t)now + 1 };
+
+  marjoram_host_list_update (hosts, now, &heartbeat, true);
 }
 
 static void
@@ -75,7 +75,7 @@
   registry = marjoram_registry_create ();
   hosts = marjoram_host_list_create ();
   placement = create ("h1");
-  receive_host_beat (0, "h1");
+  receive_host_heartbeat (0, "h1");
 }
 
 static void
@@ -90,17 +90,17 @@
 receive_upstream (int64_t now, const char *service, const char *id,
                   const char *zone, int64_t cold_ms, int64_t sequence)
 {
-  struct marjoram_upstream_heartbeat news = { .born = 1,
-                                              .sequence = sequence,
-                                              .cold_ms = cold_ms,
-                                              .ends_ms = -1,
-                                              .slots = 4 };
-
-  snprintf (news.id, sizeof news.id, "%s", id);
-  snprintf (news.service, sizeof news.service, "%s", service);
-  snprintf (news.address, sizeof news.address, "10.0.0.%s:80", id);
-  snprintf (news.zone, sizeof news.zone, "%s", zone);
-  marjoram_registry_update (registry, now, &news, 0);
+  struct marjoram_upstream_heartbeat heartbeat = { .started_at = 1,
+                                                   .sequence = sequence,
+                                                   .cold_ms = cold_ms,
+                                                   .ends_ms = -1,
+                                                   .slots = 4 };
+
+  snprintf (heartbeat.id, sizeof heartbeat.id, "%s", id);
+  snprintf (heartbeat.service, sizeof heartbeat.service, "%s", service);
+  snprintf (heartbeat.address, sizeof heartbeat.address, "10.0.0.%s:80", id);
+  snprintf (heartbeat.zone, sizeof heartbeat.zone, "%s", zone);
+  marjoram_registry_update (registry, now, &heartbeat, 0);
 }
 
 static void
@@ -146,7 +146,8 @@
   started.copied_tokens = chosen.copied_tokens;
   if (chosen.outcome == MARJORAM_PLACE_FOUND)
     marjoram_placement_attempt_started (placement, now, ++next_attempt,
-                                        chosen.upstream->news.id, &started);
+                                        chosen.upstream->heartbeat.id,
+                                        &started);
   return chosen;
 }
 
@@ -162,7 +163,7 @@
   receive_heartbeat (0, "2");
   receive_heartbeat (0, "3");
   marjoram_placement_add_cached (placement, "2", &cached, 1);
-  ck_assert_str_eq (choose_and_start (10, &query).upstream->news.id, "2");
+  ck_assert_str_eq (choose_and_start (10, &query).upstream->heartbeat.id, "2");
   marjoram_placement_add_cached (placement, "3", &cached, 1);
   ck_assert_int_lt (choose_and_start (20, &query).wait_ms, 40);
 }
@@ -177,7 +178,7 @@
   for (int i = 1; i <= 4; i++)
     receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   snprintf (where, sizeof where, "%s",
-            choose_and_start (0, &query).upstream->news.id);
+            choose_and_start (0, &query).upstream->heartbeat.id);
   marjoram_placement_response_started (placement, 100, 1);
   marjoram_placement_attempt_ended (placement, 200, 1,
                                     MARJORAM_ATTEMPT_SERVED);
@@ -188,7 +189,7 @@
 
       query = make_query (&next, 1);
       chosen = choose_and_start (300 + (int64_t)i * 200, &query);
-      ck_assert_str_eq (chosen.upstream->news.id, where);
+      ck_assert_str_eq (chosen.upstream->heartbeat.id, where);
       ck_assert_int_lt (chosen.wait_ms, 20);
       marjoram_placement_attempt_ended (placement, 400 + (int64_t)i * 200,
                                         next_attempt, MARJORAM_ATTEMPT_SERVED);
@@ -220,15 +221,15 @@
   receive_upstream (300, "lm", "3", "zb", 0, 301);
   query.facts = &next;
   chosen = choose_and_start (310, &query);
-  ck_assert_str_eq (chosen.upstream->news.id, "2");
-  ck_assert_str_eq (chosen.copy_from->news.id, "1");
+  ck_assert_str_eq (chosen.upstream->heartbeat.id, "2");
+  ck_assert_str_eq (chosen.copy_from->heartbeat.id, "1");
   ck_assert_int_eq (chosen.copied_tokens, 6000);
   ck_assert_int_lt (chosen.wait_ms, 30);
   /* No engine in the zone of upstream 3 has it cached.  */
   query.tried[query.tried_count++] = "1";
   query.tried[query.tried_count++] = "2";
   chosen = choose_and_start (320, &query);
-  ck_assert_str_eq (chosen.upstream->news.id, "3");
+  ck_assert_str_eq (chosen.upstream->heartbeat.id, "3");
   ck_assert_ptr_null (chosen.copy_from);
 }
 END_TEST
@@ -252,7 +253,7 @@
   marjoram_placement_connection_lost (placement, 400, "10.0.0.1:80");
   query.tried[query.tried_count++] = "1";
   chosen = choose_and_start (410, &query);
-  ck_assert_str_eq (chosen.upstream->news.id, "2");
+  ck_assert_str_eq (chosen.upstream->heartbeat.id, "2");
   ck_assert_ptr_null (chosen.copy_from);
 }
 END_TEST
@@ -272,7 +273,7 @@
       struct marjoram_place chosen = choose_and_start (0, &query);
 
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
-        at[atoi (chosen.upstream->news.id)]++;
+        at[atoi (chosen.upstream->heartbeat.id)]++;
     }
   for (int i = 1; i <= 4; i++)
     ck_assert_int_ge (at[i], 1);
@@ -332,8 +333,8 @@
   marjoram_placement *others[2] = { create ("h2"), create ("h3") };
   int sent = 0;
 
-  receive_host_beat (0, "h2");
-  receive_host_beat (0, "h3");
+  receive_host_heartbeat (0, "h2");
+  receive_host_heartbeat (0, "h3");
   receive_upstream (0, "lm", "1", "za", 3000, 1);
   for (int64_t now = 1; now < 1000; now += 10)
     for (int i = 0; i < 3; i++)
@@ -380,7 +381,7 @@
                                         MARJORAM_ATTEMPT_SERVED);
     }
   ck_assert_int_le (sent, 2);
-  receive_host_beat (1200, "h1");
+  receive_host_heartbeat (1200, "h1");
   receive_heartbeat (1200, "1");
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
@@ -436,20 +437,23 @@
   receive_heartbeat (0, "1");
   receive_heartbeat (0, "2");
   chosen = choose_and_start (0, &query);
-  snprintf (slow, sizeof slow, "%s", chosen.upstream->news.id);
+  snprintf (slow, sizeof slow, "%s", chosen.upstream->heartbeat.id);
   marjoram_placement_response_started (placement, 110, 1);
   marjoram_placement_attempt_ended (placement, 120, 1,
                                     MARJORAM_ATTEMPT_SERVED);
   /* It caches the part, so the next request is sent there and waits.  */
-  ck_assert_str_eq (choose_and_start (200, &query).upstream->news.id, slow);
-  ck_assert_str_ne (choose_and_start (1200, &query).upstream->news.id, slow);
+  ck_assert_str_eq (choose_and_start (200, &query).upstream->heartbeat.id,
+                    slow);
+  ck_assert_str_ne (choose_and_start (1200, &query).upstream->heartbeat.id,
+                    slow);
   marjoram_placement_response_started (placement, 1300, 3);
   marjoram_placement_attempt_ended (placement, 1400, 3,
                                     MARJORAM_ATTEMPT_SERVED);
   marjoram_placement_response_started (placement, 2200, 2);
   marjoram_placement_attempt_ended (placement, 2300, 2,
                                     MARJORAM_ATTEMPT_SERVED);
-  ck_assert_str_ne (choose_and_start (2400, &query).upstream->news.id, slow);
+  ck_assert_str_ne (choose_and_start (2400, &query).upstream->heartbeat.id,
+                    slow);
 }
 END_TEST
 
@@ -505,7 +509,7 @@
     }
   receive_heartbeat (10, "2");
   for (int i = 0; i < 4; i++)
-    ck_assert_str_eq (choose_and_start (20 + i, &query).upstream->news.id,
+    ck_assert_str_eq (choose_and_start (20 + i, &query).upstream->heartbeat.id,
                       "2");
 }
 END_TEST
@@ -555,7 +559,7 @@
   for (int i = 0; i < 8; i++)
     {
       snprintf (facts.id, sizeof facts.id, "%d", i);
-      at[atoi (choose_and_start (0, &query).upstream->news.id)]++;
+      at[atoi (choose_and_start (0, &query).upstream->heartbeat.id)]++;
     }
   ck_assert_int_eq (at[1], 4);
   ck_assert_int_eq (at[2], 4);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -160,17 +160,17 @@
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
   ck_assert_int_eq (call.kind, MARJORAM_API_HEARTBEAT);
-  ck_assert_str_eq (call.news.id, "i-7f");
-  ck_assert_str_eq (call.news.address, "10.0.0.9:8080");
-  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_READY);
-  ck_assert_int_eq (call.news.born, 1700000000123);
-  ck_assert_int_eq (call.news.sequence, 4);
-  ck_assert_int_eq (call.news.cold_ms, 250);
-  ck_assert_int_eq (call.news.ends_ms, -1);
+  ck_assert_str_eq (call.heartbeat.id, "i-7f");
+  ck_assert_str_eq (call.heartbeat.address, "10.0.0.9:8080");
+  ck_assert_int_eq (call.heartbeat.state, MARJORAM_UPSTREAM_READY);
+  ck_assert_int_eq (call.heartbeat.started_at, 1700000000123);
+  ck_assert_int_eq (call.heartbeat.sequence, 4);
+  ck_assert_int_eq (call.heartbeat.cold_ms, 250);
+  ck_assert_int_eq (call.heartbeat.ends_ms, -1);
   snprintf (body, sizeof body, HEARTBEAT, "draining");
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/heartbeat", body, &call));
-  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_LEAVING);
+  ck_assert_int_eq (call.heartbeat.state, MARJORAM_UPSTREAM_LEAVING);
 }
 END_TEST
 
@@ -219,10 +219,10 @@
   ck_assert (
       read_api_call ("POST", "/-/instances/i-7f/deregister", "", &call));
   ck_assert_int_eq (call.kind, MARJORAM_API_HEARTBEAT);
-  ck_assert_int_eq (call.news.state, MARJORAM_UPSTREAM_GONE);
+  ck_assert_int_eq (call.heartbeat.state, MARJORAM_UPSTREAM_GONE);
   ck_assert (read_api_call ("POST", "/-/instances/i-7f/deregister",
                             "{\"born\":5}", &call));
-  ck_assert_int_eq (call.news.born, 5);
+  ck_assert_int_eq (call.heartbeat.started_at, 5);
 }
 END_TEST
 
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -157,7 +157,7 @@
 }
 
 static void
-beat (int64_t now, const char *state_name, int sequence)
+heartbeat (int64_t now, const char *state_name, int sequence)
 {
   char text[512];
 
@@ -189,11 +189,11 @@
 
 START_TEST (heartbeat_is_stored_and_broadcast)
 {
-  beat (0, "ready", 1);
+  heartbeat (0, "ready", 1);
   ck_assert_int_eq (status, 200);
   ck_assert_uint_eq (batches_sent, 1);
   ck_assert_ptr_nonnull (marjoram_registry_find (registry, "u1"));
-  beat (1200, "ready", 2);
+  heartbeat (1200, "ready", 2);
   ck_assert_int_eq (status, 200);
   ck_assert_uint_eq (batches_sent, 1);
   marjoram_registrar_tick (registrar, 1500);
@@ -214,8 +214,8 @@
                                      .ends_ms = -1 };
   const struct marjoram_news_batch batch = { 0, { &item, 1 } };
 
-  beat (0, "ready", 1);
-  beat (1000, "ready", 2);
+  heartbeat (0, "ready", 1);
+  heartbeat (1000, "ready", 2);
   marjoram_registrar_apply_batch (registrar, 1050, &batch);
   marjoram_registrar_tick (registrar, 3100);
   ck_assert_int_eq (renewals, 1);
@@ -244,8 +244,8 @@
 START_TEST (leave_is_confirmed_before_it_is_answered)
 {
   connected_hosts = 2;
-  beat (0, "ready", 1);
-  beat (100, "draining", 2);
+  heartbeat (0, "ready", 1);
+  heartbeat (100, "draining", 2);
   ck_assert_int_eq (status, NONE);
   marjoram_registrar_acknowledged (registrar, ticket);
   ck_assert_int_eq (status, NONE);
--- a/test/test_registry.c
+++ b/test/test_registry.c
@@ -21,11 +21,11 @@
 }
 
 static struct marjoram_upstream_heartbeat
-news (const char *id, int64_t born, int64_t sequence,
-      enum marjoram_upstream_state state)
+heartbeat (const char *id, int64_t started_at, int64_t sequence,
+           enum marjoram_upstream_state state)
 {
   struct marjoram_upstream_heartbeat made = { .state = state,
-                                              .born = born,
+                                              .started_at = started_at,
                                               .sequence = sequence,
                                               .ends_ms = -1,
                                               .slots = 4 };
@@ -38,10 +38,11 @@
 }
 
 static enum marjoram_registry_result
-receive_heartbeat (int64_t now, const char *id, int64_t born, int64_t sequence,
-                   enum marjoram_upstream_state state)
+receive_heartbeat (int64_t now, const char *id, int64_t started_at,
+                   int64_t sequence, enum marjoram_upstream_state state)
 {
-  struct marjoram_upstream_heartbeat made = news (id, born, sequence, state);
+  struct marjoram_upstream_heartbeat made
+      = heartbeat (id, started_at, sequence, state);
 
   return marjoram_registry_update (registry, now, &made, 0);
 }
@@ -126,7 +127,7 @@
 START_TEST (silence_counts_relative_to_others)
 {
   struct marjoram_upstream_heartbeat other
-      = news ("b", 1, 1, MARJORAM_UPSTREAM_READY);
+      = heartbeat ("b", 1, 1, MARJORAM_UPSTREAM_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
   receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_READY);
@@ -142,7 +143,7 @@
 START_TEST (ending_upstream_is_not_usable)
 {
   struct marjoram_upstream_heartbeat made
-      = news ("a", 1, 1, MARJORAM_UPSTREAM_LEAVING);
+      = heartbeat ("a", 1, 1, MARJORAM_UPSTREAM_LEAVING);
 
   made.ends_ms = 2000;
   marjoram_registry_update (registry, 0, &made, 0);
@@ -156,7 +157,7 @@
 START_TEST (durations_survive_transfer)
 {
   struct marjoram_upstream_heartbeat made
-      = news ("a", 1, 1, MARJORAM_UPSTREAM_READY);
+      = heartbeat ("a", 1, 1, MARJORAM_UPSTREAM_READY);
   struct marjoram_upstream_heartbeat read;
   struct marjoram_news_item item;
   marjoram_registry *other = marjoram_registry_create ();
@@ -167,7 +168,7 @@
   ck_assert (marjoram_registry_unpack (&item, &read));
   marjoram_registry_update (other, 500000, &read, item.age_ms);
   ck_assert_int_eq (marjoram_registry_find (other, "a")->cold_until, 502000);
-  ck_assert_int_eq (marjoram_registry_find (other, "a")->heard_at, 499000);
+  ck_assert_int_eq (marjoram_registry_find (other, "a")->received_at, 499000);
   marjoram_registry_destroy (other);
 }
 END_TEST
@@ -175,7 +176,7 @@
 START_TEST (old_records_are_dropped)
 {
   struct marjoram_upstream_heartbeat other
-      = news ("b", 1, 1, MARJORAM_UPSTREAM_READY);
+      = heartbeat ("b", 1, 1, MARJORAM_UPSTREAM_READY);
 
   snprintf (other.address, sizeof other.address, "10.0.0.8:80");
   receive_heartbeat (0, "a", 1, 1, MARJORAM_UPSTREAM_GONE);
--- a/test/test_repeat_budget.c
+++ b/test/test_repeat_budget.c
@@ -90,7 +90,7 @@
 }
 
 static void
-simulate_beat (struct load_shift *shift, int64_t now, int host)
+simulate_heartbeat (struct load_shift *shift, int64_t now, int host)
 {
   struct marjoram_repeat_use uses[MARJORAM_REPEAT_USES_MAX];
   struct marjoram_repeat_use answered[MARJORAM_REPEAT_USES_MAX];
@@ -117,7 +117,7 @@
         simulate_request (shift, now, next++);
       for (int i = 0; i < MOVING_HOSTS; i++)
         if ((now / STEP_MS + i) % (BEAT_MS / STEP_MS) == 0)
-          simulate_beat (shift, now, i);
+          simulate_heartbeat (shift, now, i);
     }
 }
 
