--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -325,8 +325,9 @@
 }
 
 static void
-role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
-          const char *target, const char *body, size_t size)
+role_api_request (struct marjoram_role *role, uint64_t request_id,
+                  const char *method, const char *target, const char *body,
+                  size_t size)
 {
   struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_api_request what = { 0 };
@@ -336,8 +337,8 @@
                                                    &what, NULL)
       && what.kind == MARJORAM_API_READY)
     status = marjoram_entry_is_ready (self) ? STATUS_OK : STATUS_UNAVAILABLE;
-  marjoram_api_server_respond (self->parts->asks, ask, status, "text/plain",
-                               NULL, 0);
+  marjoram_api_server_respond (self->parts->api_server, request_id, status,
+                               "text/plain", NULL, 0);
 }
 
 static json_t *
@@ -493,7 +494,7 @@
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
   .fill_heartbeat = role_fill_heartbeat,
-  .ask = role_ask,
+  .api_request = role_api_request,
   .report = role_report,
   .reload = role_reload,
   .tick = role_tick,
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -158,7 +158,8 @@
     marjoram_api_server_respond (daemon->api_server, request, STATUS_OK, type,
                                  text, strlen (text));
   else
-    daemon->role->ops->ask (daemon->role, request, method, target, body, size);
+    daemon->role->ops->api_request (daemon->role, request, method, target,
+                                    body, size);
 }
 
 static const struct marjoram_api_server_ops api_server_ops
@@ -295,7 +296,7 @@
     .metrics = daemon->metrics,
     .hosts = daemon->hosts,
     .links = daemon->links,
-    .asks = daemon->api_server,
+    .api_server = daemon->api_server,
     .incarnation = new_incarnation (daemon->clock),
   };
   daemon->role
--- a/src/host_list.c
+++ b/src/host_list.c
@@ -602,22 +602,22 @@
                            const char *zone, const char *region,
                            marjoram_region_allowed allowed, void *context,
                            const char *addresses[MARJORAM_LOOKUP_MAX],
-                           enum marjoram_lookup_reach *reach)
+                           enum marjoram_lookup_scope *scope)
 {
   size_t count = 0;
 
-  *reach = MARJORAM_REACH_ZONE;
+  *scope = MARJORAM_SCOPE_ZONE;
   if (zone)
     count = collect_hosts (
         find_view (list, &list->zones, VIEW_ZONE, zone, now), now, addresses);
   if (count > 0)
     return count;
-  *reach = MARJORAM_REACH_REGION;
+  *scope = MARJORAM_SCOPE_REGION;
   if (region)
     count = collect_hosts (region_view (list, now, region), now, addresses);
   if (count > 0)
     return count;
-  *reach = MARJORAM_REACH_ALLOWED;
+  *scope = MARJORAM_SCOPE_ALLOWED;
   return collect_allowed (list, now, allowed, context, addresses);
 }
 
--- a/src/host_list.h
+++ b/src/host_list.h
@@ -65,23 +65,23 @@
 typedef bool (*marjoram_region_allowed) (void *context, const char *region);
 
 /* Scope of the hosts that a lookup returned.  */
-enum marjoram_lookup_reach
+enum marjoram_lookup_scope
 {
-  MARJORAM_REACH_ZONE,
-  MARJORAM_REACH_REGION,
-  MARJORAM_REACH_ALLOWED,
-  MARJORAM_REACH_COUNT
+  MARJORAM_SCOPE_ZONE,
+  MARJORAM_SCOPE_REGION,
+  MARJORAM_SCOPE_ALLOWED,
+  MARJORAM_SCOPE_COUNT
 };
 
 /* Looks up entry addresses for a caller in ZONE of REGION: hosts of its zone,
    else of its region, else of the regions that ALLOWED accepts (NULL for all).
-   REACH is set to the scope used.  The addresses are borrowed.  */
+   SCOPE is set to the scope used.  The addresses are borrowed.  */
 size_t marjoram_host_list_lookup (marjoram_host_list *list, int64_t now,
                                   const char *zone, const char *region,
                                   marjoram_region_allowed allowed,
                                   void *context,
                                   const char *addresses[MARJORAM_LOOKUP_MAX],
-                                  enum marjoram_lookup_reach *reach);
+                                  enum marjoram_lookup_scope *scope);
 /* The serving host of REGION that owns KEY by rendezvous hashing; NULL if
    there is none.  */
 const char *marjoram_host_list_owner (marjoram_host_list *list, int64_t now,
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -72,7 +72,7 @@
 
   if (request != REPAIR_REQUEST)
     {
-      marjoram_registrar_decided (
+      marjoram_registrar_request_completed (
           self->registrar, marjoram_keeper_role_now (self), request, answer);
       return;
     }
@@ -118,17 +118,17 @@
 /* ---- The registrar's operations.  ---- */
 
 static void
-reg_answer (void *context, uint64_t ask, int status, const char *body,
-            size_t size)
+reg_respond (void *context, uint64_t request_id, int status, const char *body,
+             size_t size)
 {
   struct marjoram_keeper_role *self = context;
 
-  marjoram_api_server_respond (self->parts->asks, ask, status,
+  marjoram_api_server_respond (self->parts->api_server, request_id, status,
                                "application/json", body, size);
 }
 
 static size_t
-reg_tell (void *context, const struct marjoram_news_batch *batch)
+reg_broadcast (void *context, const struct marjoram_news_batch *batch)
 {
   return marjoram_keeper_publish_changes (context, batch);
 }
@@ -167,8 +167,8 @@
 }
 
 static const struct marjoram_registrar_ops registrar_ops = {
-  .answer = reg_answer,
-  .tell = reg_tell,
+  .respond = reg_respond,
+  .broadcast = reg_broadcast,
   .renew = reg_renew,
   .apply = reg_apply,
   .read = reg_read,
@@ -267,17 +267,18 @@
 }
 
 static void
-role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
-          const char *target, const char *body, size_t size)
+role_api_request (struct marjoram_role *role, uint64_t request_id,
+                  const char *method, const char *target, const char *body,
+                  size_t size)
 {
   struct marjoram_keeper_role *self = self_of (role);
 
   if (self->stopped_at)
-    reg_answer (self, ask, STATUS_UNAVAILABLE, NULL, 0);
+    reg_respond (self, request_id, STATUS_UNAVAILABLE, NULL, 0);
   else
     marjoram_registrar_receive (self->registrar,
-                                marjoram_keeper_role_now (self), ask, method,
-                                target, body, size);
+                                marjoram_keeper_role_now (self), request_id,
+                                method, target, body, size);
 }
 
 static json_t *
@@ -374,7 +375,7 @@
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
   .fill_heartbeat = role_fill_heartbeat,
-  .ask = role_ask,
+  .api_request = role_api_request,
   .report = role_report,
   .reload = role_reload,
   .tick = role_tick,
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -61,22 +61,23 @@
 }
 
 void
-marjoram_registrar_answer (marjoram_registrar *registrar, uint64_t ask,
-                           int status, const char *body)
+marjoram_registrar_respond (marjoram_registrar *registrar, uint64_t request_id,
+                            int status, const char *body)
 {
-  registrar->ops->answer (registrar->context, ask, status, body,
-                          body ? strlen (body) : 0);
+  registrar->ops->respond (registrar->context, request_id, status, body,
+                           body ? strlen (body) : 0);
 }
 
 struct marjoram_pending_request *
 marjoram_registrar_add_pending (marjoram_registrar *registrar, int64_t now,
-                                uint64_t ask, enum marjoram_pending_kind kind,
+                                uint64_t request_id,
+                                enum marjoram_pending_kind kind,
                                 int64_t timeout_ms)
 {
   struct marjoram_pending_request *pending = marjoram_alloc (sizeof *pending);
 
   pending->number = ++registrar->next_number;
-  pending->ask = ask;
+  pending->request_id = request_id;
   pending->kind = kind;
   pending->deadline = now + timeout_ms;
   HASH_ADD (hh, registrar->pending, number, sizeof pending->number, pending);
@@ -127,23 +128,23 @@
   if (!upstream)
     return 0;
   marjoram_registry_pack (upstream, now, &item);
-  return registrar->ops->tell (registrar->context, &batch);
+  return registrar->ops->broadcast (registrar->context, &batch);
 }
 
 /* Responds to a deregistration only after all connected hosts have
    acknowledged it, so that it takes effect even if this keeper fails.  */
 static void
-confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t request_id,
                const char *id)
 {
   struct marjoram_pending_request *pending = marjoram_registrar_add_pending (
-      registrar, now, ask, MARJORAM_PENDING_LEAVE, ACK_TIMEOUT_MS);
+      registrar, now, request_id, MARJORAM_PENDING_LEAVE, ACK_TIMEOUT_MS);
 
   pending->pending_acks = broadcast_one (registrar, now, id, pending->number);
   if (pending->pending_acks > 0)
     return;
   marjoram_registrar_remove_pending (registrar, pending);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, "{}");
 }
 
 static bool
@@ -161,7 +162,7 @@
 }
 
 void
-marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t ask,
+marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t request_id,
                            const char *target,
                            const struct marjoram_error *err)
 {
@@ -169,8 +170,8 @@
                         MARJORAM_METRIC_REJECTED_INPUT, 1);
   marjoram_event (MARJORAM_EVENT_REJECT, "call=%.80s status=%d why=\"%s\"",
                   target, MARJORAM_STATUS_BAD_REQUEST, err->message);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_BAD_REQUEST,
-                             err->message);
+  marjoram_registrar_respond (registrar, request_id,
+                              MARJORAM_STATUS_BAD_REQUEST, err->message);
 }
 
 static void
@@ -184,7 +185,8 @@
 }
 
 static void
-process_heartbeat (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+process_heartbeat (marjoram_registrar *registrar, int64_t now,
+                   uint64_t request_id,
                    const struct marjoram_upstream_heartbeat *heartbeat)
 {
   enum marjoram_registry_result result = marjoram_registry_update (
@@ -199,14 +201,14 @@
                         1);
   if (heartbeat->state != MARJORAM_UPSTREAM_READY)
     {
-      confirm_leave (registrar, now, ask, heartbeat->id);
+      confirm_leave (registrar, now, request_id, heartbeat->id);
       return;
     }
   if (result == MARJORAM_REGISTRY_CHANGED)
     broadcast_one (registrar, now, heartbeat->id, 0);
   else if (result == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
     registrar->renewals_since = now;
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, "{}");
 }
 
 void
@@ -291,8 +293,8 @@
   if (!pending || pending->kind != MARJORAM_PENDING_LEAVE
       || --pending->pending_acks > 0)
     return;
-  marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
-                             "{}");
+  marjoram_registrar_respond (registrar, pending->request_id,
+                              MARJORAM_STATUS_OK, "{}");
   marjoram_registrar_remove_pending (registrar, pending);
 }
 
@@ -313,7 +315,7 @@
   return registrar->table;
 }
 
-static const char *const reach_names[MARJORAM_REACH_COUNT]
+static const char *const scope_names[MARJORAM_SCOPE_COUNT]
     = { "zone", "region", "allowed" };
 
 struct lookup
@@ -364,13 +366,13 @@
 }
 
 static void
-look_up (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+look_up (marjoram_registrar *registrar, int64_t now, uint64_t request_id,
          const struct marjoram_api_request *request)
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
   struct lookup lookup
       = { .table = current_table (registrar), .host = request->host };
-  enum marjoram_lookup_reach reach;
+  enum marjoram_lookup_scope scope;
   size_t count;
   marjoram_auto_free char *body = NULL;
 
@@ -380,30 +382,30 @@
   find_most_homes (registrar, now, &lookup);
   count = marjoram_host_list_lookup (
       registrar->options.hosts, now, request->zone, request->region,
-      is_allowed_region, &lookup, addresses, &reach);
+      is_allowed_region, &lookup, addresses, &scope);
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_LOOKUPS,
                         1);
-  if (reach != MARJORAM_REACH_ZONE)
+  if (scope != MARJORAM_SCOPE_ZONE)
     marjoram_event (MARJORAM_EVENT_HOST,
                     "lookup=%s zone=%s region=%s reach=%s hosts=%zu "
                     "config=%" PRIu64,
                     request->host, request->zone, request->region,
-                    reach_names[reach], count,
+                    scope_names[scope], count,
                     lookup.table ? lookup.table->version : 0);
   if (count == 0)
     {
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_UNAVAILABLE,
-                                 NULL);
+      marjoram_registrar_respond (registrar, request_id,
+                                  MARJORAM_STATUS_UNAVAILABLE, NULL);
       return;
     }
   body = registrar->options.dialect->ops->write_lookup (
       addresses, count, registrar->options.lookup_valid_s);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, body);
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, body);
 }
 
 void
 marjoram_registrar_receive (marjoram_registrar *registrar, int64_t now,
-                            uint64_t ask, const char *method,
+                            uint64_t request_id, const char *method,
                             const char *target, const char *body, size_t size)
 {
   struct marjoram_api_request request;
@@ -414,37 +416,39 @@
       || (request.kind == MARJORAM_API_HEARTBEAT
           && !check_heartbeat (registrar, &request.heartbeat, &err)))
     {
-      marjoram_registrar_reject (registrar, ask, target, &err);
+      marjoram_registrar_reject (registrar, request_id, target, &err);
       return;
     }
   switch (request.kind)
     {
     case MARJORAM_API_LOOKUP:
-      look_up (registrar, now, ask, &request);
+      look_up (registrar, now, request_id, &request);
       break;
     case MARJORAM_API_HEARTBEAT:
-      process_heartbeat (registrar, now, ask, &request.heartbeat);
+      process_heartbeat (registrar, now, request_id, &request.heartbeat);
       break;
     case MARJORAM_API_CONFIG_SET:
-      marjoram_registrar_set_config (registrar, now, ask, body, size);
+      marjoram_registrar_set_config (registrar, now, request_id, body, size);
       break;
     case MARJORAM_API_CONFIG_GET:
-      registrar->ops->read (registrar->context,
-                            marjoram_registrar_add_pending (
-                                registrar, now, ask, MARJORAM_PENDING_READ,
-                                MARJORAM_RESPONSE_TIMEOUT_MS)
-                                ->number);
+      registrar->ops->read (
+          registrar->context,
+          marjoram_registrar_add_pending (registrar, now, request_id,
+                                          MARJORAM_PENDING_READ,
+                                          MARJORAM_RESPONSE_TIMEOUT_MS)
+              ->number);
       break;
     case MARJORAM_API_EVACUATE:
     case MARJORAM_API_RESTORE:
-      marjoram_registrar_evacuate (registrar, now, ask, &request);
+      marjoram_registrar_evacuate (registrar, now, request_id, &request);
       break;
     case MARJORAM_API_READY:
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, NULL);
+      marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK,
+                                  NULL);
       break;
     case MARJORAM_API_UNKNOWN:
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_NOT_FOUND,
-                                 NULL);
+      marjoram_registrar_respond (registrar, request_id,
+                                  MARJORAM_STATUS_NOT_FOUND, NULL);
       break;
     }
 }
@@ -463,11 +467,11 @@
   {
     if (now < pending->deadline)
       continue;
-    marjoram_registrar_answer (registrar, pending->ask,
-                               pending->kind == MARJORAM_PENDING_LEAVE
-                                   ? MARJORAM_STATUS_OK
-                                   : MARJORAM_STATUS_UNAVAILABLE,
-                               "{}");
+    marjoram_registrar_respond (registrar, pending->request_id,
+                                pending->kind == MARJORAM_PENDING_LEAVE
+                                    ? MARJORAM_STATUS_OK
+                                    : MARJORAM_STATUS_UNAVAILABLE,
+                                "{}");
     marjoram_registrar_remove_pending (registrar, pending);
   }
 }
--- a/src/registrar.h
+++ b/src/registrar.h
@@ -13,16 +13,16 @@
 
 struct marjoram_registrar_ops
 {
-  /* Sends the response to ASK, exactly once.  BODY may be NULL.  */
-  void (*answer) (void *context, uint64_t ask, int status, const char *body,
-                  size_t size);
+  /* Sends the response to REQUEST_ID, exactly once.  BODY may be NULL.  */
+  void (*respond) (void *context, uint64_t request_id, int status,
+                   const char *body, size_t size);
   /* Sends BATCH to all connected hosts; returns their number.  */
-  size_t (*tell) (void *context, const struct marjoram_news_batch *batch);
+  size_t (*broadcast) (void *context, const struct marjoram_news_batch *batch);
   /* Sends BATCH of liveness-only updates to the hosts that use these
      upstreams.  */
   void (*renew) (void *context, const struct marjoram_news_batch *batch);
   /* Write a file to the replicated register, or confirm the latest state.
-     Completed by marjoram_registrar_decided with REQUEST.  */
+     Completed by marjoram_registrar_request_completed with REQUEST.  */
   void (*apply) (void *context, uint64_t request, const char *change_id,
                  const struct marjoram_file *file);
   void (*read) (void *context, uint64_t request);
@@ -47,17 +47,17 @@
                            void *context);
 void marjoram_registrar_destroy (marjoram_registrar *registrar);
 
-/* Processes one HTTP request, to be answered as ASK.  */
+/* Processes one HTTP request, to be answered as REQUEST_ID.  */
 void marjoram_registrar_receive (marjoram_registrar *registrar, int64_t now,
-                                 uint64_t ask, const char *method,
+                                 uint64_t request_id, const char *method,
                                  const char *target, const char *body,
                                  size_t size);
 /* A host acknowledged the batch TICKET.  */
 void marjoram_registrar_acknowledged (marjoram_registrar *registrar,
                                       uint64_t ticket);
-void marjoram_registrar_decided (marjoram_registrar *registrar, int64_t now,
-                                 uint64_t request,
-                                 const struct marjoram_apply_answer *answer);
+void marjoram_registrar_request_completed (
+    marjoram_registrar *registrar, int64_t now, uint64_t request,
+    const struct marjoram_apply_answer *answer);
 /* Applies a batch from another keeper.  */
 void marjoram_registrar_apply_batch (marjoram_registrar *registrar,
                                      int64_t now,
--- a/src/registrar_order.c
+++ b/src/registrar_command.c
@@ -48,7 +48,8 @@
    change: it is in force or superseded.  */
 void
 marjoram_registrar_set_config (marjoram_registrar *registrar, int64_t now,
-                               uint64_t ask, const char *body, size_t size)
+                               uint64_t request_id, const char *body,
+                               size_t size)
 {
   struct marjoram_error err = { 0 };
   struct marjoram_route_table *table
@@ -62,7 +63,7 @@
   marjoram_route_table_destroy (table);
   if (!valid)
     {
-      marjoram_registrar_reject (registrar, ask, "configuration", &err);
+      marjoram_registrar_reject (registrar, request_id, "configuration", &err);
       return;
     }
   if (version <= current_version (registrar->ops->state (registrar->context),
@@ -71,10 +72,11 @@
       marjoram_event (MARJORAM_EVENT_CONFIG,
                       "version=%" PRIu64 " taken=no reason=not-above-held",
                       version);
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
+      marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK,
+                                  "{}");
       return;
     }
-  pending = marjoram_registrar_add_pending (registrar, now, ask,
+  pending = marjoram_registrar_add_pending (registrar, now, request_id,
                                             MARJORAM_PENDING_CONFIG,
                                             MARJORAM_RESPONSE_TIMEOUT_MS);
   pending->version = version;
@@ -108,7 +110,7 @@
    outdated state as final.  */
 void
 marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
-                             uint64_t ask,
+                             uint64_t request_id,
                              const struct marjoram_api_request *request)
 {
   struct marjoram_pending_request *pending;
@@ -122,10 +124,10 @@
           &err, MARJORAM_ERROR_INVALID,
           "unknown zone \"%s\"; use one listed in the settings",
           request->zone);
-      marjoram_registrar_reject (registrar, ask, "evacuation", &err);
+      marjoram_registrar_reject (registrar, request_id, "evacuation", &err);
       return;
     }
-  pending = marjoram_registrar_add_pending (registrar, now, ask,
+  pending = marjoram_registrar_add_pending (registrar, now, request_id,
                                             MARJORAM_PENDING_EVACUATION,
                                             MARJORAM_RESPONSE_TIMEOUT_MS);
   snprintf (pending->zone, sizeof pending->zone, "%s", request->zone);
@@ -143,7 +145,7 @@
   marjoram_metrics_add (registrar->options.metrics,
                         MARJORAM_METRIC_EVACUATIONS,
                         status == MARJORAM_STATUS_OK);
-  marjoram_registrar_answer (registrar, pending->ask, status, "{}");
+  marjoram_registrar_respond (registrar, pending->request_id, status, "{}");
   marjoram_registrar_remove_pending (registrar, pending);
 }
 
@@ -185,7 +187,7 @@
                   answer->message ? answer->message : "");
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_CONFIGS,
                         status == MARJORAM_STATUS_OK);
-  marjoram_registrar_answer (registrar, pending->ask, status, "{}");
+  marjoram_registrar_respond (registrar, pending->request_id, status, "{}");
   marjoram_registrar_remove_pending (registrar, pending);
 }
 
@@ -200,18 +202,18 @@
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
 
   if (answer->outcome == MARJORAM_APPLY_DECIDED && file)
-    marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
-                               file->text);
+    marjoram_registrar_respond (registrar, pending->request_id,
+                                MARJORAM_STATUS_OK, file->text);
   else
-    marjoram_registrar_answer (registrar, pending->ask,
-                               MARJORAM_STATUS_UNAVAILABLE, "{}");
+    marjoram_registrar_respond (registrar, pending->request_id,
+                                MARJORAM_STATUS_UNAVAILABLE, "{}");
   marjoram_registrar_remove_pending (registrar, pending);
 }
 
 void
-marjoram_registrar_decided (marjoram_registrar *registrar, int64_t now,
-                            uint64_t request,
-                            const struct marjoram_apply_answer *answer)
+marjoram_registrar_request_completed (
+    marjoram_registrar *registrar, int64_t now, uint64_t request,
+    const struct marjoram_apply_answer *answer)
 {
   struct marjoram_pending_request *pending
       = marjoram_registrar_find_pending (registrar, request);
--- a/src/registrar_private.h
+++ b/src/registrar_private.h
@@ -1,5 +1,5 @@
 /* Internals shared by registrar.c (upstream heartbeats, lookups, request
-   dispatch) and registrar_order.c (operator commands).  */
+   dispatch) and registrar_command.c (operator commands).  */
 #ifndef MARJORAM_REGISTRAR_PRIVATE_H
 #define MARJORAM_REGISTRAR_PRIVATE_H
 
@@ -30,7 +30,7 @@
 struct marjoram_pending_request
 {
   uint64_t number;
-  uint64_t ask;
+  uint64_t request_id;
   enum marjoram_pending_kind kind;
   int64_t deadline;
   size_t pending_acks; /* LEAVE: hosts yet to acknowledge */
@@ -57,27 +57,27 @@
 marjoram_registrar_remove_pending (marjoram_registrar *registrar,
                                    struct marjoram_pending_request *pending);
 /* BODY is a string or NULL.  */
-void marjoram_registrar_answer (marjoram_registrar *registrar, uint64_t ask,
-                                int status, const char *body);
-struct marjoram_pending_request *
-marjoram_registrar_add_pending (marjoram_registrar *registrar, int64_t now,
-                                uint64_t ask, enum marjoram_pending_kind kind,
-                                int64_t timeout_ms);
+void marjoram_registrar_respond (marjoram_registrar *registrar,
+                                 uint64_t request_id, int status,
+                                 const char *body);
+struct marjoram_pending_request *marjoram_registrar_add_pending (
+    marjoram_registrar *registrar, int64_t now, uint64_t request_id,
+    enum marjoram_pending_kind kind, int64_t timeout_ms);
 /* NULL if no request is pending under NUMBER.  */
 struct marjoram_pending_request *
 marjoram_registrar_find_pending (marjoram_registrar *registrar,
                                  uint64_t number);
 /* Logs invalid input and responds with status 400.  */
-void marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t ask,
-                                const char *target,
+void marjoram_registrar_reject (marjoram_registrar *registrar,
+                                uint64_t request_id, const char *target,
                                 const struct marjoram_error *err);
 
-/* registrar_order.c */
+/* registrar_command.c */
 void marjoram_registrar_set_config (marjoram_registrar *registrar, int64_t now,
-                                    uint64_t ask, const char *body,
+                                    uint64_t request_id, const char *body,
                                     size_t size);
 void marjoram_registrar_evacuate (marjoram_registrar *registrar, int64_t now,
-                                  uint64_t ask,
+                                  uint64_t request_id,
                                   const struct marjoram_api_request *request);
 
 #endif
--- a/src/role.h
+++ b/src/role.h
@@ -26,8 +26,9 @@
   void (*fill_heartbeat) (struct marjoram_role *role,
                           struct marjoram_host_beat *heartbeat);
   /* A request to the host's HTTP API, other than for metrics.  */
-  void (*ask) (struct marjoram_role *role, uint64_t ask, const char *method,
-               const char *target, const char *body, size_t size);
+  void (*api_request) (struct marjoram_role *role, uint64_t request_id,
+                       const char *method, const char *target,
+                       const char *body, size_t size);
   /* Status report for operators; a new reference.  */
   json_t *(*report) (struct marjoram_role *role, int64_t now);
   void (*reload) (struct marjoram_role *role);
@@ -53,7 +54,7 @@
   marjoram_metrics *metrics;
   marjoram_host_list *hosts;
   marjoram_host_links *links;
-  marjoram_api_server *asks;
+  marjoram_api_server *api_server;
   uint64_t incarnation;
 };
 
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -185,11 +185,11 @@
 look_up (struct fleet *fleet, int number)
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
-  enum marjoram_lookup_reach reach;
+  enum marjoram_lookup_scope scope;
 
   (void)number;
   marjoram_host_list_lookup (fleet->list, fleet->now, "z", "r", NULL, NULL,
-                             addresses, &reach);
+                             addresses, &scope);
 }
 
 static void
--- a/test/test_host_list.c
+++ b/test/test_host_list.c
@@ -9,7 +9,7 @@
 
 static marjoram_host_list *list;
 static const char *found[MARJORAM_LOOKUP_MAX];
-static enum marjoram_lookup_reach reach;
+static enum marjoram_lookup_scope scope;
 
 static void
 setup (void)
@@ -58,7 +58,7 @@
 look_up (int64_t now, const char *zone, const char *region)
 {
   return marjoram_host_list_lookup (list, now, zone, region, is_home,
-                                    (void *)"r2", found, &reach);
+                                    (void *)"r2", found, &scope);
 }
 
 START_TEST (own_zone_first_then_region_then_home)
@@ -69,12 +69,12 @@
   receive_heartbeat (0, "h4", "z4", "r3");
   ck_assert_uint_eq (look_up (100, "z1", "r1"), 1);
   ck_assert_str_eq (found[0], "h1");
-  ck_assert_int_eq (reach, MARJORAM_REACH_ZONE);
+  ck_assert_int_eq (scope, MARJORAM_SCOPE_ZONE);
   ck_assert_uint_eq (look_up (100, "z9", "r1"), 2);
-  ck_assert_int_eq (reach, MARJORAM_REACH_REGION);
+  ck_assert_int_eq (scope, MARJORAM_SCOPE_REGION);
   ck_assert_uint_eq (look_up (100, "z9", "r9"), 1);
   ck_assert_str_eq (found[0], "h3");
-  ck_assert_int_eq (reach, MARJORAM_REACH_ALLOWED);
+  ck_assert_int_eq (scope, MARJORAM_SCOPE_ALLOWED);
 }
 END_TEST
 
--- a/test/test_registrar.c
+++ b/test/test_registrar.c
@@ -26,7 +26,7 @@
 static marjoram_metrics *metrics;
 static marjoram_registrar *registrar;
 static struct marjoram_state *state;
-static uint64_t asks;
+static uint64_t last_request_id;
 static int status;           /* status of the last response */
 static char body[2048];      /* body of the last response */
 static int renewals;         /* batches of renewals */
@@ -41,11 +41,11 @@
 static struct marjoram_file applied;
 
 static void
-op_answer (void *context, uint64_t ask, int code, const char *text,
-           size_t size)
+op_respond (void *context, uint64_t request_id, int code, const char *text,
+            size_t size)
 {
   (void)context;
-  ck_assert_uint_eq (ask, asks);
+  ck_assert_uint_eq (request_id, last_request_id);
   ck_assert_msg (status == NONE, "more than one response to a request");
   status = code;
   snprintf (body, sizeof body, "%.*s", (int)size, text ? text : "");
@@ -64,7 +64,7 @@
 }
 
 static size_t
-op_tell (void *context, const struct marjoram_news_batch *batch)
+op_broadcast (void *context, const struct marjoram_news_batch *batch)
 {
   (void)context;
   batches_sent++;
@@ -100,8 +100,8 @@
   return state;
 }
 
-static const struct marjoram_registrar_ops ops = { .answer = op_answer,
-                                                   .tell = op_tell,
+static const struct marjoram_registrar_ops ops = { .respond = op_respond,
+                                                   .broadcast = op_broadcast,
                                                    .renew = op_renew,
                                                    .apply = op_apply,
                                                    .read = op_read,
@@ -127,7 +127,7 @@
   options.metrics = metrics = marjoram_metrics_create ();
   registrar = marjoram_registrar_create (&options, &ops, NULL);
   state = NULL;
-  asks = 0;
+  last_request_id = 0;
   batches_sent = 0;
   renewals = 0;
   renewed_count = 0;
@@ -148,12 +148,13 @@
 }
 
 static void
-ask (int64_t now, const char *method, const char *target, const char *text)
+send_request (int64_t now, const char *method, const char *target,
+              const char *text)
 {
   status = NONE;
-  asks++;
-  marjoram_registrar_receive (registrar, now, asks, method, target, text,
-                              strlen (text));
+  last_request_id++;
+  marjoram_registrar_receive (registrar, now, last_request_id, method, target,
+                              text, strlen (text));
 }
 
 static void
@@ -165,7 +166,7 @@
             "{\"service\":\"app\",\"address\":\"10.0.0.9:80\","
             "\"zone\":\"za\",\"state\":\"%s\",\"seq\":%d}",
             state_name, sequence);
-  ask (now, "POST", "/-/instances/u1/heartbeat", text);
+  send_request (now, "POST", "/-/instances/u1/heartbeat", text);
 }
 
 /* Completes the pending register request; an accepted file takes effect.  */
@@ -184,7 +185,7 @@
       state->number++;
       marjoram_state_set_file (state, &applied);
     }
-  marjoram_registrar_decided (registrar, now, request, &what);
+  marjoram_registrar_request_completed (registrar, now, request, &what);
 }
 
 START_TEST (heartbeat_is_stored_and_broadcast)
@@ -226,11 +227,11 @@
 
 START_TEST (malformed_heartbeats_are_rejected)
 {
-  ask (0, "POST", "/-/instances/u1/heartbeat", "{\"service\":1}");
+  send_request (0, "POST", "/-/instances/u1/heartbeat", "{\"service\":1}");
   ck_assert_int_eq (status, 400);
-  ask (0, "POST", "/-/instances/u1/heartbeat",
-       "{\"service\":\"app\",\"address\":\"10.0.0.9:80\","
-       "\"zone\":\"nowhere\",\"state\":\"ready\",\"seq\":1}");
+  send_request (0, "POST", "/-/instances/u1/heartbeat",
+                "{\"service\":\"app\",\"address\":\"10.0.0.9:80\","
+                "\"zone\":\"nowhere\",\"state\":\"ready\",\"seq\":1}");
   ck_assert_int_eq (status, 400);
   ck_assert_ptr_null (marjoram_registry_find (registry, "u1"));
   ck_assert_uint_eq (batches_sent, 0);
@@ -259,7 +260,7 @@
 START_TEST (leave_does_not_wait_for_a_frozen_host)
 {
   connected_hosts = 1;
-  ask (100, "POST", "/-/instances/u1/deregister", "");
+  send_request (100, "POST", "/-/instances/u1/deregister", "");
   ck_assert_int_eq (status, NONE);
   marjoram_registrar_tick (registrar, 750);
   ck_assert_int_eq (status, 200);
@@ -269,7 +270,7 @@
 
 START_TEST (configuration_is_answered_once_it_is_decided)
 {
-  ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
+  send_request (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   ck_assert_int_eq (status, NONE);
   ck_assert_str_eq (applied.text, CONFIG ("7", "app"));
   complete_request (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
@@ -281,16 +282,16 @@
    one.  */
 START_TEST (outdated_versions_change_nothing)
 {
-  ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
+  send_request (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   complete_request (100, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   request = 0;
-  ask (200, "POST", "/-/config/replace", CONFIG ("7", "app"));
+  send_request (200, "POST", "/-/config/replace", CONFIG ("7", "app"));
   ck_assert_int_eq (status, 200);
-  ask (300, "POST", "/-/config/replace", CONFIG ("6", "app"));
+  send_request (300, "POST", "/-/config/replace", CONFIG ("6", "app"));
   ck_assert_int_eq (status, 200);
   ck_assert_uint_eq (request, 0);
   /* Another keeper was faster, which the register reports.  */
-  ask (400, "POST", "/-/config/replace", CONFIG ("8", "app"));
+  send_request (400, "POST", "/-/config/replace", CONFIG ("8", "app"));
   complete_request (500, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_CONFLICT);
   ck_assert_int_eq (status, 200);
 }
@@ -298,10 +299,10 @@
 
 START_TEST (faulty_configuration_is_refused)
 {
-  ask (0, "POST", "/-/config/replace", CONFIG ("7", "none"));
+  send_request (0, "POST", "/-/config/replace", CONFIG ("7", "none"));
   ck_assert_int_eq (status, 400);
   ck_assert (strstr (body, "unknown service none"));
-  ask (0, "POST", "/-/config/replace", "{\"version\":7,\"rou");
+  send_request (0, "POST", "/-/config/replace", "{\"version\":7,\"rou");
   ck_assert_int_eq (status, 400);
 }
 END_TEST
@@ -310,7 +311,7 @@
    unknown.  */
 START_TEST (undecided_order_is_unavailable)
 {
-  ask (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
+  send_request (0, "POST", "/-/config/replace", CONFIG ("7", "app"));
   marjoram_registrar_tick (registrar, 950);
   ck_assert_int_eq (status, 503);
   /* A late result sends no second response.  */
@@ -320,17 +321,17 @@
 
 START_TEST (read_needs_a_majority)
 {
-  ask (0, "GET", "/-/config/read", "");
+  send_request (0, "GET", "/-/config/read", "");
   complete_request (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 503);
-  ask (100, "POST", "/-/config/replace", CONFIG ("7", "app"));
+  send_request (100, "POST", "/-/config/replace", CONFIG ("7", "app"));
   complete_request (200, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
-  ask (300, "GET", "/-/config/read", "");
+  send_request (300, "GET", "/-/config/read", "");
   ck_assert_int_eq (status, NONE);
   complete_request (400, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 200);
   ck_assert_str_eq (body, CONFIG ("7", "app"));
-  ask (500, "GET", "/-/config/read", "");
+  send_request (500, "GET", "/-/config/read", "");
   complete_request (600, MARJORAM_APPLY_NOT_RUN, MARJORAM_CHANGE_SAME);
   ck_assert_int_eq (status, 503);
 }
@@ -342,7 +343,7 @@
   struct marjoram_names zones;
 
   state = marjoram_state_copy (NULL);
-  ask (0, "POST", "/-/evacuations/za/begin", "");
+  send_request (0, "POST", "/-/evacuations/za/begin", "");
   ck_assert_int_eq (reads, 1);
   complete_request (10, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   ck_assert_str_eq (applied.text, "za");
@@ -359,14 +360,14 @@
   ck_assert (marjoram_agreed_is_evacuated (&zones, "za"));
   ck_assert (marjoram_agreed_is_evacuated (&zones, "zb"));
   marjoram_names_clear (&zones);
-  ask (40, "POST", "/-/evacuations/za/finish", "");
+  send_request (40, "POST", "/-/evacuations/za/finish", "");
   complete_request (50, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_SAME);
   complete_request (60, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   ck_assert_int_eq (status, 200);
   zones = marjoram_agreed_evacuations (state);
   ck_assert (!marjoram_agreed_is_evacuated (&zones, "za"));
   marjoram_names_clear (&zones);
-  ask (70, "POST", "/-/evacuations/nowhere/begin", "");
+  send_request (70, "POST", "/-/evacuations/nowhere/begin", "");
   ck_assert_int_eq (status, 400);
 }
 END_TEST
@@ -381,13 +382,13 @@
                                      .incarnation = 1,
                                      .sequence = 1 };
 
-  ask (0, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
+  send_request (0, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 503);
   marjoram_host_list_update (hosts, 0, &host, true);
-  ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
+  send_request (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 200);
   ck_assert_str_eq (body, "{\"addresses\":[\"10.0.0.1:80\"],\"ttl_s\":2}");
-  ask (20, "GET", "/-/nothing", "");
+  send_request (20, "GET", "/-/nothing", "");
   ck_assert_int_eq (status, 404);
 }
 END_TEST
@@ -412,7 +413,7 @@
   static const char *const regions[] = { "r3", "r2", "r3" };
   static const char *const names[] = { "10.0.0.3", "10.0.0.2", "10.0.0.4" };
 
-  ask (0, "POST", "/-/config/replace", routes);
+  send_request (0, "POST", "/-/config/replace", routes);
   complete_request (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   for (size_t i = 0; i < 3; i++)
     {
@@ -426,7 +427,7 @@
 
       marjoram_host_list_update (hosts, 0, &host, true);
     }
-  ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
+  send_request (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_str_eq (body, "{\"addresses\":[\"10.0.0.2\"],\"ttl_s\":2}");
 }
 END_TEST
@@ -453,12 +454,12 @@
                                      .incarnation = 1,
                                      .sequence = 1 };
 
-  ask (0, "POST", "/-/config/replace", routes);
+  send_request (0, "POST", "/-/config/replace", routes);
   complete_request (1, MARJORAM_APPLY_DECIDED, MARJORAM_CHANGE_ACCEPTED);
   marjoram_host_list_update (hosts, 0, &host, true);
-  ask (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
+  send_request (10, "GET", "/-/resolve?name=a&region=r1&zone=za", "");
   ck_assert_int_eq (status, 503);
-  ask (10, "GET", "/-/resolve?name=b&region=r1&zone=za", "");
+  send_request (10, "GET", "/-/resolve?name=b&region=r1&zone=za", "");
   ck_assert_str_eq (body, "{\"addresses\":[\"10.0.0.3\"],\"ttl_s\":2}");
 }
 END_TEST
