--- a/api_test/api_test_marjoram.c
+++ b/api_test/api_test_marjoram.c
@@ -73,9 +73,9 @@
   ck_assert_int_eq (keepers, 3);
   model = marjoram_config_find_work (config, deployments[_i].model);
   service = marjoram_config_find_work (config, deployments[_i].service);
-  ck_assert_int_eq (marjoram_config_work (config, model)->copies,
+  ck_assert_int_eq (marjoram_config_work (config, model)->replicas,
                     deployments[_i].copies);
-  ck_assert_int_eq (marjoram_config_work (config, service)->copies,
+  ck_assert_int_eq (marjoram_config_work (config, service)->replicas,
                     deployments[_i].service_copies);
   ck_assert_uint_eq (
       marjoram_config_allowed (
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -24,18 +24,18 @@
   sum->asked += one->asked;
   sum->in_time += one->in_time;
   sum->refused += one->refused;
-  sum->read_again += one->read_again;
+  sum->prefilled_again += one->prefilled_again;
 }
 
 static struct load_result
-run_seeds (enum load_policy way, double reviews_per_s, double chats_per_s)
+run_seeds (enum load_policy policy, double reviews_per_s, double chats_per_s)
 {
   struct load_result sum = { 0 };
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
       const struct load_terms terms = {
-        .way = way,
+        .policy = policy,
         .seed = seed,
         .engines = ENGINES,
         .hosts = HOSTS,
@@ -64,21 +64,21 @@
   struct load_result placed
       = run_seeds (LOAD_PLACED_COPYING, reviews_per_s, chats_per_s);
 
-  for (int way = 0; way < LOAD_PLACED_COPYING; way++)
+  for (int policy = 0; policy < LOAD_PLACED_COPYING; policy++)
     {
       struct load_result baseline
-          = run_seeds ((enum load_policy)way, reviews_per_s, chats_per_s);
+          = run_seeds ((enum load_policy)policy, reviews_per_s, chats_per_s);
 
       printf ("metric=placement_in_time_%.0f_reviews value=%.1f unit=%% "
               "baseline=%.1f baseline_name=%s\n",
               reviews_per_s, percentage (placed.in_time, placed.asked),
               percentage (baseline.in_time, baseline.asked),
-              load_policy_name ((enum load_policy)way));
+              load_policy_name ((enum load_policy)policy));
       printf ("metric=placement_read_again_%.0f_reviews value=%" PRId64
               " unit=ktokens baseline=%" PRId64 " baseline_name=%s\n",
-              reviews_per_s, placed.read_again / THOUSAND,
-              baseline.read_again / THOUSAND,
-              load_policy_name ((enum load_policy)way));
+              reviews_per_s, placed.prefilled_again / THOUSAND,
+              baseline.prefilled_again / THOUSAND,
+              load_policy_name ((enum load_policy)policy));
     }
 }
 
--- a/src/chooser.c
+++ b/src/chooser.c
@@ -170,9 +170,10 @@
 
   pick->upstream = upstream;
   pick->cached = cached;
-  pick->room = load < slots;
-  pick->wait_ms
-      = pick->room ? 0 : (load - slots + 1) / slots * pool->mean_ms * factor;
+  pick->has_free_slot = load < slots;
+  pick->wait_ms = pick->has_free_slot
+                      ? 0
+                      : (load - slots + 1) / slots * pool->mean_ms * factor;
   pick->total_ms = pick->wait_ms
                    + unloaded_ms (chooser, pool, query, cached)
                          * (1 + BATCH_SLOWDOWN * fill) * factor;
@@ -228,8 +229,8 @@
   if (!best->upstream)
     return true;
   if (selection->query->class == MARJORAM_CLASS_OVERNIGHT
-      && best->room != pick->room)
-    return pick->room;
+      && best->has_free_slot != pick->has_free_slot)
+    return pick->has_free_slot;
   return cost < selection->best_cost;
 }
 
@@ -361,7 +362,7 @@
       evaluate_preferred (&selection);
     }
   evaluate_sample (&selection, SAMPLE_SIZE);
-  if (!pick->upstream || !pick->room)
+  if (!pick->upstream || !pick->has_free_slot)
     evaluate_sample (&selection, EXTRA_SAMPLE_SIZE);
   if (!pick->upstream)
     evaluate_all (&selection);
@@ -375,7 +376,7 @@
 marjoram_chooser_capacity (marjoram_chooser *chooser, int64_t now, int work)
 {
   struct marjoram_pool *pool = marjoram_pools_get (chooser->pools, work);
-  struct marjoram_pool_capacity *capacity = &pool->room;
+  struct marjoram_pool_capacity *capacity = &pool->capacity;
 
   if (now < pool->capacity_updated_at + CAPACITY_CACHE_MS)
     return capacity;
--- a/src/chooser.h
+++ b/src/chooser.h
@@ -19,10 +19,10 @@
 {
   const struct marjoram_upstream *upstream; /* NULL if none is usable */
   double wait_ms;
-  double total_ms; /* including wait_ms */
-  double cost;     /* total_ms plus the delay imposed on other requests */
-  bool cached;     /* the prompt prefix is expected to be cached */
-  bool room;       /* has a free slot */
+  double total_ms;    /* including wait_ms */
+  double cost;        /* total_ms plus the delay imposed on other requests */
+  bool cached;        /* the prompt prefix is expected to be cached */
+  bool has_free_slot; /* has a free slot */
 };
 
 marjoram_chooser *marjoram_chooser_create (marjoram_members *members,
--- a/src/config.h
+++ b/src/config.h
@@ -61,7 +61,7 @@
   double prefill_rate; /* tokens per second, for estimates */
   double decode_rate;  /* tokens per second per stream */
   int64_t load_ms;     /* time for an engine to load it */
-  int copies;          /* replicas per zone */
+  int replicas;        /* replicas per zone */
 };
 
 enum marjoram_class_kind
--- a/src/config_draft.c
+++ b/src/config_draft.c
@@ -41,8 +41,8 @@
     0.01, RATE_MAX, NULL },
   { "load_ms", MARJORAM_INI_INT64, FIELD (work, value.load_ms), "60000", 0,
     DAY_MS, NULL },
-  { "copies", MARJORAM_INI_INT, FIELD (work, value.copies), "1", 0, COPIES_MAX,
-    NULL },
+  { "copies", MARJORAM_INI_INT, FIELD (work, value.replicas), "1", 0,
+    COPIES_MAX, NULL },
 };
 
 static const struct marjoram_ini_key service_keys[] = {
@@ -50,8 +50,8 @@
     NULL },
   { "deadline_ms", MARJORAM_INI_INT64, FIELD (work, value.deadline_ms), "5000",
     1, DAY_MS, NULL },
-  { "copies", MARJORAM_INI_INT, FIELD (work, value.copies), "1", 0, COPIES_MAX,
-    NULL },
+  { "copies", MARJORAM_INI_INT, FIELD (work, value.replicas), "1", 0,
+    COPIES_MAX, NULL },
 };
 
 static const char *const class_words[] = { "service", "engine", NULL };
--- a/src/engine_survey.c
+++ b/src/engine_survey.c
@@ -117,8 +117,8 @@
   marjoram_event (MARJORAM_EVENT_UPSTREAM, "id=%s survey=%s parts=%zu",
                   query->engine, valid ? "answered" : "failed", parts.count);
   if (valid)
-    survey->ops->kept (survey->context, query->engine, parts.items,
-                       parts.count);
+    survey->ops->cached (survey->context, query->engine, parts.items,
+                         parts.count);
   free (parts.items);
   end_query (survey, query);
 }
--- a/src/engine_survey.h
+++ b/src/engine_survey.h
@@ -13,8 +13,8 @@
 struct marjoram_engine_survey_ops
 {
   /* ENGINE has PARTS cached.  PARTS are borrowed.  */
-  void (*kept) (void *context, const char *engine,
-                const struct marjoram_prompt_part *parts, size_t count);
+  void (*cached) (void *context, const char *engine,
+                  const struct marjoram_prompt_part *parts, size_t count);
 };
 
 marjoram_engine_survey *marjoram_engine_survey_create (
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -141,7 +141,7 @@
                 uint64_t session, const struct marjoram_forward *forward)
 {
   const struct marjoram_forwarded limits_from_peer
-      = { forward->budget_ms, forward->useful_ms };
+      = { forward->budget_ms, forward->time_left_ms };
   struct marjoram_inbound *inbound;
 
   if (!forward->method || !forward->path)
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -387,7 +387,7 @@
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
-    = { .kept = survey_cached };
+    = { .cached = survey_cached };
 
 static bool
 should_survey (struct marjoram_entry *self,
--- a/src/frame.c
+++ b/src/frame.c
@@ -99,7 +99,7 @@
   { MARJORAM_WIRE_BOOL (struct marjoram_forward, stream) },
   { MARJORAM_WIRE_BOOL (struct marjoram_forward, claim_here) },
   { MARJORAM_WIRE_BOOL (struct marjoram_forward, no_local_upstream) },
-  { MARJORAM_WIRE_INT (struct marjoram_forward, useful_ms) },
+  { MARJORAM_WIRE_INT (struct marjoram_forward, time_left_ms) },
 };
 LAYOUT (forward_layout, marjoram_forward, forward_fields);
 
--- a/src/frame.h
+++ b/src/frame.h
@@ -134,7 +134,7 @@
   bool no_local_upstream; /* the sender's zone has no upstream for the request
                            */
   /* Remaining time until the first event is late; 0 if unknown.  */
-  int64_t useful_ms;
+  int64_t time_left_ms;
 };
 
 struct marjoram_head
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -174,7 +174,7 @@
       " limit=%s events=%d quiet_ms=%" PRId64 " pause_ms=%" PRId64
       " route=%s service=%s config=%" PRIu64
       " upstream=%s host=%s arrivals=%d unreached=%d forwarded=%d",
-      *exchange->facts.id ? exchange->facts.id : "-", outcome,
+      *exchange->metadata.id ? exchange->metadata.id : "-", outcome,
       marjoram_reason_name (reason), status, now - exchange->received_at,
       first_ms, exchange->objective_ms, exchange->estimated_wait_ms,
       exchange->place.backlog_ms, exchange->place.copied_tokens,
@@ -184,7 +184,7 @@
       exchange->longest_gap_ms, *exchange->route ? exchange->route : "-",
       *exchange->service ? exchange->service : "-", exchange->config,
       *exchange->upstream ? exchange->upstream : "-",
-      *exchange->host ? exchange->host : "-", exchange->arrivals,
+      *exchange->host ? exchange->host : "-", exchange->attempts_sent,
       exchange->failed_connections, exchange->forwarded);
 }
 
@@ -295,7 +295,7 @@
 static void
 set_deadline (struct marjoram_exchange *exchange, int64_t timeout_ms)
 {
-  int64_t caller_timeout = exchange->facts.caller_timeout_ms;
+  int64_t caller_timeout = exchange->metadata.caller_timeout_ms;
 
   exchange->deadline_at = exchange->received_at + timeout_ms;
   exchange->is_caller_deadline
@@ -328,7 +328,7 @@
                             int64_t now)
 {
   return now < gateway->created_at + STARTUP_MS && !exchange->forwarded
-         && exchange->arrivals == 0
+         && exchange->attempts_sent == 0
          && now < exchange->received_at + STARTUP_WAIT_MS;
 }
 
@@ -372,7 +372,8 @@
             gateway->table, host ? host : "", exchange->request->target)
                        : NULL;
   const char *service
-      = route ? marjoram_route_pick_service (route, exchange->facts.id) : NULL;
+      = route ? marjoram_route_pick_service (route, exchange->metadata.id)
+              : NULL;
 
   marjoram_metrics_add (gateway->options.metrics,
                         exchange->forwarded ? MARJORAM_METRIC_FORWARDED_IN
@@ -397,14 +398,14 @@
   exchange->idle_deadline = INT64_MAX;
   exchange->body = evbuffer_new ();
   gateway->options.dialect->ops->read_call (&request->headers,
-                                            &exchange->facts);
+                                            &exchange->metadata);
   if (forwarded && forwarded->caller_timeout_ms > 0)
-    exchange->facts.caller_timeout_ms = forwarded->caller_timeout_ms;
-  if (forwarded && forwarded->useful_ms > 0)
-    exchange->forwarded_target_at = now + forwarded->useful_ms;
+    exchange->metadata.caller_timeout_ms = forwarded->caller_timeout_ms;
+  if (forwarded && forwarded->time_left_ms > 0)
+    exchange->forwarded_target_at = now + forwarded->time_left_ms;
   HASH_ADD (by_call, gateway->by_call, call, sizeof exchange->call, exchange);
   count_request (gateway, exchange, now);
-  if (!*exchange->facts.id)
+  if (!*exchange->metadata.id)
     {
       refuse_at_once (gateway, exchange, now, MARJORAM_REASON_BAD_REQUEST,
                       STATUS_BAD_REQUEST, 0);
@@ -419,7 +420,7 @@
 time_out (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
           int64_t now)
 {
-  bool ran = exchange->runs > 0;
+  bool ran = exchange->attempts_maybe_run > 0;
   const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN,
           MARJORAM_REASON_DEADLINE,
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -78,7 +78,7 @@
 struct marjoram_forwarded
 {
   int64_t caller_timeout_ms; /* until the caller's deadline */
-  int64_t useful_ms;         /* until the first event is due; 0: unknown */
+  int64_t time_left_ms;      /* until the first event is due; 0: unknown */
 };
 
 /* Takes ownership of REQUEST.  FORWARDED is null for a caller's request and
--- a/src/gateway_answer.c
+++ b/src/gateway_answer.c
@@ -53,8 +53,8 @@
     return "first-host-decides";
   if (exchange->deadline_at - now < RETRY_TIME_MIN_MS)
     return "no-time";
-  if (exchange->runs >= exchange->max_upstreams
-      || exchange->arrivals >= exchange->max_upstreams + EXTRA_ATTEMPTS)
+  if (exchange->attempts_maybe_run >= exchange->max_upstreams
+      || exchange->attempts_sent >= exchange->max_upstreams + EXTRA_ATTEMPTS)
     return "upstreams-used";
   if (!marjoram_repeat_budget_take (
           gateway->budget, now, exchange->service,
@@ -71,11 +71,11 @@
   marjoram_event (MARJORAM_EVENT_ATTEMPT,
                   "id=%s failed=%s retry=%s service=%s upstream=%s host=%s "
                   "status=%d arrivals=%d runs=%d lag_ms=%" PRId64,
-                  exchange->facts.id, marjoram_reason_name (reason),
+                  exchange->metadata.id, marjoram_reason_name (reason),
                   denial ? denial : "yes", exchange->service,
                   *exchange->upstream ? exchange->upstream : "-",
                   *exchange->host ? exchange->host : "-", exchange->status,
-                  exchange->arrivals, exchange->runs,
+                  exchange->attempts_sent, exchange->attempts_maybe_run,
                   gateway->ops->lag_ms (gateway->context));
 }
 
@@ -111,7 +111,7 @@
 fail (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
       int64_t now, enum marjoram_reason reason)
 {
-  bool ran = exchange->runs > 0;
+  bool ran = exchange->attempts_maybe_run > 0;
   const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN, reason,
           ran ? STATUS_BAD_GATEWAY : STATUS_UNAVAILABLE,
@@ -156,10 +156,10 @@
    which cannot be attributed.  */
 static bool
 is_answer_to (const struct marjoram_exchange *exchange, int status,
-              const struct marjoram_response_metadata *facts)
+              const struct marjoram_response_metadata *metadata)
 {
-  if (*facts->id)
-    return strcmp (facts->id, exchange->facts.id) == 0;
+  if (*metadata->id)
+    return strcmp (metadata->id, exchange->metadata.id) == 0;
   return status / 100 != SUCCESS;
 }
 
@@ -187,24 +187,24 @@
                        struct marjoram_header_list *headers)
 {
   struct marjoram_exchange *exchange = find_attempt (gateway, attempt);
-  struct marjoram_response_metadata facts;
+  struct marjoram_response_metadata metadata;
 
   if (!exchange)
     return false;
-  gateway->options.dialect->ops->read_answer (status, headers, &facts);
-  if (!is_answer_to (exchange, status, &facts))
+  gateway->options.dialect->ops->read_answer (status, headers, &metadata);
+  if (!is_answer_to (exchange, status, &metadata))
     {
       marjoram_metrics_add (gateway->options.metrics,
                             MARJORAM_METRIC_STRAY_ANSWERS, 1);
       return false;
     }
-  if (facts.cold_ms > 0 && *exchange->upstream)
+  if (metadata.cold_ms > 0 && *exchange->upstream)
     marjoram_placement_set_cold (gateway->placement, now, exchange->upstream,
-                                 facts.cold_ms);
+                                 metadata.cold_ms);
   exchange->status = status;
-  exchange->is_signed = facts.signed_by_upstream;
-  exchange->refused = facts.not_run;
-  exchange->wrong_upstream = facts.wrong_upstream;
+  exchange->is_signed = metadata.signed_by_upstream;
+  exchange->refused = metadata.not_run;
+  exchange->wrong_upstream = metadata.wrong_upstream;
   if (exchange->state == MARJORAM_EXCHANGE_STREAMING)
     return true;
   copy_headers (gateway, exchange, headers);
@@ -310,7 +310,7 @@
                                  exchange->wrong_upstream
                                      ? MARJORAM_ATTEMPT_WRONG_UPSTREAM
                                      : MARJORAM_ATTEMPT_REFUSED);
-  exchange->runs--;
+  exchange->attempts_maybe_run--;
   marjoram_exchange_retry (gateway, exchange, now,
                            MARJORAM_REASON_UPSTREAM_REFUSED, true);
 }
@@ -374,8 +374,8 @@
 {
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  MARJORAM_ATTEMPT_UNREACHED);
-  exchange->runs--;
-  exchange->arrivals--;
+  exchange->attempts_maybe_run--;
+  exchange->attempts_sent--;
   exchange->failed_connections++;
   log_attempt (gateway, exchange, MARJORAM_REASON_NO_UPSTREAM, NULL);
   marjoram_exchange_send (gateway, exchange, now);
@@ -397,7 +397,7 @@
   if (marjoram_crash_list_is_blocked (gateway->crashes, now, digest))
     marjoram_event (MARJORAM_EVENT_ATTEMPT,
                     "id=%s convicted=yes digest=%s upstream=%s service=%s",
-                    exchange->facts.id, digest, exchange->upstream,
+                    exchange->metadata.id, digest, exchange->upstream,
                     exchange->service);
 }
 
@@ -442,16 +442,17 @@
     }
   marjoram_exchange_end_attempt (gateway, exchange, now,
                                  MARJORAM_ATTEMPT_REFUSED);
-  exchange->runs--;
-  exchange->arrivals--;
-  if (exchange->runs == 0 && now < exchange->target_at
+  exchange->attempts_maybe_run--;
+  exchange->attempts_sent--;
+  if (exchange->attempts_maybe_run == 0 && now < exchange->target_at
       && marjoram_exchange_may_run_here (gateway, exchange))
     {
       marjoram_exchange_send (gateway, exchange, now);
       return;
     }
-  answer.outcome = exchange->runs > 0 ? MARJORAM_OUTCOME_UNKNOWN
-                                      : MARJORAM_OUTCOME_NOT_RUN;
-  answer.status = exchange->runs > 0 ? STATUS_BAD_GATEWAY : STATUS_UNAVAILABLE;
+  answer.outcome = exchange->attempts_maybe_run > 0 ? MARJORAM_OUTCOME_UNKNOWN
+                                                    : MARJORAM_OUTCOME_NOT_RUN;
+  answer.status = exchange->attempts_maybe_run > 0 ? STATUS_BAD_GATEWAY
+                                                   : STATUS_UNAVAILABLE;
   marjoram_exchange_refuse (gateway, exchange, now, &answer);
 }
--- a/src/gateway_forward.c
+++ b/src/gateway_forward.c
@@ -16,7 +16,7 @@
             int64_t now, const char *host)
 {
   struct marjoram_http_request *request = exchange->request;
-  const struct marjoram_run_metadata facts
+  const struct marjoram_run_metadata metadata
       = { .last_event = marjoram_exchange_last_event (exchange),
           .urgency = -1 };
   struct marjoram_forward forward = { 0 };
@@ -27,7 +27,7 @@
                                              request->headers.items[i].name))
       marjoram_header_list_add (&headers, request->headers.items[i].name,
                                 request->headers.items[i].value);
-  gateway->options.dialect->ops->write_run (&facts, &headers);
+  gateway->options.dialect->ops->write_run (&metadata, &headers);
   if (headers.count > MARJORAM_HEADERS_MAX)
     {
       marjoram_header_list_clear (&headers);
@@ -35,14 +35,14 @@
     }
   marjoram_exchange_start_attempt (gateway, exchange);
   forward.request = exchange->attempt;
-  forward.id = exchange->facts.id;
+  forward.id = exchange->metadata.id;
   forward.method = request->method;
   forward.path = request->target;
   forward.headers.items = headers.items;
   forward.headers.count = headers.count;
   forward.body = request->body;
   forward.budget_ms = marjoram_exchange_time_left (exchange, now);
-  forward.useful_ms
+  forward.time_left_ms
       = exchange->target_at > now ? exchange->target_at - now : 0;
   forward.config_number = exchange->config;
   forward.stream = request->has_body;
@@ -51,8 +51,8 @@
       snprintf (exchange->host, sizeof exchange->host, "%s", host);
       exchange->upstream[0] = '\0';
       exchange->forwarded_out = true;
-      exchange->arrivals++;
-      exchange->runs++;
+      exchange->attempts_sent++;
+      exchange->attempts_maybe_run++;
       marjoram_metrics_add (gateway->options.metrics,
                             MARJORAM_METRIC_FORWARDED_OUT, 1);
       marjoram_header_list_clear (&headers);
@@ -86,7 +86,7 @@
 host_weight (const struct marjoram_exchange *exchange,
              const struct marjoram_listed_host *host)
 {
-  return marjoram_listed_host_weight (host, exchange->facts.id);
+  return marjoram_listed_host_weight (host, exchange->metadata.id);
 }
 
 /* Orders regions by the wait at their least loaded upstream or by the mean
@@ -193,14 +193,14 @@
                          struct marjoram_exchange *exchange,
                          const struct marjoram_route_rule *route, int64_t now,
                          const struct marjoram_place *chosen,
-                         int64_t useful_ms)
+                         int64_t time_left_ms)
 {
   const struct marjoram_listed_host *host;
   struct marjoram_host_offer offer = { 0 };
-  struct marjoram_spill_query query = { .id = exchange->facts.id };
+  struct marjoram_spill_query query = { .id = exchange->metadata.id };
 
-  if (exchange->forwarded || exchange->forwarded_out || exchange->runs > 0
-      || chosen->engine_tokens_per_ms <= 0)
+  if (exchange->forwarded || exchange->forwarded_out
+      || exchange->attempts_maybe_run > 0 || chosen->engine_tokens_per_ms <= 0)
     return false;
   host
       = choose_remote_host (gateway, exchange, route, now, BY_BACKLOG, &offer);
@@ -211,12 +211,12 @@
   query.local_ms
       = marjoram_placement_backlog (gateway->placement, exchange->service);
   query.remote_ms = (double)offer.backlog_ms;
-  query.unread_ms
-      = (double)chosen->unread_tokens / chosen->engine_tokens_per_ms;
-  query.prompt_ms
-      = (double)exchange->facts.prompt_tokens / chosen->engine_tokens_per_ms;
+  query.prefill_ms
+      = (double)chosen->prefill_tokens / chosen->engine_tokens_per_ms;
+  query.prompt_ms = (double)exchange->metadata.prompt_tokens
+                    / chosen->engine_tokens_per_ms;
   query.remote_first_ms = (int64_t)offer.wait_ms + REGION_RTT_MS;
-  query.useful_ms = useful_ms;
+  query.time_left_ms = time_left_ms;
   if (!marjoram_spill_selects (&query))
     return false;
   exchange->estimated_wait_ms
--- a/src/gateway_message.c
+++ b/src/gateway_message.c
@@ -98,7 +98,7 @@
 static const struct marjoram_field load_item_fields[] = {
   STRING (marjoram_load_item, upstream),
   UINT (marjoram_load_item, running),
-  UINT (marjoram_load_item, unread_tokens),
+  UINT (marjoram_load_item, prefill_tokens),
   UINT (marjoram_load_item, urgent_tokens),
   UINT (marjoram_load_item, held_tokens),
   UINT (marjoram_load_item, answer_tokens),
--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -106,11 +106,11 @@
 {
   char *upstream;
   uint64_t running;
-  uint64_t unread_tokens; /* of prompts not yet processed */
-  uint64_t urgent_tokens; /* those of the most urgent priority */
-  uint64_t held_tokens;   /* of running requests, in engine memory */
-  uint64_t answer_tokens; /* upper bound of what is still to be generated */
-  bool lost;              /* connections broke; may have restarted */
+  uint64_t prefill_tokens; /* of prompts not yet processed */
+  uint64_t urgent_tokens;  /* those of the most urgent priority */
+  uint64_t held_tokens;    /* of running requests, in engine memory */
+  uint64_t answer_tokens;  /* upper bound of what is still to be generated */
+  bool lost;               /* connections broke; may have restarted */
 };
 
 /* A prompt prefix block that was just sent to an upstream.  */
--- a/src/gateway_private.h
+++ b/src/gateway_private.h
@@ -33,7 +33,7 @@
 {
   uint64_t call;
   struct marjoram_http_request *request;
-  struct marjoram_call_metadata facts;
+  struct marjoram_call_metadata metadata;
   bool forwarded; /* received from another region */
   enum marjoram_exchange_state state;
   int64_t received_at;
@@ -77,8 +77,8 @@
   /* Totals over all attempts.  */
   char tried[MARJORAM_TRIED_MAX][MARJORAM_ID_MAX];
   size_t tried_count;
-  int arrivals; /* attempts that may have reached an upstream */
-  int runs;     /* attempts that may have run or still run */
+  int attempts_sent;      /* attempts that may have reached an upstream */
+  int attempts_maybe_run; /* attempts that may have run or still run */
   int failed_connections;
   bool forwarded_out;
   UT_hash_handle by_call;
@@ -179,7 +179,7 @@
                               struct marjoram_exchange *exchange,
                               const struct marjoram_route_rule *route,
                               int64_t now, const struct marjoram_place *chosen,
-                              int64_t useful_ms);
+                              int64_t time_left_ms);
 
 /* gateway_wait.c */
 /* Queues the exchange, or keeps it queued, until an upstream has room for it.
--- a/src/gateway_send.c
+++ b/src/gateway_send.c
@@ -96,7 +96,7 @@
 {
   const struct marjoram_dialect_ops *dialect = gateway->options.dialect->ops;
   const struct marjoram_http_request *request = exchange->request;
-  const struct marjoram_run_metadata facts = {
+  const struct marjoram_run_metadata metadata = {
     .caller_timeout_ms = marjoram_exchange_time_left (exchange, now),
     .upstream = exchange->upstream,
     .last_event = marjoram_exchange_last_event (exchange),
@@ -114,7 +114,7 @@
           && dialect->passes_to_upstream (header->name))
         marjoram_header_list_add (headers, header->name, header->value);
     }
-  dialect->write_run (&facts, headers);
+  dialect->write_run (&metadata, headers);
 }
 
 static marjoram_bytes *
@@ -164,12 +164,12 @@
 {
   memset (query, 0, sizeof *query);
   query->service = service;
-  query->facts = &exchange->facts;
+  query->metadata = &exchange->metadata;
   query->priority = exchange->priority;
-  query->useful_ms = exchange->target_at - now;
-  if (query->useful_ms < TARGET_MIN_MS)
-    query->useful_ms = marjoram_exchange_time_left (exchange, now);
-  query->again = true;
+  query->time_left_ms = exchange->target_at - now;
+  if (query->time_left_ms < TARGET_MIN_MS)
+    query->time_left_ms = marjoram_exchange_time_left (exchange, now);
+  query->allow_tried = true;
   for (size_t i = 0; i < exchange->tried_count; i++)
     query->tried[query->tried_count++] = exchange->tried[i];
 }
@@ -189,8 +189,8 @@
   marjoram_placement_attempt_started (
       gateway->placement, now, exchange->attempt, exchange->upstream, query);
   add_tried (exchange, exchange->upstream);
-  exchange->arrivals++;
-  exchange->runs++;
+  exchange->attempts_sent++;
+  exchange->attempts_maybe_run++;
   if (exchange->repeatable)
     exchange->idle_deadline
         = now + IDLE_MS + IDLE_WAIT_FACTOR * place->wait_ms;
@@ -211,7 +211,7 @@
 refuse (marjoram_gateway *gateway, struct marjoram_exchange *exchange,
         int64_t now, enum marjoram_reason reason, int64_t retry_ms)
 {
-  const bool ran = exchange->runs > 0;
+  const bool ran = exchange->attempts_maybe_run > 0;
   const struct marjoram_request_failure why
       = { ran ? MARJORAM_OUTCOME_UNKNOWN : MARJORAM_OUTCOME_NOT_RUN, reason,
           ran ? STATUS_BAD_GATEWAY : STATUS_UNAVAILABLE, retry_ms };
@@ -269,7 +269,7 @@
 static int64_t
 max_remote_wait (const marjoram_gateway *gateway,
                  const struct marjoram_exchange *exchange, int64_t now,
-                 const struct marjoram_place *chosen, int64_t useful_ms)
+                 const struct marjoram_place *chosen, int64_t time_left_ms)
 {
   int64_t here_ms;
 
@@ -281,7 +281,7 @@
                                       exchange->priority, exchange->target_at),
                                   chosen)
         + chosen->wait_ms;
-  return here_ms < useful_ms ? here_ms : useful_ms;
+  return here_ms < time_left_ms ? here_ms : time_left_ms;
 }
 
 static void
@@ -336,12 +336,13 @@
           && marjoram_exchange_is_next (gateway, exchange, &chosen);
   if (found
       && marjoram_exchange_spill (gateway, exchange, route, now, &chosen,
-                                  query.useful_ms))
+                                  query.time_left_ms))
     return;
   if (!found
-      && marjoram_exchange_forward (
-          gateway, exchange, route, now,
-          max_remote_wait (gateway, exchange, now, &chosen, query.useful_ms)))
+      && marjoram_exchange_forward (gateway, exchange, route, now,
+                                    max_remote_wait (gateway, exchange, now,
+                                                     &chosen,
+                                                     query.time_left_ms)))
     return;
   if (!found && chosen.candidates == 0)
     found = find_last_resort (gateway, exchange, now, &query, &chosen);
@@ -365,7 +366,7 @@
       || !marjoram_crash_list_is_blocked (gateway->crashes, now,
                                           marjoram_exchange_digest (exchange)))
     return false;
-  if (exchange->runs > 0)
+  if (exchange->attempts_maybe_run > 0)
     {
       why.outcome = MARJORAM_OUTCOME_UNKNOWN;
       why.status = STATUS_BAD_GATEWAY;
@@ -408,7 +409,7 @@
   if (!route || !service)
     return false;
   make_query (exchange, service, now, &query);
-  query.again = false;
+  query.allow_tried = false;
   if (marjoram_route_allows (route, gateway->region))
     {
       marjoram_placement_choose (gateway->placement, now, &query, &chosen);
@@ -417,7 +418,7 @@
     }
   return exchange->state != MARJORAM_EXCHANGE_STREAMING
          && marjoram_exchange_may_forward (gateway, exchange, route, now,
-                                           query.useful_ms);
+                                           query.time_left_ms);
 }
 
 /* Looks up the route on each attempt, so that a retry follows the current
@@ -431,16 +432,18 @@
   const char *service;
   const struct marjoram_service_rule *rule;
 
-  service
-      = route ? marjoram_route_pick_service (route, exchange->facts.id) : NULL;
+  service = route ? marjoram_route_pick_service (route, exchange->metadata.id)
+                  : NULL;
   rule = service ? marjoram_route_table_service (table, service) : NULL;
   if (!rule)
     {
       const struct marjoram_request_failure why
-          = { exchange->runs > 0 ? MARJORAM_OUTCOME_UNKNOWN
-                                 : MARJORAM_OUTCOME_NOT_RUN,
+          = { exchange->attempts_maybe_run > 0 ? MARJORAM_OUTCOME_UNKNOWN
+                                               : MARJORAM_OUTCOME_NOT_RUN,
               MARJORAM_REASON_CONFIG_CHANGED,
-              exchange->runs > 0 ? STATUS_BAD_GATEWAY : STATUS_NOT_FOUND, 0 };
+              exchange->attempts_maybe_run > 0 ? STATUS_BAD_GATEWAY
+                                               : STATUS_NOT_FOUND,
+              0 };
 
       marjoram_exchange_refuse (gateway, exchange, now, &why);
       return;
--- a/src/gateway_wait.c
+++ b/src/gateway_wait.c
@@ -20,7 +20,7 @@
 prompt_ms (const struct marjoram_place *place, double tokens_per_ms)
 {
   return tokens_per_ms > 0
-             ? (int64_t)((double)place->unread_tokens / tokens_per_ms)
+             ? (int64_t)((double)place->prefill_tokens / tokens_per_ms)
              : 0;
 }
 
@@ -133,7 +133,7 @@
   waiter->start_by = latest_start (exchange, chosen);
   waiter->sort_key = sort_key_of (exchange, chosen);
   exchange->queued_since = now;
-  waiter->tokens = chosen->unread_tokens;
+  waiter->tokens = chosen->prefill_tokens;
   if (now
           + marjoram_gateway_wait_ms (gateway, exchange->service,
                                       waiter->sort_key, chosen)
--- a/src/load_collector.c
+++ b/src/load_collector.c
@@ -17,7 +17,7 @@
 struct load
 {
   uint64_t running;
-  uint64_t unread;
+  uint64_t prefill_tokens;
   uint64_t urgent;
   uint64_t held;
   uint64_t answer;
@@ -88,7 +88,7 @@
 add_load (struct load *total, const struct load *load)
 {
   total->running += load->running;
-  total->unread += load->unread;
+  total->prefill_tokens += load->prefill_tokens;
   total->urgent += load->urgent;
   total->held += load->held;
   total->answer += load->answer;
@@ -98,7 +98,7 @@
 subtract_load (struct load *total, const struct load *load)
 {
   total->running -= load->running;
-  total->unread -= load->unread;
+  total->prefill_tokens -= load->prefill_tokens;
   total->urgent -= load->urgent;
   total->held -= load->held;
   total->answer -= load->answer;
@@ -243,7 +243,7 @@
             const struct marjoram_load_item *item)
 {
   const struct load load
-      = { item->running, item->unread_tokens, item->urgent_tokens,
+      = { item->running, item->prefill_tokens, item->urgent_tokens,
           item->held_tokens, item->answer_tokens };
   struct share *share;
 
@@ -310,7 +310,7 @@
   items[report->items.count] = (struct marjoram_load_item){
     .upstream = marjoram_strdup (total->upstream),
     .running = total->load.running,
-    .unread_tokens = total->load.unread,
+    .prefill_tokens = total->load.prefill_tokens,
     .urgent_tokens = total->load.urgent,
     .held_tokens = total->load.held,
     .answer_tokens = total->load.answer,
--- a/src/model_placement.c
+++ b/src/model_placement.c
@@ -284,7 +284,7 @@
 
   if (model->kind != MARJORAM_WORK_MODEL
       || count_replicas (placement, now, members, model->name)
-             >= model->copies)
+             >= model->replicas)
     return;
   engine = choose_engine (placement, now, members, model->name);
   if (!engine)
--- a/src/placement.c
+++ b/src/placement.c
@@ -11,7 +11,7 @@
 /* Weight of a new first-event delay, which must adapt within a few
    requests.  */
 #define DELAY_SMOOTHING 0.3
-/* Share of lower-priority unread tokens that delay an urgent request: it is
+/* Share of lower-priority prefill tokens that delay an urgent request: it is
    scheduled ahead of queued prompts but not of those in prefill.  */
 #define LOWER_PRIORITY_SHARE 0.3
 
@@ -28,7 +28,7 @@
   /* Consecutive broken responses after which the upstream is suspected.  */
   BROKEN_RESPONSES_MAX = 3,
   SUSPECT_MS = 500,
-  /* Minimum unread tokens, of a request and the queue ahead of it, from which
+  /* Minimum prefill tokens, of a request and the queue ahead of it, from which
      prefill speed is measured.  */
   SPEED_TOKENS_MIN = 1500
 };
@@ -47,7 +47,7 @@
 }
 
 struct marjoram_endpoint *
-marjoram_endpoint_find (marjoram_placement *placement, const char *id)
+marjoram_endpoint_find_or_add (marjoram_placement *placement, const char *id)
 {
   struct marjoram_endpoint *endpoint;
 
@@ -174,7 +174,7 @@
                       const struct marjoram_registered *upstream)
 {
   struct marjoram_endpoint *endpoint
-      = marjoram_endpoint_find (placement, upstream->heartbeat.id);
+      = marjoram_endpoint_find_or_add (placement, upstream->heartbeat.id);
 
   check_restart (endpoint, upstream);
   return endpoint;
@@ -195,12 +195,12 @@
 
 int64_t
 marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
-                                 const struct marjoram_call_metadata *facts)
+                                 const struct marjoram_call_metadata *metadata)
 {
   int64_t cached = marjoram_engine_cache_hit_tokens (
-      endpoint->cache, facts->parts, facts->part_count);
+      endpoint->cache, metadata->parts, metadata->part_count);
 
-  return cached < facts->prompt_tokens ? cached : facts->prompt_tokens;
+  return cached < metadata->prompt_tokens ? cached : metadata->prompt_tokens;
 }
 
 int64_t
@@ -208,17 +208,18 @@
                              int priority)
 {
   if (priority > 0)
-    return load->unread;
+    return load->prefill_tokens;
   return load->urgent
          + (int64_t)(LOWER_PRIORITY_SHARE
-                     * (double)(load->unread - load->urgent));
+                     * (double)(load->prefill_tokens - load->urgent));
 }
 
 double
-marjoram_answer_tokens (const struct marjoram_call_metadata *facts)
+marjoram_answer_tokens (const struct marjoram_call_metadata *metadata)
 {
-  return (double)(facts->answer_tokens_hint > 0 ? facts->answer_tokens_hint
-                                                : facts->answer_tokens_max);
+  return (double)(metadata->answer_tokens_hint > 0
+                      ? metadata->answer_tokens_hint
+                      : metadata->answer_tokens_max);
 }
 
 /* ---- Attempt lifecycle.  ---- */
@@ -247,8 +248,8 @@
       = marjoram_endpoint_total_load (endpoint, now);
   int64_t capacity = query->service->engine.kv_capacity - load.held;
 
-  for (size_t i = query->facts->part_count; i > 0; i--)
-    record_part (placement, endpoint, &query->facts->parts[i - 1],
+  for (size_t i = query->metadata->part_count; i > 0; i--)
+    record_part (placement, endpoint, &query->metadata->parts[i - 1],
                  capacity > 0 ? capacity : 0);
 }
 
@@ -258,7 +259,7 @@
                                     const struct marjoram_place_query *query)
 {
   struct marjoram_endpoint *endpoint
-      = marjoram_endpoint_find (placement, upstream);
+      = marjoram_endpoint_find_or_add (placement, upstream);
   struct marjoram_placed_attempt *attempt = marjoram_alloc (sizeof *attempt);
   struct marjoram_endpoint_load load;
 
@@ -273,18 +274,18 @@
   TAILQ_INSERT_TAIL (&endpoint->unanswered, attempt, link);
   if (query->service->has_engine)
     {
-      attempt->unread
-          = query->facts->prompt_tokens
-            - marjoram_endpoint_cached_tokens (endpoint, query->facts)
+      attempt->prefill_tokens
+          = query->metadata->prompt_tokens
+            - marjoram_endpoint_cached_tokens (endpoint, query->metadata)
             - query->copied_tokens;
       attempt->queued = marjoram_load_queued_tokens (&load, query->priority);
-      attempt->answer = (int64_t)marjoram_answer_tokens (query->facts);
-      attempt->held = attempt->unread + attempt->answer;
+      attempt->answer = (int64_t)marjoram_answer_tokens (query->metadata);
+      attempt->held = attempt->prefill_tokens + attempt->answer;
       record_parts (placement, endpoint, query, now);
     }
   endpoint->own.running++;
-  endpoint->own.unread += attempt->unread;
-  endpoint->own.urgent += attempt->urgent ? attempt->unread : 0;
+  endpoint->own.prefill_tokens += attempt->prefill_tokens;
+  endpoint->own.urgent += attempt->urgent ? attempt->prefill_tokens : 0;
   endpoint->own.held += attempt->held;
   endpoint->own.answer += attempt->answer;
   endpoint->cold_sent_at = now;
@@ -301,11 +302,12 @@
 }
 
 static void
-clear_unread (struct marjoram_placed_attempt *attempt)
+clear_prefill (struct marjoram_placed_attempt *attempt)
 {
-  attempt->endpoint->own.unread -= attempt->unread;
-  attempt->endpoint->own.urgent -= attempt->urgent ? attempt->unread : 0;
-  attempt->unread = 0;
+  attempt->endpoint->own.prefill_tokens -= attempt->prefill_tokens;
+  attempt->endpoint->own.urgent
+      -= attempt->urgent ? attempt->prefill_tokens : 0;
+  attempt->prefill_tokens = 0;
 }
 
 static void
@@ -339,11 +341,11 @@
   TAILQ_REMOVE (&attempt->endpoint->unanswered, attempt, link);
   record_delay (attempt, now);
   stats = marjoram_placement_service_stats (placement, attempt->service);
-  tokens = attempt->unread + attempt->queued;
+  tokens = attempt->prefill_tokens + attempt->queued;
   if (tokens >= SPEED_TOKENS_MIN && now > attempt->started_at)
     update_mean (&stats->tokens_per_ms,
                  (double)tokens / (double)(now - attempt->started_at));
-  clear_unread (attempt);
+  clear_prefill (attempt);
 }
 
 void
@@ -414,7 +416,7 @@
   endpoint = attempt->endpoint;
   if (!attempt->responding)
     TAILQ_REMOVE (&endpoint->unanswered, attempt, link);
-  clear_unread (attempt);
+  clear_prefill (attempt);
   endpoint->own.running--;
   endpoint->own.held -= attempt->held;
   endpoint->own.answer -= attempt->answer;
@@ -448,7 +450,7 @@
       && upstream->heartbeat.state == MARJORAM_UPSTREAM_READY)
     {
       struct marjoram_endpoint *endpoint
-          = marjoram_endpoint_find (placement, upstream->heartbeat.id);
+          = marjoram_endpoint_find_or_add (placement, upstream->heartbeat.id);
 
       endpoint->disconnected_at = now;
       endpoint->report_disconnect = true;
@@ -459,7 +461,8 @@
 marjoram_placement_set_cold (marjoram_placement *placement, int64_t now,
                              const char *upstream, int64_t cold_ms)
 {
-  marjoram_endpoint_find (placement, upstream)->cold_until = now + cold_ms;
+  marjoram_endpoint_find_or_add (placement, upstream)->cold_until
+      = now + cold_ms;
 }
 
 /* Marks the zone's upstreams as disconnected, so that they count as cold only
@@ -473,7 +476,8 @@
   TAILQ_FOREACH (upstream, marjoram_registry_all (placement->options.registry),
                  link)
   if (strcmp (upstream->heartbeat.zone, zone) == 0)
-    marjoram_endpoint_find (placement, upstream->heartbeat.id)->disconnected_at
+    marjoram_endpoint_find_or_add (placement, upstream->heartbeat.id)
+        ->disconnected_at
         = now;
 }
 
@@ -484,7 +488,7 @@
                                size_t count)
 {
   struct marjoram_endpoint *endpoint
-      = marjoram_endpoint_find (placement, upstream);
+      = marjoram_endpoint_find_or_add (placement, upstream);
 
   for (size_t i = 0; i < count; i++)
     marjoram_engine_cache_use (endpoint->cache, parts[i].id, parts[i].tokens,
--- a/src/placement.h
+++ b/src/placement.h
@@ -35,18 +35,18 @@
 struct marjoram_place_query
 {
   const struct marjoram_service_rule *service;
-  const struct marjoram_call_metadata *facts;
+  const struct marjoram_call_metadata *metadata;
   int priority;
   /* Time left for the first event or the complete response; a request whose
      estimated wait is longer is rejected.  */
-  int64_t useful_ms;
+  int64_t time_left_ms;
   /* For starting an attempt: values from the corresponding struct
      marjoram_place.  */
   int64_t expected_ms;
   int64_t copied_tokens;
   const char *tried[MARJORAM_TRIED_MAX];
   size_t tried_count;
-  bool again;       /* allow upstreams that were already tried */
+  bool allow_tried; /* allow upstreams that were already tried */
   bool last_resort; /* allow zones whose evacuation has just begun */
 };
 
@@ -78,7 +78,7 @@
   int64_t retry_ms; /* unless FOUND: delay before a retry */
   /* For an engine: tokens of the prompt to be prefilled, and the time by which
      its backlog exceeds the limit.  */
-  int64_t unread_tokens;
+  int64_t prefill_tokens;
   int64_t excess_ms;
   /* Prefill throughput of this host's share of the usable engines, and of a
      single engine; 0 for a service without engines.  */
--- a/src/placement_choose.c
+++ b/src/placement_choose.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Weight of unread tokens relative to queued ones: prefill also evicts other
+/* Weight of prefill tokens relative to queued ones: prefill also evicts other
    cached parts.  */
 #define PREFILL_WEIGHT 2.0
 /* Weight of a new sample in the mean backlog.  */
@@ -115,15 +115,15 @@
    requests share.  */
 static int64_t
 tie_breaker_ms (const struct marjoram_endpoint *endpoint,
-                const struct marjoram_call_metadata *facts)
+                const struct marjoram_call_metadata *metadata)
 {
   uint64_t key;
-  size_t index = facts->part_count > 1 ? facts->part_count - 2 : 0;
+  size_t index = metadata->part_count > 1 ? metadata->part_count - 2 : 0;
 
-  if (facts->part_count > 0)
-    key = facts->parts[index].id;
+  if (metadata->part_count > 0)
+    key = metadata->parts[index].id;
   else
-    key = XXH3_64bits (facts->id, strlen (facts->id));
+    key = XXH3_64bits (metadata->id, strlen (metadata->id));
   return (
       int64_t)(XXH3_64bits_withSeed (endpoint->id, strlen (endpoint->id), key)
                % TIE_BREAKER_MS);
@@ -131,11 +131,11 @@
 
 struct estimate
 {
-  double wait_ms;    /* until the first event or the response */
-  double cost_ms;    /* WAIT_MS plus the cost to other requests */
-  double backlog_ms; /* prefill time of queued prompts */
-  int64_t unread;    /* prompt tokens to prefill */
-  bool idle;         /* no known request is running there */
+  double wait_ms;         /* until the first event or the response */
+  double cost_ms;         /* WAIT_MS plus the cost to other requests */
+  double backlog_ms;      /* prefill time of queued prompts */
+  int64_t prefill_tokens; /* prompt tokens to prefill */
+  bool idle;              /* no known request is running there */
 };
 
 /* Once all slots are taken, a request is admitted for each one that
@@ -152,9 +152,9 @@
 /* Cost of a prefill of UNREAD_MS to the responses running on an engine with
    LOAD.  */
 static double
-interference_ms (const struct marjoram_endpoint_load *load, double unread_ms)
+interference_ms (const struct marjoram_endpoint_load *load, double prefill_ms)
 {
-  return INTERFERENCE_WEIGHT * unread_ms * (double)load->answer
+  return INTERFERENCE_WEIGHT * prefill_ms * (double)load->answer
          / INTERFERENCE_ANSWER_TOKENS;
 }
 
@@ -181,8 +181,9 @@
       = marjoram_placement_service_stats (placement, query->service->name);
   struct marjoram_endpoint_load load
       = marjoram_endpoint_total_load (endpoint, now);
-  int64_t unread = query->facts->prompt_tokens - copy->cached - copy->tokens;
-  double unread_ms = (double)unread / stats->tokens_per_ms;
+  int64_t prefill_tokens
+      = query->metadata->prompt_tokens - copy->cached - copy->tokens;
+  double prefill_ms = (double)prefill_tokens / stats->tokens_per_ms;
   double ahead_ms
       = (double)marjoram_load_queued_tokens (&load, query->priority)
         / stats->tokens_per_ms;
@@ -190,13 +191,13 @@
 
   endpoint->capacity = query->service->engine.kv_capacity;
   estimate.backlog_ms = ahead_ms;
-  estimate.unread = unread;
+  estimate.prefill_tokens = prefill_tokens;
   estimate.idle = load.running == 0;
   estimate.wait_ms
-      = ahead_ms + unread_ms + copy->ms + delay_ms (endpoint, now)
+      = ahead_ms + prefill_ms + copy->ms + delay_ms (endpoint, now)
         + queue_ms (&load, query->service->engine.slots, stats->request_ms);
-  estimate.cost_ms = estimate.wait_ms + (PREFILL_WEIGHT - 1) * unread_ms
-                     + interference_ms (&load, unread_ms);
+  estimate.cost_ms = estimate.wait_ms + (PREFILL_WEIGHT - 1) * prefill_ms
+                     + interference_ms (&load, prefill_ms);
   return estimate;
 }
 
@@ -236,7 +237,7 @@
             : estimate_plain (placement, endpoint, upstream, query, now);
 
   estimate.cost_ms *= 1 + FAILURE_WEIGHT * endpoint->failure_share;
-  estimate.cost_ms += (double)tie_breaker_ms (endpoint, query->facts);
+  estimate.cost_ms += (double)tie_breaker_ms (endpoint, query->metadata);
   if (is_cold (endpoint, upstream, query->service, now))
     estimate.cost_ms += COLD_COST_MS;
   if (now < endpoint->suspected_until)
@@ -253,7 +254,7 @@
       || (endpoint->address_conflict_at != 0
           && upstream->received_at <= endpoint->address_conflict_at))
     return false;
-  if (was_tried (query, endpoint->id) && !query->again)
+  if (was_tried (query, endpoint->id) && !query->allow_tried)
     return false;
   return !is_cold (endpoint, upstream, query->service, now)
          || may_send_to_cold (placement, endpoint, query->service, now);
@@ -268,7 +269,7 @@
 {
   if (estimate->idle)
     return MARJORAM_PLACE_LIMIT_NONE;
-  if (estimate->wait_ms > (double)query->useful_ms)
+  if (estimate->wait_ms > (double)query->time_left_ms)
     return MARJORAM_PLACE_LIMIT_DEADLINE;
   if (estimate->backlog_ms > BACKLOG_MAX_MS)
     return MARJORAM_PLACE_LIMIT_BACKLOG;
@@ -328,7 +329,7 @@
   const double upstreams = (double)marjoram_registry_service_count (
       placement->options.registry, query->service->name);
   double share = hosts > SAMPLE_HOSTS ? SAMPLE_HOSTS / hosts : 1;
-  const char *id = query->facts->id;
+  const char *id = query->metadata->id;
 
   if (share * upstreams < SAMPLE_MIN)
     share = upstreams > SAMPLE_MIN ? SAMPLE_MIN / upstreams : 1;
@@ -345,7 +346,7 @@
               const struct marjoram_place_query *query, int64_t cached)
 {
   return sample->below == UINT64_MAX
-         || 2 * cached > query->facts->prompt_tokens
+         || 2 * cached > query->metadata->prompt_tokens
          || XXH3_64bits_withSeed (endpoint->id, strlen (endpoint->id),
                                   sample->seed)
                 < sample->below;
@@ -389,7 +390,7 @@
     estimate
         = estimate_endpoint (placement, endpoint, upstream, query, &copy, now);
     if (was_tried (query, endpoint->id))
-      estimate.cost_ms += (double)query->useful_ms;
+      estimate.cost_ms += (double)query->time_left_ms;
     keep_cheaper (cheapest, upstream, &estimate, &copy);
     if (meets_deadline (&estimate, query))
       keep_cheaper (in_time, upstream, &estimate, &copy);
@@ -449,7 +450,7 @@
   place->outcome = place->limit == MARJORAM_PLACE_LIMIT_NONE
                        ? MARJORAM_PLACE_FOUND
                        : MARJORAM_PLACE_BUSY;
-  place->unread_tokens = chosen->estimate.unread;
+  place->prefill_tokens = chosen->estimate.prefill_tokens;
   if (chosen->estimate.backlog_ms > BACKLOG_MAX_MS)
     place->excess_ms = (int64_t)chosen->estimate.backlog_ms - BACKLOG_MAX_MS;
   if (query->service->has_engine)
@@ -479,7 +480,7 @@
 {
   const struct marjoram_call_metadata nothing = { 0 };
   const struct marjoram_place_query query
-      = { .service = service, .facts = &nothing, .priority = 1 };
+      = { .service = service, .metadata = &nothing, .priority = 1 };
   const struct marjoram_copy no_copy = { 0 };
   struct marjoram_registered_list *upstreams = marjoram_registry_of_service (
       placement->options.registry, service->name);
--- a/src/placement_collect.c
+++ b/src/placement_collect.c
@@ -150,7 +150,8 @@
 
   return (struct marjoram_endpoint_load){
     subtract_own (sum->running, reported->running, before->running, settled),
-    subtract_own (sum->unread, reported->unread, before->unread, settled),
+    subtract_own (sum->prefill_tokens, reported->prefill_tokens,
+                  before->prefill_tokens, settled),
     subtract_own (sum->urgent, reported->urgent, before->urgent, settled),
     subtract_own (sum->held, reported->held, before->held, settled),
     subtract_own (sum->answer, reported->answer, before->answer, settled)
@@ -209,7 +210,7 @@
     {
       struct marjoram_endpoint *endpoint
           = items[i].upstream
-                ? marjoram_endpoint_find (placement, items[i].upstream)
+                ? marjoram_endpoint_find_or_add (placement, items[i].upstream)
                 : NULL;
 
       if (!endpoint || !groups[endpoint->group])
@@ -222,7 +223,7 @@
     if (placed[i].upstream < report->items.count
         && items[placed[i].upstream].upstream)
       marjoram_endpoint_apply_placed (
-          marjoram_endpoint_find (placement,
-                                  items[placed[i].upstream].upstream),
+          marjoram_endpoint_find_or_add (placement,
+                                         items[placed[i].upstream].upstream),
           &placed[i]);
 }
--- a/src/placement_copy.c
+++ b/src/placement_copy.c
@@ -63,7 +63,7 @@
 
   sources->zone_count = 0;
   if (!upstreams || query->service->engine.copied_per_ms <= 0
-      || query->facts->part_count == 0)
+      || query->metadata->part_count == 0)
     return;
   TAILQ_FOREACH (upstream, upstreams, service_link)
   {
@@ -76,7 +76,7 @@
     zone = find_or_add_zone (sources, upstream->heartbeat.zone);
     if (zone && may_copy_from (endpoint, upstream, now))
       add_source (zone, upstream,
-                  marjoram_endpoint_cached_tokens (endpoint, query->facts));
+                  marjoram_endpoint_cached_tokens (endpoint, query->metadata));
   }
 }
 
@@ -102,7 +102,7 @@
   const struct marjoram_copy_source *source = source_for (sources, upstream);
 
   memset (copy, 0, sizeof *copy);
-  copy->cached = marjoram_endpoint_cached_tokens (endpoint, query->facts);
+  copy->cached = marjoram_endpoint_cached_tokens (endpoint, query->metadata);
   if (!source || !source->upstream
       || source->cached - copy->cached < COPY_TOKENS_MIN)
     return;
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -11,11 +11,11 @@
 
 struct marjoram_endpoint_load
 {
-  int64_t running; /* requests */
-  int64_t unread;  /* prompt tokens not yet prefilled */
-  int64_t urgent;  /* the part of UNREAD with scheduling priority */
-  int64_t held;    /* KV cache tokens held by running requests */
-  int64_t answer;  /* response tokens still expected */
+  int64_t running;        /* requests */
+  int64_t prefill_tokens; /* prompt tokens not yet prefilled */
+  int64_t urgent;         /* the part of UNREAD with scheduling priority */
+  int64_t held;           /* KV cache tokens held by running requests */
+  int64_t answer;         /* response tokens still expected */
 };
 
 struct marjoram_endpoint;
@@ -87,8 +87,8 @@
   struct marjoram_endpoint *endpoint;
   char *service;
   int64_t started_at;
-  int64_t unread;
-  int64_t queued; /* unread tokens queued ahead when it was sent */
+  int64_t prefill_tokens;
+  int64_t queued; /* prefill tokens queued ahead when it was sent */
   int64_t held;
   int64_t answer;
   int64_t expected_ms; /* estimated time to the first event when sent */
@@ -131,7 +131,7 @@
 };
 
 struct marjoram_endpoint *
-marjoram_endpoint_find (marjoram_placement *placement, const char *id);
+marjoram_endpoint_find_or_add (marjoram_placement *placement, const char *id);
 /* The endpoint of UPSTREAM, reset if the upstream has restarted.  */
 struct marjoram_endpoint *
 marjoram_endpoint_of (marjoram_placement *placement,
@@ -165,9 +165,9 @@
                                 const struct marjoram_placed_part *placed);
 void marjoram_reporter_destroy (marjoram_placement *placement,
                                 struct marjoram_reporter *reporter);
-int64_t
-marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
-                                 const struct marjoram_call_metadata *facts);
+int64_t marjoram_endpoint_cached_tokens (
+    const struct marjoram_endpoint *endpoint,
+    const struct marjoram_call_metadata *metadata);
 /* Whether UPSTREAM is usable, in this region and not in an evacuated zone.  */
 bool marjoram_placement_is_candidate (
     marjoram_placement *placement, const struct marjoram_registered *upstream,
@@ -176,7 +176,7 @@
 int64_t marjoram_load_queued_tokens (const struct marjoram_endpoint_load *load,
                                      int priority);
 /* Expected number of response tokens.  */
-double marjoram_answer_tokens (const struct marjoram_call_metadata *facts);
+double marjoram_answer_tokens (const struct marjoram_call_metadata *metadata);
 struct marjoram_service_stats *
 marjoram_placement_service_stats (marjoram_placement *placement,
                                   const char *service);
--- a/src/placement_report.c
+++ b/src/placement_report.c
@@ -15,7 +15,7 @@
                    const struct marjoram_endpoint_load *load, int64_t sign)
 {
   sum->running += sign * load->running;
-  sum->unread += sign * load->unread;
+  sum->prefill_tokens += sign * load->prefill_tokens;
   sum->urgent += sign * load->urgent;
   sum->held += sign * load->held;
   sum->answer += sign * load->answer;
@@ -25,7 +25,7 @@
 marjoram_load_from_item (const struct marjoram_load_item *item)
 {
   return (struct marjoram_endpoint_load){ (int64_t)item->running,
-                                          (int64_t)item->unread_tokens,
+                                          (int64_t)item->prefill_tokens,
                                           (int64_t)item->urgent_tokens,
                                           (int64_t)item->held_tokens,
                                           (int64_t)item->answer_tokens };
@@ -37,7 +37,7 @@
   const struct marjoram_load_item item = {
     .upstream = marjoram_strdup (endpoint->id),
     .running = (uint64_t)endpoint->own.running,
-    .unread_tokens = (uint64_t)endpoint->own.unread,
+    .prefill_tokens = (uint64_t)endpoint->own.prefill_tokens,
     .urgent_tokens = (uint64_t)endpoint->own.urgent,
     .held_tokens = (uint64_t)endpoint->own.held,
     .answer_tokens = (uint64_t)endpoint->own.answer,
@@ -225,8 +225,9 @@
       load_index[i] = reporter->count;
       if (items[i].upstream)
         add_reported_load (
-            reporter, marjoram_endpoint_find (placement, items[i].upstream),
-            now, &items[i]);
+            reporter,
+            marjoram_endpoint_find_or_add (placement, items[i].upstream), now,
+            &items[i]);
     }
   for (size_t i = 0; i < report->placed.count; i++)
     if (placed[i].upstream < report->items.count
--- a/src/pool.h
+++ b/src/pool.h
@@ -49,7 +49,7 @@
   int ring_count;
   double mean_ms;    /* request time without load */
   double service_ms; /* request time of a plain service */
-  struct marjoram_pool_capacity room;
+  struct marjoram_pool_capacity capacity;
   int64_t capacity_updated_at;
 };
 
--- a/src/route.c
+++ b/src/route.c
@@ -171,7 +171,7 @@
 
   if (!pick->upstream)
     return false;
-  if (pick->room)
+  if (pick->has_free_slot)
     return true;
   /* A zone offers free slots, not queue positions, except to work that cannot
      run elsewhere.  Overnight work uses only slots that interactive work
@@ -305,7 +305,7 @@
     return !local_fits
            && remote_ms * OVERNIGHT_URGENCY_FACTOR > inputs->slack_ms;
   return !local_fits
-         || (!inputs->pick.room
+         || (!inputs->pick.has_free_slot
              && remote_ms
                     < inputs->pick.total_ms * (1 - REMOTE_REGION_MIN_GAIN));
 }
--- a/src/spill.c
+++ b/src/spill.c
@@ -29,9 +29,9 @@
 
   if (query->local_ms < BACKLOG_MIN_MS + noise_ms
       || difference < DIFFERENCE_MIN_MS + noise_ms
-      || query->unread_ms < PROMPT_MIN_MS
+      || query->prefill_ms < PROMPT_MIN_MS
       || (double)query->remote_first_ms + query->prompt_ms
-             > (double)query->useful_ms)
+             > (double)query->time_left_ms)
     return false;
   share = DAMPING * difference / (query->local_ms + query->remote_ms);
   return (double)XXH3_64bits (query->id, strlen (query->id))
--- a/src/spill.h
+++ b/src/spill.h
@@ -14,10 +14,10 @@
   int engines;             /* smaller engine count of the two regions */
   double local_ms;         /* mean prefill backlog of local engines */
   double remote_ms;        /* the same in the other region */
-  double unread_ms;        /* prefill time of the uncached prompt, locally */
+  double prefill_ms;       /* prefill time of the uncached prompt, locally */
   double prompt_ms;        /* prefill time of the whole prompt */
   int64_t remote_first_ms; /* time until its prefill there, with transit */
-  int64_t useful_ms;       /* time left for the first event */
+  int64_t time_left_ms;    /* time left for the first event */
 };
 
 /* Selects a share of long prompts that grows with the difference in backlog,
--- a/test/lib_load.c
+++ b/test/lib_load.c
@@ -50,13 +50,14 @@
   TAILQ_ENTRY (job) link;
   uint64_t number;
   int host;
-  struct marjoram_call_metadata facts;
+  struct marjoram_call_metadata metadata;
   int64_t arrived_at;
   int64_t objective_ms;
-  double unread;  /* prompt tokens left; copied ones weighted by their cost */
-  double in_step; /* prompt tokens in the current step */
-  int answer;     /* response tokens left */
-  int event_tokens; /* response tokens since the last event */
+  double prefill_tokens; /* prompt tokens left; copied ones weighted by their
+                            cost */
+  double in_step;        /* prompt tokens in the current step */
+  int answer;            /* response tokens left */
+  int event_tokens;      /* response tokens since the last event */
   int64_t event_at;
   bool responding;
   bool is_late; /* the first event or a later one came too late */
@@ -93,12 +94,12 @@
 };
 
 const char *
-load_policy_name (enum load_policy way)
+load_policy_name (enum load_policy policy)
 {
   static const char *const names[LOAD_POLICY_COUNT]
       = { "round-robin", "least-in-flight", "placed", "placed-copying" };
 
-  return names[way];
+  return names[policy];
 }
 
 /* ---- Setup.  ---- */
@@ -152,7 +153,7 @@
     .has_engine = true,
     .engine = { .slots = SLOTS, .kv_capacity = CAPACITY },
   };
-  if (load->terms->way == LOAD_PLACED_COPYING)
+  if (load->terms->policy == LOAD_PLACED_COPYING)
     load->service.engine.copied_per_ms = COPIED_PER_MS;
   for (int i = 0; i < load->terms->engines; i++)
     {
@@ -225,27 +226,28 @@
 static void
 count_prefill (struct load *load, const struct job *job, int64_t cached)
 {
-  const struct marjoram_call_metadata *facts = &job->facts;
+  const struct marjoram_call_metadata *metadata = &job->metadata;
   int64_t before = 0;
 
-  for (size_t i = 0; i < facts->part_count; i++)
+  for (size_t i = 0; i < metadata->part_count; i++)
     {
-      bool again = mark_seen (load, facts->parts[i].id);
+      bool again = mark_seen (load, metadata->parts[i].id);
 
       if (before >= cached)
         {
-          load->result->read += facts->parts[i].tokens;
-          load->result->read_again += again ? facts->parts[i].tokens : 0;
+          load->result->prefilled += metadata->parts[i].tokens;
+          load->result->prefilled_again
+              += again ? metadata->parts[i].tokens : 0;
         }
-      before += facts->parts[i].tokens;
+      before += metadata->parts[i].tokens;
     }
 }
 
 static int64_t
 cached_tokens (const struct sim_engine *engine, const struct job *job)
 {
-  return marjoram_engine_cache_hit_tokens (engine->cache, job->facts.parts,
-                                           job->facts.part_count);
+  return marjoram_engine_cache_hit_tokens (engine->cache, job->metadata.parts,
+                                           job->metadata.part_count);
 }
 
 static void
@@ -259,11 +261,12 @@
     cached = own;
   load->result->copied += cached - own;
   count_prefill (load, job, cached);
-  job->unread = (double)(job->facts.prompt_tokens - cached)
-                + (double)(cached - own) * PREFILL_PER_MS / COPIED_PER_MS;
-  for (size_t i = job->facts.part_count; i > 0; i--)
-    marjoram_engine_cache_use (engine->cache, job->facts.parts[i - 1].id,
-                               job->facts.parts[i - 1].tokens, CAPACITY);
+  job->prefill_tokens
+      = (double)(job->metadata.prompt_tokens - cached)
+        + (double)(cached - own) * PREFILL_PER_MS / COPIED_PER_MS;
+  for (size_t i = job->metadata.part_count; i > 0; i--)
+    marjoram_engine_cache_use (engine->cache, job->metadata.parts[i - 1].id,
+                               job->metadata.parts[i - 1].tokens, CAPACITY);
   TAILQ_INSERT_TAIL (&engine->jobs, job, link);
   engine->running++;
 }
@@ -272,7 +275,7 @@
 end_job (struct load *load, struct sim_engine *engine, struct job *job,
          int64_t now)
 {
-  if (load->terms->way >= LOAD_PLACED)
+  if (load->terms->policy >= LOAD_PLACED)
     marjoram_placement_attempt_ended (load->placements[job->host], now,
                                       job->number, MARJORAM_ATTEMPT_SERVED);
   TAILQ_REMOVE (&engine->jobs, job, link);
@@ -286,7 +289,7 @@
   job->responding = true;
   job->event_at = now;
   job->is_late = now - job->arrived_at > job->objective_ms;
-  if (load->terms->way >= LOAD_PLACED)
+  if (load->terms->policy >= LOAD_PLACED)
     marjoram_placement_response_started (load->placements[job->host], now,
                                          job->number);
 }
@@ -320,11 +323,11 @@
   for (job = TAILQ_FIRST (&engine->jobs); job; job = next)
     {
       next = TAILQ_NEXT (job, link);
-      job->unread -= job->in_step;
+      job->prefill_tokens -= job->in_step;
       job->in_step = 0;
       if (job->responding)
         add_token (load, engine, job, now);
-      else if (job->unread <= 0)
+      else if (job->prefill_tokens <= 0)
         first_event (load, job, now);
     }
 }
@@ -340,7 +343,7 @@
     /* False positive: list macro.  NOLINTNEXTLINE(clang-analyzer-*) */
     if (job->responding)
       continue;
-    job->in_step = job->unread < room ? job->unread : room;
+    job->in_step = job->prefill_tokens < room ? job->prefill_tokens : room;
     room -= job->in_step;
   }
   engine->step_until = now + STEP_MS + STEP_PER_ANSWER_MS * engine->running
@@ -365,7 +368,7 @@
 make_job (struct load *load, int64_t now, bool review)
 {
   struct job *job = marjoram_alloc (sizeof *job);
-  struct marjoram_call_metadata *facts = &job->facts;
+  struct marjoram_call_metadata *metadata = &job->metadata;
   uint64_t session
       = marjoram_random_below (load->random, (uint64_t)load->terms->sessions);
 
@@ -374,27 +377,27 @@
                                           (uint64_t)load->terms->hosts);
   job->arrived_at = now;
   job->objective_ms = review ? REVIEW_OBJECTIVE_MS : CHAT_OBJECTIVE_MS;
-  snprintf (facts->id, sizeof facts->id, "%" PRIu64, job->number);
-  facts->answer_tokens_hint = review ? REVIEW_ANSWER : CHAT_ANSWER;
-  job->answer = (int)facts->answer_tokens_hint;
+  snprintf (metadata->id, sizeof metadata->id, "%" PRIu64, job->number);
+  metadata->answer_tokens_hint = review ? REVIEW_ANSWER : CHAT_ANSWER;
+  job->answer = (int)metadata->answer_tokens_hint;
   if (review)
     {
-      facts->parts[facts->part_count++]
+      metadata->parts[metadata->part_count++]
           = (struct marjoram_prompt_part){ 1 + session % CLASSES,
                                            CLASS_TOKENS };
-      facts->parts[facts->part_count++]
+      metadata->parts[metadata->part_count++]
           = (struct marjoram_prompt_part){ SESSION_IDS + session,
                                            SESSION_TOKENS };
     }
   else
-    facts->parts[facts->part_count++]
+    metadata->parts[metadata->part_count++]
         = (struct marjoram_prompt_part){ CHAT_IDS + session % CHAT_PARTS,
                                          CHAT_SHARED };
-  facts->parts[facts->part_count++]
+  metadata->parts[metadata->part_count++]
       = (struct marjoram_prompt_part){ OWN_IDS + job->number,
                                        review ? REVIEW_TOKENS : CHAT_TOKENS };
-  for (size_t i = 0; i < facts->part_count; i++)
-    facts->prompt_tokens += facts->parts[i].tokens;
+  for (size_t i = 0; i < metadata->part_count; i++)
+    metadata->prompt_tokens += metadata->parts[i].tokens;
   return job;
 }
 
@@ -412,7 +415,7 @@
 {
   struct sim_engine *best = &load->engines[0];
 
-  if (load->terms->way == LOAD_ROUND_ROBIN)
+  if (load->terms->policy == LOAD_ROUND_ROBIN)
     return &load->engines[load->next_engine++
                           % (uint64_t)load->terms->engines];
   for (int i = 1; i < load->terms->engines; i++)
@@ -428,12 +431,12 @@
   marjoram_placement *placement = load->placements[job->host];
   struct marjoram_place_query query
       = { .service = &load->service,
-          .facts = &job->facts,
+          .metadata = &job->metadata,
           .priority = job->objective_ms == REVIEW_OBJECTIVE_MS,
-          .useful_ms = job->objective_ms };
+          .time_left_ms = job->objective_ms };
   struct marjoram_place place;
 
-  if (load->terms->way < LOAD_PLACED)
+  if (load->terms->policy < LOAD_PLACED)
     {
       start_job (load, choose_by_policy (load), NULL, job);
       return;
--- a/test/lib_load.h
+++ b/test/lib_load.h
@@ -18,7 +18,7 @@
 
 struct load_terms
 {
-  enum load_policy way;
+  enum load_policy policy;
   uint64_t seed;
   int engines;
   int hosts;
@@ -35,12 +35,12 @@
   int64_t in_time;
   int64_t late;
   int64_t refused;
-  int64_t read;       /* tokens */
-  int64_t read_again; /* of these, read before by some engine */
-  int64_t copied;     /* tokens */
+  int64_t prefilled;       /* tokens */
+  int64_t prefilled_again; /* of these, read before by some engine */
+  int64_t copied;          /* tokens */
 };
 
-const char *load_policy_name (enum load_policy way);
+const char *load_policy_name (enum load_policy policy);
 void load_run (const struct load_terms *terms, struct load_result *result);
 
 #endif
--- a/test/test_config.c
+++ b/test/test_config.c
@@ -97,7 +97,7 @@
                         zone->first_slot + i);
     }
   chat = marjoram_config_find_work (config, "chat");
-  ck_assert_int_eq (marjoram_config_work (config, chat)->copies, 2);
+  ck_assert_int_eq (marjoram_config_work (config, chat)->replicas, 2);
   ck_assert (marjoram_config_work (config, chat)->decode_rate > 12.4);
   ck_assert_uint_eq (marjoram_config_work (config, chat)->allowed, 1);
   ck_assert (marjoram_config_supports_fencing (config, chat));
--- a/test/test_engine_survey.c
+++ b/test/test_engine_survey.c
@@ -73,7 +73,7 @@
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
-    = { .kept = on_kept };
+    = { .cached = on_kept };
 
 static void
 setup (void)
--- a/test/test_growth.c
+++ b/test/test_growth.c
@@ -42,7 +42,7 @@
   marjoram_repeat_sums_list *sums;
   marjoram_load_collector *collector;
   struct marjoram_service_rule service;
-  struct marjoram_call_metadata facts;
+  struct marjoram_call_metadata metadata;
   int64_t now;
 };
 
@@ -163,9 +163,9 @@
 choose (struct fleet *fleet, int number)
 {
   const struct marjoram_place_query query = { .service = &fleet->service,
-                                              .facts = &fleet->facts,
+                                              .metadata = &fleet->metadata,
                                               .priority = 1,
-                                              .useful_ms = 1000 };
+                                              .time_left_ms = 1000 };
   struct marjoram_place place;
 
   (void)number;
@@ -227,7 +227,7 @@
   fleet->service.has_engine = true;
   fleet->service.engine.slots = 64;
   fleet->service.engine.kv_capacity = 200000;
-  fleet->facts.prompt_tokens = 100;
+  fleet->metadata.prompt_tokens = 100;
   fleet->now = 1000;
   for (int i = 0; i < UPSTREAMS; i++)
     receive_upstream (fleet, i);
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -109,7 +109,7 @@
   marjoram_host_list *list;
   marjoram_placement *placements[2];
   struct marjoram_service_rule service;
-  struct marjoram_call_metadata facts;
+  struct marjoram_call_metadata metadata;
   uint64_t attempts;
 };
 
@@ -150,7 +150,7 @@
   pair->service.has_engine = true;
   pair->service.engine.slots = 64;
   pair->service.engine.kv_capacity = 200000;
-  pair->facts.prompt_tokens = 8000;
+  pair->metadata.prompt_tokens = 8000;
   for (int i = 0; i < 2; i++)
     {
       const struct marjoram_placement_options options
@@ -181,9 +181,9 @@
 query_of (struct pair *pair)
 {
   return (struct marjoram_place_query){ .service = &pair->service,
-                                        .facts = &pair->facts,
+                                        .metadata = &pair->metadata,
                                         .priority = 1,
-                                        .useful_ms = 5000 };
+                                        .time_left_ms = 5000 };
 }
 
 static void
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -114,22 +114,23 @@
 prompt (uint64_t shared, int64_t shared_tokens, uint64_t own,
         int64_t own_tokens)
 {
-  struct marjoram_call_metadata facts
+  struct marjoram_call_metadata metadata
       = { .prompt_tokens = shared_tokens + own_tokens,
           .answer_tokens_hint = 50,
           .parts = { { shared, shared_tokens }, { own, own_tokens } },
           .part_count = 2 };
 
-  snprintf (facts.id, sizeof facts.id, "%llu", (unsigned long long)own);
-  return facts;
+  snprintf (metadata.id, sizeof metadata.id, "%llu", (unsigned long long)own);
+  return metadata;
 }
 
 static struct marjoram_place_query
-make_query (const struct marjoram_call_metadata *facts, int priority)
+make_query (const struct marjoram_call_metadata *metadata, int priority)
 {
-  struct marjoram_place_query query = {
-    .service = &engine, .facts = facts, .priority = priority, .useful_ms = 1000
-  };
+  struct marjoram_place_query query = { .service = &engine,
+                                        .metadata = metadata,
+                                        .priority = priority,
+                                        .time_left_ms = 1000 };
 
   return query;
 }
@@ -156,8 +157,8 @@
 START_TEST (prompt_goes_to_engine_reporting_it_cached)
 {
   const struct marjoram_prompt_part cached = { 7, 4000 };
-  struct marjoram_call_metadata facts = prompt (7, 4000, 100, 500);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 4000, 100, 500);
+  struct marjoram_place_query query = make_query (&metadata, 1);
 
   receive_heartbeat (0, "1");
   receive_heartbeat (0, "2");
@@ -215,11 +216,11 @@
   marjoram_placement_response_started (placement, 150, 1);
   marjoram_placement_attempt_ended (placement, 200, 1,
                                     MARJORAM_ATTEMPT_SERVED);
-  query.facts = &other;
+  query.metadata = &other;
   choose_and_start (300, &query);
   receive_heartbeat (300, "2");
   receive_upstream (300, "lm", "3", "zb", 0, 301);
-  query.facts = &next;
+  query.metadata = &next;
   chosen = choose_and_start (310, &query);
   ck_assert_str_eq (chosen.upstream->heartbeat.id, "2");
   ck_assert_str_eq (chosen.copy_from->heartbeat.id, "1");
@@ -268,8 +269,8 @@
     receive_heartbeat (0, (const char *[]){ "", "1", "2", "3", "4" }[i]);
   for (uint64_t i = 0; i < 12; i++)
     {
-      struct marjoram_call_metadata facts = prompt (7, 4000, 100 + i, 3000);
-      struct marjoram_place_query query = make_query (&facts, 1);
+      struct marjoram_call_metadata metadata = prompt (7, 4000, 100 + i, 3000);
+      struct marjoram_place_query query = make_query (&metadata, 1);
       struct marjoram_place chosen = choose_and_start (0, &query);
 
       if (chosen.outcome == MARJORAM_PLACE_FOUND)
@@ -290,9 +291,9 @@
   receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
-      struct marjoram_call_metadata facts
+      struct marjoram_call_metadata metadata
           = prompt (100 + i, 4000, 500 + i, 3000);
-      struct marjoram_place_query query = make_query (&facts, 1);
+      struct marjoram_place_query query = make_query (&metadata, 1);
 
       chosen = choose_and_start (0, &query);
       accepted += chosen.outcome == MARJORAM_PLACE_FOUND;
@@ -314,10 +315,10 @@
   receive_heartbeat (0, "1");
   for (uint64_t i = 0; i < 20; i++)
     {
-      struct marjoram_call_metadata facts
+      struct marjoram_call_metadata metadata
           = prompt (100 + i, 4000, 500 + i, 3000);
 
-      query = make_query (&facts, 1);
+      query = make_query (&metadata, 1);
       choose_and_start (0, &query);
     }
   query = make_query (&urgent, 0);
@@ -339,9 +340,9 @@
   for (int64_t now = 1; now < 1000; now += 10)
     for (int i = 0; i < 3; i++)
       {
-        struct marjoram_call_metadata facts
+        struct marjoram_call_metadata metadata
             = prompt (7, 10, (uint64_t)now * 3 + (uint64_t)i, 10);
-        struct marjoram_place_query query = make_query (&facts, 1);
+        struct marjoram_place_query query = make_query (&metadata, 1);
         marjoram_placement *by = i == 0 ? placement : others[i - 1];
         struct marjoram_place chosen;
 
@@ -371,8 +372,9 @@
   marjoram_placement_connection_lost (placement, 100, "10.0.0.1:80");
   for (int64_t now = 110; now < 1110; now += 20)
     {
-      struct marjoram_call_metadata facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = make_query (&facts, 1);
+      struct marjoram_call_metadata metadata
+          = prompt (7, 10, (uint64_t)now, 10);
+      struct marjoram_place_query query = make_query (&metadata, 1);
 
       if (choose_and_start (now, &query).outcome != MARJORAM_PLACE_FOUND)
         continue;
@@ -386,8 +388,9 @@
   sent = 0;
   for (int64_t now = 1210; now < 1410; now += 20)
     {
-      struct marjoram_call_metadata facts = prompt (7, 10, (uint64_t)now, 10);
-      struct marjoram_place_query query = make_query (&facts, 1);
+      struct marjoram_call_metadata metadata
+          = prompt (7, 10, (uint64_t)now, 10);
+      struct marjoram_place_query query = make_query (&metadata, 1);
 
       sent += choose_and_start (now, &query).outcome == MARJORAM_PLACE_FOUND;
     }
@@ -399,8 +402,8 @@
    against throttling it after its next heartbeat.  */
 START_TEST (restored_zone_is_cold_until_heartbeat)
 {
-  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 10, 8, 10);
+  struct marjoram_place_query query = make_query (&metadata, 1);
 
   receive_heartbeat (0, "1");
   evacuated = "za";
@@ -429,8 +432,8 @@
    missing or late responses show.  */
 START_TEST (slow_engine_is_avoided)
 {
-  struct marjoram_call_metadata facts = prompt (7, 4000, 8, 100);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 4000, 8, 100);
+  struct marjoram_place_query query = make_query (&metadata, 1);
   char slow[MARJORAM_ID_MAX];
   struct marjoram_place chosen;
 
@@ -459,8 +462,8 @@
 
 START_TEST (only_the_local_region_is_used)
 {
-  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 10, 8, 10);
+  struct marjoram_place_query query = make_query (&metadata, 1);
 
   receive_upstream (0, "lm", "1", "far", 0, 1);
   ck_assert_int_eq (choose_and_start (0, &query).outcome, MARJORAM_PLACE_NONE);
@@ -469,8 +472,8 @@
 
 START_TEST (unreachable_and_replaced_upstreams_are_skipped)
 {
-  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 10, 8, 10);
+  struct marjoram_place_query query = make_query (&metadata, 1);
 
   receive_heartbeat (0, "1");
   choose_and_start (0, &query);
@@ -496,8 +499,8 @@
    against preferring it to a healthy one.  */
 START_TEST (suspected_upstream_is_used_as_last_resort)
 {
-  struct marjoram_call_metadata facts = prompt (7, 10, 8, 10);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 10, 8, 10);
+  struct marjoram_place_query query = make_query (&metadata, 1);
 
   receive_heartbeat (0, "1");
   for (int i = 0; i < 4; i++)
@@ -528,7 +531,7 @@
       {
         struct marjoram_place_query query = queries[kind];
 
-        query.useful_ms = 60000;
+        query.time_left_ms = 60000;
         receive_heartbeat (i * 3000, "1");
         receive_upstream (i * 3000, "app", "2", "za", 0, i + 1);
         ck_assert_int_eq (choose_and_start (i * 3000, &query).outcome,
@@ -540,7 +543,7 @@
       }
   for (int kind = 0; kind < 2; kind++)
     {
-      queries[kind].useful_ms = 300;
+      queries[kind].time_left_ms = 300;
       ck_assert_int_eq (choose_and_start (180000, &queries[kind]).outcome,
                         MARJORAM_PLACE_FOUND);
     }
@@ -549,16 +552,16 @@
 
 START_TEST (plain_requests_go_to_the_least_loaded)
 {
-  struct marjoram_call_metadata facts = { 0 };
+  struct marjoram_call_metadata metadata = { 0 };
   struct marjoram_place_query query
-      = { .service = &plain, .facts = &facts, .useful_ms = 300 };
+      = { .service = &plain, .metadata = &metadata, .time_left_ms = 300 };
   int at[3] = { 0 };
 
   receive_upstream (0, "app", "1", "za", 0, 1);
   receive_upstream (0, "app", "2", "za", 0, 1);
   for (int i = 0; i < 8; i++)
     {
-      snprintf (facts.id, sizeof facts.id, "%d", i);
+      snprintf (metadata.id, sizeof metadata.id, "%d", i);
       at[atoi (choose_and_start (0, &query).upstream->heartbeat.id)]++;
     }
   ck_assert_int_eq (at[1], 4);
@@ -572,8 +575,8 @@
 {
   marjoram_placement *other = create ("h2");
   struct marjoram_load_report report;
-  struct marjoram_call_metadata facts = prompt (7, 4000, 8, 4000);
-  struct marjoram_place_query query = make_query (&facts, 1);
+  struct marjoram_call_metadata metadata = prompt (7, 4000, 8, 4000);
+  struct marjoram_place_query query = make_query (&metadata, 1);
   struct marjoram_place chosen;
 
   receive_heartbeat (0, "1");
--- a/test/test_placement_load.c
+++ b/test/test_placement_load.c
@@ -18,12 +18,12 @@
 };
 
 static struct load_result
-run_policy (enum load_policy way)
+run_policy (enum load_policy policy)
 {
   struct load_terms terms = heavy;
   struct load_result result;
 
-  terms.way = way;
+  terms.policy = policy;
   load_run (&terms, &result);
   return result;
 }
@@ -62,9 +62,9 @@
 
   check_more (&copying, &placed, 1.03);
   ck_assert_int_lt (copying.refused * 2, placed.refused);
-  ck_assert_msg (copying.read_again * 4 < placed.read_again * 3,
+  ck_assert_msg (copying.prefilled_again * 4 < placed.prefilled_again * 3,
                  "%" PRId64 " tokens read again, compared with %" PRId64,
-                 copying.read_again, placed.read_again);
+                 copying.prefilled_again, placed.prefilled_again);
 }
 END_TEST
 
--- a/test/test_spill.c
+++ b/test/test_spill.c
@@ -14,10 +14,10 @@
                                         .engines = 64,
                                         .local_ms = 90,
                                         .remote_ms = 10,
-                                        .unread_ms = 70,
+                                        .prefill_ms = 70,
                                         .prompt_ms = 200,
                                         .remote_first_ms = 130,
-                                        .useful_ms = 1000 };
+                                        .time_left_ms = 1000 };
 }
 
 static int
@@ -72,7 +72,7 @@
 {
   struct marjoram_spill_query query = busy ("");
 
-  query.unread_ms = 10;
+  query.prefill_ms = 10;
   ck_assert_int_eq (count_spilled (query), 0);
 }
 END_TEST
@@ -82,7 +82,7 @@
 {
   struct marjoram_spill_query query = busy ("");
 
-  query.useful_ms = 300;
+  query.time_left_ms = 300;
   ck_assert_int_eq (count_spilled (query), 0);
 }
 END_TEST
@@ -134,10 +134,10 @@
           .engines = ENGINES,
           .local_ms = regions[0].mean_ms,
           .remote_ms = regions[1].reported_ms,
-          .unread_ms = PROMPT_MS,
+          .prefill_ms = PROMPT_MS,
           .prompt_ms = 2.0 * PROMPT_MS,
           .remote_first_ms = 130,
-          .useful_ms = 1000 };
+          .time_left_ms = 1000 };
 
   snprintf (id, sizeof id, "%d", number);
   if (spills && marjoram_spill_selects (&query))
