--- a/bench/bench_claim.c
+++ b/bench/bench_claim.c
@@ -69,7 +69,7 @@
 static void
 on_decided (void *context, uint64_t attempt,
             enum marjoram_claim_verdict verdict,
-            const struct marjoram_kept_answer *kept)
+            const struct marjoram_stored_answer *kept)
 {
   struct host *host = context;
 
@@ -144,7 +144,7 @@
 static void
 run_claim (struct zone *zone, long number, marjoram_bytes *body)
 {
-  struct marjoram_kept_answer kept = { 200, (char *)"text/plain", body };
+  struct marjoram_stored_answer kept = { 200, (char *)"text/plain", body };
   int host = (int)(number % zone->count);
   int64_t issued = WALL_CLOCK_MS + zone->now;
   char key[MARJORAM_KEY_MAX];
--- a/bench/bench_state.c
+++ b/bench/bench_state.c
@@ -1,7 +1,7 @@
 /* Measures the distribution of one changed route to an entry host, by the
    number of routes: size of the state as a difference and in full, and time
    spent in the event loops of keeper and host.  */
-#include "agreed.h"
+#include "state_files.h"
 #include "cleanup.h"
 #include "compress.h"
 #include "platform.h"
@@ -119,8 +119,8 @@
       &received_state, NULL);
   steps->unpack[i] = now_ns () - start;
   start = now_ns ();
-  table = marjoram_agreed_routes (received_state, marjoram_platform_dialect (),
-                                  NULL);
+  table = marjoram_state_files_routes (received_state,
+                                       marjoram_platform_dialect (), NULL);
   steps->build[i] = now_ns () - start;
   if (!table)
     abort ();
--- a/src/answer.c
+++ b/src/answer.c
@@ -174,7 +174,7 @@
 finish_claim (marjoram_host *host, int64_t now,
               struct marjoram_request *request)
 {
-  struct marjoram_kept_answer kept = { 0 };
+  struct marjoram_stored_answer kept = { 0 };
 
   if (request->chunks_size > REPLAY_BODY_MAX)
     {
--- a/src/claim.c
+++ b/src/claim.c
@@ -113,7 +113,7 @@
 
 void
 marjoram_claims_finish (marjoram_claims *claims, int64_t now, uint64_t attempt,
-                        const struct marjoram_kept_answer *kept)
+                        const struct marjoram_stored_answer *kept)
 {
   struct marjoram_claim_attempt *found
       = marjoram_claims_find_attempt (claims, attempt);
@@ -269,7 +269,7 @@
     return;
   if (!marjoram_claims_key_expired (claims, (int64_t)entry->issued))
     marjoram_claims_store_record (claims, entry);
-  acknowledged.kept = (struct marjoram_kept_answer){ 0 };
+  acknowledged.kept = (struct marjoram_stored_answer){ 0 };
   marjoram_claims_send (claims, from, MARJORAM_CLAIM_FINISHED, &acknowledged);
 }
 
--- a/src/claim.h
+++ b/src/claim.h
@@ -31,7 +31,7 @@
 };
 
 /* A response stored for replay.  */
-struct marjoram_kept_answer
+struct marjoram_stored_answer
 {
   uint64_t status; /* HTTP status; 0 if no answer is stored */
   char *content_type;
@@ -52,7 +52,7 @@
      MARJORAM_CLAIM_REPLAY and valid only during the call.  */
   void (*decided) (void *context, uint64_t attempt,
                    enum marjoram_claim_verdict verdict,
-                   const struct marjoram_kept_answer *kept);
+                   const struct marjoram_stored_answer *kept);
 };
 
 struct marjoram_claims_options
@@ -87,7 +87,7 @@
    or null if the outcome is unknown.  */
 void marjoram_claims_finish (marjoram_claims *claims, int64_t now,
                              uint64_t attempt,
-                             const struct marjoram_kept_answer *kept);
+                             const struct marjoram_stored_answer *kept);
 void marjoram_claims_receive (marjoram_claims *claims, int64_t now, int from,
                               const struct marjoram_claim_message *message);
 /* Handles resends, timeouts and expiry.  Call at least every 100 ms.  */
--- a/src/claim_attempt.c
+++ b/src/claim_attempt.c
@@ -127,7 +127,7 @@
 void
 marjoram_claims_queue_verdict (marjoram_claims *claims, uint64_t attempt,
                                enum marjoram_claim_verdict verdict,
-                               const struct marjoram_kept_answer *kept)
+                               const struct marjoram_stored_answer *kept)
 {
   struct marjoram_claim_decision *decision = marjoram_alloc (sizeof *decision);
 
@@ -182,7 +182,7 @@
 static void
 decide (marjoram_claims *claims, struct marjoram_claim_attempt *attempt,
         enum marjoram_claim_verdict verdict,
-        const struct marjoram_kept_answer *kept)
+        const struct marjoram_stored_answer *kept)
 {
   marjoram_claims_queue_verdict (claims, attempt->entry.number, verdict, kept);
   attempt->decided = true;
--- a/src/claim_attempt.h
+++ b/src/claim_attempt.h
@@ -64,7 +64,7 @@
 {
   uint64_t attempt;
   enum marjoram_claim_verdict verdict;
-  struct marjoram_kept_answer kept;
+  struct marjoram_stored_answer kept;
   STAILQ_ENTRY (marjoram_claim_decision) link;
 };
 
@@ -117,7 +117,7 @@
                               struct marjoram_claim_attempt *attempt);
 void marjoram_claims_queue_verdict (marjoram_claims *claims, uint64_t attempt,
                                     enum marjoram_claim_verdict verdict,
-                                    const struct marjoram_kept_answer *kept);
+                                    const struct marjoram_stored_answer *kept);
 void marjoram_claims_cancel_verdict (marjoram_claims *claims,
                                      uint64_t attempt);
 void marjoram_claims_deliver_verdicts (marjoram_claims *claims);
--- a/src/claim_message.h
+++ b/src/claim_message.h
@@ -59,7 +59,7 @@
   uint64_t number;
   uint64_t issued; /* issue time of the key, ms since the epoch */
   uint64_t state;
-  struct marjoram_kept_answer kept;
+  struct marjoram_stored_answer kept;
 };
 
 struct marjoram_claim_incarnation
--- a/src/claim_record.c
+++ b/src/claim_record.c
@@ -11,21 +11,21 @@
   ALLOCATION_OVERHEAD = 8
 };
 
-struct marjoram_kept_record
+struct marjoram_stored_record
 {
-  struct marjoram_kept_answer answer;
+  struct marjoram_stored_answer answer;
   struct marjoram_claim_record *record;
   size_t size;
   int64_t replay_end;
-  TAILQ_ENTRY (marjoram_kept_record) link;
+  TAILQ_ENTRY (marjoram_stored_record) link;
 };
 
 struct marjoram_claim_records
 {
   struct marjoram_claim_record *table;
   TAILQ_HEAD (marjoram_claim_record_list, marjoram_claim_record)
-  list;                                     /* in insertion order */
-  TAILQ_HEAD (, marjoram_kept_record) kept; /* likewise */
+  list;                                       /* in insertion order */
+  TAILQ_HEAD (, marjoram_stored_record) kept; /* likewise */
   /* Last record read by each peer, or null to start from the beginning.  */
   struct marjoram_claim_record *positions[MARJORAM_ZONE_SLOTS_MAX];
   size_t count;
@@ -84,7 +84,7 @@
 
 static void
 remove_answer (marjoram_claim_records *records,
-               struct marjoram_kept_record *kept)
+               struct marjoram_stored_record *kept)
 {
   TAILQ_REMOVE (&records->kept, kept, link);
   records->kept_size -= kept->size;
@@ -97,9 +97,9 @@
 static void
 store_answer (marjoram_claim_records *records,
               struct marjoram_claim_record *record,
-              const struct marjoram_kept_answer *answer, int64_t replay_end)
+              const struct marjoram_stored_answer *answer, int64_t replay_end)
 {
-  struct marjoram_kept_record *kept = marjoram_alloc (sizeof *kept);
+  struct marjoram_stored_record *kept = marjoram_alloc (sizeof *kept);
 
   kept->answer.status = answer->status;
   if (answer->content_type)
@@ -116,7 +116,7 @@
 static void
 evict_answers (marjoram_claim_records *records, int64_t now)
 {
-  struct marjoram_kept_record *kept, *next;
+  struct marjoram_stored_record *kept, *next;
 
   for (kept = TAILQ_FIRST (&records->kept);
        kept
--- a/src/claim_record.h
+++ b/src/claim_record.h
@@ -9,7 +9,7 @@
 #include <sys/queue.h>
 #include <uthash.h>
 
-struct marjoram_kept_record;
+struct marjoram_stored_record;
 
 struct marjoram_claim_record
 {
@@ -22,8 +22,8 @@
   uint32_t created_at; /* seconds since the epoch */
   uint8_t owner;
   uint8_t state;
-  struct marjoram_kept_record *kept;  /* null if none, or evicted */
-  struct marjoram_claim_record *next; /* next record of the same key */
+  struct marjoram_stored_record *kept; /* null if none, or evicted */
+  struct marjoram_claim_record *next;  /* next record of the same key */
   TAILQ_ENTRY (marjoram_claim_record) link;
   UT_hash_handle hh; /* used by the first record of each key */
 };
--- a/src/entry_private.h
+++ b/src/entry_private.h
@@ -6,7 +6,7 @@
 #define MARJORAM_ENTRY_PRIVATE_H
 
 #include "address.h"
-#include "agreed.h"
+#include "state_files.h"
 #include "engine_survey.h"
 #include "gateway.h"
 #include "leaving_zones.h"
--- a/src/host_state.h
+++ b/src/host_state.h
@@ -77,7 +77,7 @@
 {
   uint64_t claim;
   enum marjoram_claim_verdict verdict;
-  struct marjoram_kept_answer kept;
+  struct marjoram_stored_answer kept;
   STAILQ_ENTRY (marjoram_claim_result) next;
 };
 STAILQ_HEAD (marjoram_claim_results, marjoram_claim_result);
--- a/src/host_zone.c
+++ b/src/host_zone.c
@@ -73,7 +73,7 @@
 static void
 claim_decided (void *context, uint64_t claim,
                enum marjoram_claim_verdict decided,
-               const struct marjoram_kept_answer *kept)
+               const struct marjoram_stored_answer *kept)
 {
   marjoram_host *host = context;
   struct marjoram_claim_result *result = marjoram_alloc (sizeof *result);
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -447,7 +447,7 @@
 }
 
 /* Bootstrapping is unsafe while a peer knows a state not learned yet: it may
-   be more than a founding one.  */
+   be more than an initial one.  */
 bool
 marjoram_keeper_may_bootstrap (const marjoram_keeper *keeper)
 {
@@ -473,7 +473,7 @@
   current = marjoram_keeper_current_value (keeper);
   if (current && marjoram_value_equal (keeper->acceptor.value, keeper->chosen))
     return marjoram_value_state (current)->next_members.count > 0;
-  if (!current || marjoram_value_is_founding (current))
+  if (!current || marjoram_value_is_initial (current))
     return first_keepers_present (keeper)
            && marjoram_keeper_may_bootstrap (keeper);
   return true;
--- a/src/keeper_accept.c
+++ b/src/keeper_accept.c
@@ -133,7 +133,7 @@
                        const struct marjoram_ballot *ballot,
                        marjoram_value *value)
 {
-  if (!marjoram_value_is_founding (value))
+  if (!marjoram_value_is_initial (value))
     keeper->bootstrapped = true;
   if (marjoram_acceptor_learn (&keeper->acceptor, ballot, value))
     keeper->sequence++;
@@ -255,8 +255,8 @@
     keeper->chosen = marjoram_value_retain (keeper->acceptor.value);
   keeper->bootstrapped
       = (keeper->acceptor.value
-         && !marjoram_value_is_founding (keeper->acceptor.value))
-        || (keeper->chosen && !marjoram_value_is_founding (keeper->chosen));
+         && !marjoram_value_is_initial (keeper->acceptor.value))
+        || (keeper->chosen && !marjoram_value_is_initial (keeper->chosen));
   keeper->round = record->promised.round;
   return true;
 }
--- a/src/keeper_private.h
+++ b/src/keeper_private.h
@@ -78,7 +78,7 @@
   bool rolled_back;   /* the store was restored from an older copy */
   bool confirmed;     /* a majority has seen this incarnation */
   int64_t confirm_by; /* when one peer is enough; 0 before the first event */
-  bool bootstrapped;  /* a state beyond the founding one exists */
+  bool bootstrapped;  /* a state beyond the initial one exists */
 
   struct marjoram_keeper_peers peers;
   struct marjoram_keeper_requests requests;
--- a/src/keeper_propose.c
+++ b/src/keeper_propose.c
@@ -63,10 +63,10 @@
                                  MARJORAM_KEEPER_BACKOFF_MS << doublings);
 }
 
-/* The stores that answered become the first members; an earlier founding value
+/* The stores that answered become the first members; an earlier initial value
    with exactly these members is proposed again.  */
 static marjoram_value *
-founding_value (const marjoram_keeper *keeper)
+initial_value (const marjoram_keeper *keeper)
 {
   const struct marjoram_attempt *attempt = &keeper->attempt;
   struct marjoram_state *state = marjoram_state_copy (NULL);
@@ -217,9 +217,9 @@
   if (!marjoram_attempt_read (attempt, keeper->chosen))
     {
       if (marjoram_keeper_may_bootstrap (keeper)
-          && marjoram_attempt_may_propose_founding (attempt, keeper->first,
-                                                    keeper->first_count))
-        propose (keeper, founding_value (keeper));
+          && marjoram_attempt_may_propose_initial (attempt, keeper->first,
+                                                   keeper->first_count))
+        propose (keeper, initial_value (keeper));
       return;
     }
   value = next_value (keeper, attempt->best);
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -289,7 +289,7 @@
       = marjoram_keeper_chosen_state (self->keeper);
   const struct marjoram_file *routes
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
-  struct marjoram_names zones = marjoram_agreed_evacuations (state);
+  struct marjoram_names zones = marjoram_state_files_evacuations (state);
   json_t *report = json_pack (
       "{s:s, s:I, s:o, s:o, s:o}", "role", "keeper", "config_version",
       (json_int_t)(routes ? routes->version : 0), "evacuated",
--- a/src/register.c
+++ b/src/register.c
@@ -189,7 +189,7 @@
 }
 
 bool
-marjoram_value_is_founding (const marjoram_value *value)
+marjoram_value_is_initial (const marjoram_value *value)
 {
   return value->state->changes.count == 0;
 }
@@ -324,18 +324,17 @@
 
   if (!best)
     return false;
-  if (marjoram_value_is_founding (best)
-      && !marjoram_value_equal (best, chosen))
+  if (marjoram_value_is_initial (best) && !marjoram_value_equal (best, chosen))
     return false;
   return marjoram_quorum (&attempt->votes, best->state);
 }
 
 bool
-marjoram_attempt_may_propose_founding (const struct marjoram_attempt *attempt,
-                                       char *const *first, size_t count)
+marjoram_attempt_may_propose_initial (const struct marjoram_attempt *attempt,
+                                      char *const *first, size_t count)
 {
   if (count == 0
-      || (attempt->best && !marjoram_value_is_founding (attempt->best)))
+      || (attempt->best && !marjoram_value_is_initial (attempt->best)))
     return false;
   for (size_t i = 0; i < count; i++)
     if (!marjoram_voters_find (&attempt->votes, first[i]))
@@ -377,7 +376,7 @@
 {
   const struct marjoram_state *state = attempt->proposed->state;
 
-  if (marjoram_value_is_founding (attempt->proposed))
+  if (marjoram_value_is_initial (attempt->proposed))
     return has_all_members (&attempt->votes, &state->members);
   return marjoram_quorum (&attempt->votes, attempt->best->state)
          && marjoram_quorum (&attempt->votes, state);
--- a/src/register.h
+++ b/src/register.h
@@ -58,9 +58,9 @@
 
 /* Returns true if VALUE lists the stores of the first keepers and contains no
    changes.  Such a value needs all keepers in both phases: a keeper that loses
-   its disk comes back with a new store id and could help two founding values
+   its disk comes back with a new store id and could help two initial values
    to a majority each.  Until one is chosen, a later one may replace it.  */
-bool marjoram_value_is_founding (const marjoram_value *value);
+bool marjoram_value_is_initial (const marjoram_value *value);
 
 /* Acceptor state of one keeper.  Must be durable before a reply is sent.  */
 struct marjoram_acceptor
@@ -119,22 +119,22 @@
                                 const struct marjoram_ballot *accepted,
                                 marjoram_value *value);
 /* Returns true if the promises form a quorum of the members of the best value.
-   A founding value must also equal CHOSEN, the value known to be chosen.  */
+   An initial value must also equal CHOSEN, the value known to be chosen.  */
 bool marjoram_attempt_read (const struct marjoram_attempt *attempt,
                             const marjoram_value *chosen);
-/* Returns true if a founding value may be proposed: every slot of FIRST has
-   promised, and no value beyond a founding one was reported.  This keeps
+/* Returns true if an initial value may be proposed: every slot of FIRST has
+   promised, and no value beyond an initial one was reported.  This keeps
    keepers with empty disks from starting a second history next to an existing
    one.  */
 bool
-marjoram_attempt_may_propose_founding (const struct marjoram_attempt *attempt,
-                                       char *const *first, size_t count);
+marjoram_attempt_may_propose_initial (const struct marjoram_attempt *attempt,
+                                      char *const *first, size_t count);
 void marjoram_attempt_propose (struct marjoram_attempt *attempt,
                                marjoram_value *value);
 void marjoram_attempt_accepted (struct marjoram_attempt *attempt,
                                 const char *slot, const char *store_id);
 /* Returns true if the proposed value is chosen: accepted by a quorum both of
-   its own members and of its predecessor's.  A founding value must be accepted
+   its own members and of its predecessor's.  An initial value must be accepted
    by all its members.  */
 bool marjoram_attempt_chosen (const struct marjoram_attempt *attempt);
 
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -310,7 +310,7 @@
     return registrar->table;
   marjoram_route_table_destroy (registrar->table);
   registrar->table
-      = marjoram_agreed_routes (state, registrar->options.dialect, NULL);
+      = marjoram_state_files_routes (state, registrar->options.dialect, NULL);
   registrar->table_number = state->number;
   return registrar->table;
 }
--- a/src/registrar.h
+++ b/src/registrar.h
@@ -3,7 +3,7 @@
 #ifndef MARJORAM_REGISTRAR_H
 #define MARJORAM_REGISTRAR_H
 
-#include "agreed.h"
+#include "state_files.h"
 #include "host_list.h"
 #include "keeper.h"
 #include "metrics.h"
--- a/src/registrar_command.c
+++ b/src/registrar_command.c
@@ -86,8 +86,8 @@
 static bool
 is_evacuated (const struct marjoram_state *state, const char *zone)
 {
-  struct marjoram_names zones = marjoram_agreed_evacuations (state);
-  bool found = marjoram_agreed_is_evacuated (&zones, zone);
+  struct marjoram_names zones = marjoram_state_files_evacuations (state);
+  bool found = marjoram_state_files_is_evacuated (&zones, zone);
 
   marjoram_names_clear (&zones);
   return found;
@@ -100,8 +100,8 @@
   struct marjoram_file file;
 
   pending->attempts++;
-  marjoram_agreed_evacuate (registrar->ops->state (registrar->context),
-                            pending->zone, pending->evacuated, &file);
+  marjoram_state_files_evacuate (registrar->ops->state (registrar->context),
+                                 pending->zone, pending->evacuated, &file);
   apply (registrar, pending, &file);
   marjoram_wire_clear (&marjoram_file_layout, &file);
 }
--- a/src/request.h
+++ b/src/request.h
@@ -146,10 +146,11 @@
    cancelled; another one runs on, so that its answer can be replayed.  */
 void marjoram_request_abandon (marjoram_host *host, int64_t now,
                                struct marjoram_request *request);
-void marjoram_request_claim_decided (marjoram_host *host, int64_t now,
-                                     uint64_t claim,
-                                     enum marjoram_claim_verdict verdict,
-                                     const struct marjoram_kept_answer *kept);
+void
+marjoram_request_claim_decided (marjoram_host *host, int64_t now,
+                                uint64_t claim,
+                                enum marjoram_claim_verdict verdict,
+                                const struct marjoram_stored_answer *kept);
 void marjoram_request_count_outcome (marjoram_host *host,
                                      const struct marjoram_request *request,
                                      enum marjoram_outcome outcome);
--- a/src/request_claim.c
+++ b/src/request_claim.c
@@ -73,7 +73,7 @@
 
 static void
 replay (marjoram_host *host, int64_t now, struct marjoram_request *request,
-        const struct marjoram_kept_answer *kept)
+        const struct marjoram_stored_answer *kept)
 {
   struct marjoram_header type
       = { (char *)"Content-Type",
@@ -92,7 +92,7 @@
 marjoram_request_claim_decided (marjoram_host *host, int64_t now,
                                 uint64_t claim,
                                 enum marjoram_claim_verdict verdict,
-                                const struct marjoram_kept_answer *kept)
+                                const struct marjoram_stored_answer *kept)
 {
   struct marjoram_request *request;
 
--- a/src/agreed.c
+++ b/src/state_files.c
@@ -1,4 +1,4 @@
-#include "agreed.h"
+#include "state_files.h"
 
 #include "cleanup.h"
 
@@ -8,7 +8,7 @@
 #define NO_ZONES ""
 
 struct marjoram_names
-marjoram_agreed_evacuations (const struct marjoram_state *state)
+marjoram_state_files_evacuations (const struct marjoram_state *state)
 {
   const struct marjoram_file *file
       = state ? marjoram_state_file (state, MARJORAM_FILE_EVACUATIONS) : NULL;
@@ -17,8 +17,8 @@
 }
 
 bool
-marjoram_agreed_is_evacuated (const struct marjoram_names *zones,
-                              const char *zone)
+marjoram_state_files_is_evacuated (const struct marjoram_names *zones,
+                                   const char *zone)
 {
   for (size_t i = 0; i < zones->count; i++)
     if (strcmp (zones->items[i], zone) == 0)
@@ -27,12 +27,13 @@
 }
 
 void
-marjoram_agreed_evacuate (const struct marjoram_state *state, const char *zone,
-                          bool evacuated, struct marjoram_file *file)
+marjoram_state_files_evacuate (const struct marjoram_state *state,
+                               const char *zone, bool evacuated,
+                               struct marjoram_file *file)
 {
   const struct marjoram_file *current
       = state ? marjoram_state_file (state, MARJORAM_FILE_EVACUATIONS) : NULL;
-  struct marjoram_names zones = marjoram_agreed_evacuations (state);
+  struct marjoram_names zones = marjoram_state_files_evacuations (state);
   size_t size = 0;
   FILE *out;
   const char *comma = "";
@@ -56,9 +57,9 @@
 }
 
 struct marjoram_route_table *
-marjoram_agreed_routes (const struct marjoram_state *state,
-                        const struct marjoram_dialect *dialect,
-                        struct marjoram_error *err)
+marjoram_state_files_routes (const struct marjoram_state *state,
+                             const struct marjoram_dialect *dialect,
+                             struct marjoram_error *err)
 {
   const struct marjoram_file *file
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
--- a/src/agreed.h
+++ b/src/state_files.h
@@ -1,7 +1,7 @@
 /* Accessors for the routes and the evacuated zones, each stored as one file of
    the replicated state.  */
-#ifndef MARJORAM_AGREED_H
-#define MARJORAM_AGREED_H
+#ifndef MARJORAM_STATE_FILES_H
+#define MARJORAM_STATE_FILES_H
 
 #include "dialect.h"
 #include "ini_key.h"
@@ -13,20 +13,20 @@
 /* Returns the evacuated zones of STATE, which may be null.  The caller frees
    the result with marjoram_names_clear.  */
 struct marjoram_names
-marjoram_agreed_evacuations (const struct marjoram_state *state);
-bool marjoram_agreed_is_evacuated (const struct marjoram_names *zones,
-                                   const char *zone);
+marjoram_state_files_evacuations (const struct marjoram_state *state);
+bool marjoram_state_files_is_evacuated (const struct marjoram_names *zones,
+                                        const char *zone);
 /* Fills FILE with the next version of the evacuations file, with ZONE added
    or, if EVACUATED is false, removed.  STATE may be null.  The caller clears
    FILE through marjoram_file_layout.  */
-void marjoram_agreed_evacuate (const struct marjoram_state *state,
-                               const char *zone, bool evacuated,
-                               struct marjoram_file *file);
+void marjoram_state_files_evacuate (const struct marjoram_state *state,
+                                    const char *zone, bool evacuated,
+                                    struct marjoram_file *file);
 /* Parses the routes in STATE, which may be null.  Returns null if there are
    none, or with ERR set if they are invalid.  */
 struct marjoram_route_table *
-marjoram_agreed_routes (const struct marjoram_state *state,
-                        const struct marjoram_dialect *dialect,
-                        struct marjoram_error *err);
+marjoram_state_files_routes (const struct marjoram_state *state,
+                             const struct marjoram_dialect *dialect,
+                             struct marjoram_error *err);
 
 #endif
--- a/test/lib_keepers.c
+++ b/test/lib_keepers.c
@@ -199,8 +199,8 @@
   int to = find_node (sim, slot);
   int copies = chance (sim, sim->loss) ? 0 : chance (sim, sim->loss) ? 2 : 1;
 
-  if (message->value && message->encoding < SIM_FORMS)
-    sim->counts.forms[message->encoding]++;
+  if (message->value && message->encoding < SIM_ENCODINGS)
+    sim->counts.encodings[message->encoding]++;
   if (to < 0 || sim->partitioned[node->index][to])
     return;
   for (int i = 0; i < copies; i++)
--- a/test/lib_keepers.h
+++ b/test/lib_keepers.h
@@ -11,7 +11,7 @@
 {
   SIM_KEEPERS = 5,
   SIM_FIRST = 3,
-  SIM_FORMS = 4,
+  SIM_ENCODINGS = 4,
   SIM_FAULT_MAX = 256
 };
 
@@ -46,9 +46,9 @@
   uint64_t lost_disks;
   uint64_t older_disks;
   uint64_t repairs;
-  uint64_t reads;             /* confirmed */
-  uint64_t unconfirmed_reads; /* not confirmed in time */
-  uint64_t forms[SIM_FORMS];  /* messages by value encoding */
+  uint64_t reads;                    /* confirmed */
+  uint64_t unconfirmed_reads;        /* not confirmed in time */
+  uint64_t encodings[SIM_ENCODINGS]; /* messages by value encoding */
 };
 
 const struct sim_counts *sim_counts (const struct sim *sim);
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -96,7 +96,7 @@
 static void
 on_decided (void *context, uint64_t number,
             enum marjoram_claim_verdict verdict,
-            const struct marjoram_kept_answer *kept)
+            const struct marjoram_stored_answer *kept)
 {
   const struct host *host = context;
   struct attempt *attempt = &host->zone->attempts[number];
@@ -320,7 +320,7 @@
 finish (struct zone *zone, int number, bool keep)
 {
   struct attempt *attempt = &zone->attempts[number];
-  struct marjoram_kept_answer kept = { 200, (char *)"text/plain", NULL };
+  struct marjoram_stored_answer kept = { 200, (char *)"text/plain", NULL };
   char body[32];
 
   if (!attempt->executed || attempt->finished
@@ -957,7 +957,7 @@
 static void
 ignore_verdict (void *context, uint64_t attempt,
                 enum marjoram_claim_verdict given,
-                const struct marjoram_kept_answer *kept)
+                const struct marjoram_stored_answer *kept)
 {
   (void)context;
   (void)attempt;
--- a/test/test_fuzz_message.c
+++ b/test/test_fuzz_message.c
@@ -43,7 +43,7 @@
 static void
 claim_decided (void *context, uint64_t attempt,
                enum marjoram_claim_verdict verdict,
-               const struct marjoram_kept_answer *kept)
+               const struct marjoram_stored_answer *kept)
 {
   (void)context;
   (void)attempt;
--- a/test/test_keeper.c
+++ b/test/test_keeper.c
@@ -150,11 +150,13 @@
     }
   printf ("large values: %llu plain, %llu compressed, %llu as a difference, "
           "%llu as a reference\n",
-          (unsigned long long)sum.forms[0], (unsigned long long)sum.forms[1],
-          (unsigned long long)sum.forms[2], (unsigned long long)sum.forms[3]);
+          (unsigned long long)sum.encodings[0],
+          (unsigned long long)sum.encodings[1],
+          (unsigned long long)sum.encodings[2],
+          (unsigned long long)sum.encodings[3]);
   ck_assert_int_eq (failed, 0);
-  for (int i = 1; i < SIM_FORMS; i++)
-    ck_assert_uint_gt (sum.forms[i], count);
+  for (int i = 1; i < SIM_ENCODINGS; i++)
+    ck_assert_uint_gt (sum.encodings[i], count);
 }
 END_TEST
 
--- a/test/test_register.c
+++ b/test/test_register.c
@@ -123,37 +123,37 @@
 }
 END_TEST
 
-/* A founding value must be accepted by all keepers and must not be built upon
+/* An initial value must be accepted by all keepers and must not be built upon
    until it is known to be chosen.  With majorities, a keeper that lost its
-   disk could help a second founding value to be chosen.  */
-START_TEST (founding_value_needs_all)
+   disk could help a second initial value to be chosen.  */
+START_TEST (initial_value_needs_all)
 {
   static char *const first[] = { (char *)"a", (char *)"b", (char *)"c" };
   struct marjoram_attempt attempt = { .phase = MARJORAM_PHASE_IDLE };
   const struct marjoram_ballot ballot = { 2, 1, 1 };
   const struct marjoram_ballot before = { 1, 1, 1 };
   struct marjoram_state *state = marjoram_state_copy (NULL);
-  marjoram_value *founding;
+  marjoram_value *initial;
 
   for (int i = 0; i < FIRST; i++)
     marjoram_voters_add (&state->members, first[i], first[i]);
-  founding = marjoram_value_create (state);
+  initial = marjoram_value_create (state);
   marjoram_attempt_start (&attempt, &ballot);
-  marjoram_attempt_promised (&attempt, "a", "a", &before, founding);
-  marjoram_attempt_promised (&attempt, "b", "b", &before, founding);
+  marjoram_attempt_promised (&attempt, "a", "a", &before, initial);
+  marjoram_attempt_promised (&attempt, "b", "b", &before, initial);
   ck_assert (!marjoram_attempt_read (&attempt, NULL));
-  ck_assert (marjoram_attempt_read (&attempt, founding));
-  ck_assert (!marjoram_attempt_may_propose_founding (&attempt, first, FIRST));
+  ck_assert (marjoram_attempt_read (&attempt, initial));
+  ck_assert (!marjoram_attempt_may_propose_initial (&attempt, first, FIRST));
   marjoram_attempt_promised (&attempt, "c", "c", &before, NULL);
-  ck_assert (marjoram_attempt_may_propose_founding (&attempt, first, FIRST));
-  marjoram_attempt_propose (&attempt, founding);
+  ck_assert (marjoram_attempt_may_propose_initial (&attempt, first, FIRST));
+  marjoram_attempt_propose (&attempt, initial);
   marjoram_attempt_accepted (&attempt, "a", "a");
   marjoram_attempt_accepted (&attempt, "b", "b");
   ck_assert (!marjoram_attempt_chosen (&attempt));
   marjoram_attempt_accepted (&attempt, "c", "c");
   ck_assert (marjoram_attempt_chosen (&attempt));
   marjoram_attempt_stop (&attempt);
-  marjoram_value_release (founding);
+  marjoram_value_release (initial);
 }
 END_TEST
 
@@ -514,7 +514,7 @@
 END_TEST
 
 /* Empty disks under the names of all first keepers must not create a new
-   founding value while other hosts still have the state: the number would
+   initial value while other hosts still have the state: the number would
    restart at 1.  */
 START_TEST (empty_disks_create_no_second_state)
 {
@@ -595,7 +595,7 @@
   tcase_add_test (c, quorum_needs_majorities_of_old_and_new);
   tcase_add_test (c, emptied_disk_does_not_count);
   tcase_add_test (c, dropping_old_members_needs_them_too);
-  tcase_add_test (c, founding_value_needs_all);
+  tcase_add_test (c, initial_value_needs_all);
   tcase_add_test (c, replacement_keeps_old_members_beside_new_ones);
   tcase_add_test (c, old_members_stay_until_the_step_is_known_chosen);
   tcase_add_test (c, ballots_are_used_once);
