--- a/src/builtin_dialect.c
+++ b/src/builtin_dialect.c
@@ -52,7 +52,7 @@
 static struct marjoram_route_table *
 read_config (const char *text, size_t size, struct marjoram_error *err)
 {
-  return marjoram_route_file_is (text, size)
+  return marjoram_route_file_detect (text, size)
              ? marjoram_route_file_read (text, size, err)
              : fallback_dialect->ops->read_config (text, size, err);
 }
--- a/src/control.c
+++ b/src/control.c
@@ -415,7 +415,7 @@
       if (marjoram_control_proof_equal (
               evhttp_find_header (headers, MARJORAM_CONTROL_PROOF), expected))
         {
-          fault = replay_error (marjoram_replays_take (
+          fault = replay_error (marjoram_replays_check (
               control->replays, marjoram_clock_wall (control->clock),
               signed_call.sent, call->nonce));
           if (!fault)
--- a/src/crash_list.c
+++ b/src/crash_list.c
@@ -28,7 +28,7 @@
 struct entry
 {
   char digest[MARJORAM_DIGEST_HEX_LENGTH + 1];
-  char instances[CRASH_LIMIT][MARJORAM_LIFE_MAX];
+  char instances[CRASH_LIMIT][MARJORAM_INSTANCE_MAX];
   size_t count;
   int64_t expires;
   UT_hash_handle hh;
@@ -38,7 +38,7 @@
 struct report_item
 {
   char digest[MARJORAM_DIGEST_HEX_LENGTH + 1];
-  char life[MARJORAM_LIFE_MAX]; /* "" if it was answered */
+  char instance[MARJORAM_INSTANCE_MAX]; /* "" if it was answered */
   STAILQ_ENTRY (report_item) link;
 };
 
@@ -120,7 +120,7 @@
    Returns whether it was counted.  */
 static bool
 add_crash (marjoram_crash_list *list, int64_t now, const char *digest,
-           const char *life)
+           const char *instance)
 {
   struct entry *entry = find_entry (list, digest);
 
@@ -130,11 +130,12 @@
   TAILQ_REMOVE (&list->entries, entry, link);
   TAILQ_INSERT_TAIL (&list->entries, entry, link);
   for (size_t i = 0; i < entry->count; i++)
-    if (strcmp (entry->instances[i], life) == 0)
+    if (strcmp (entry->instances[i], instance) == 0)
       return false;
   if (entry->count == CRASH_LIMIT)
     return false;
-  snprintf (entry->instances[entry->count++], MARJORAM_LIFE_MAX, "%s", life);
+  snprintf (entry->instances[entry->count++], MARJORAM_INSTANCE_MAX, "%s",
+            instance);
   return true;
 }
 
@@ -162,14 +163,15 @@
 
 static void
 add_report_item (marjoram_crash_list *list, const char *digest,
-                 const char *life)
+                 const char *instance)
 {
   struct report_item *report_item = marjoram_alloc (sizeof *report_item);
 
   if (list->report_item_count == MARJORAM_CRASHES_MAX)
     remove_report_item (list);
   snprintf (report_item->digest, sizeof report_item->digest, "%s", digest);
-  snprintf (report_item->life, sizeof report_item->life, "%s", life);
+  snprintf (report_item->instance, sizeof report_item->instance, "%s",
+            instance);
   STAILQ_INSERT_TAIL (&list->report_items, report_item, link);
   list->report_item_count++;
 }
@@ -179,16 +181,16 @@
                                const char *digest, const char *upstream,
                                int64_t started_at)
 {
-  char life[MARJORAM_LIFE_MAX];
+  char instance[MARJORAM_INSTANCE_MAX];
 
   /* Identical requests often run at several upstreams at once.  A recently
      answered one is not recorded, or a power loss of a region would block
      it.  */
   if (was_answered (list, digest))
     return;
-  snprintf (life, sizeof life, "%s/%" PRId64, upstream, started_at);
-  if (add_crash (list, now, digest, life))
-    add_report_item (list, digest, life);
+  snprintf (instance, sizeof instance, "%s/%" PRId64, upstream, started_at);
+  if (add_crash (list, now, digest, instance))
+    add_report_item (list, digest, instance);
 }
 
 void
@@ -221,7 +223,7 @@
 {
   struct entry *entry = find_entry (list, item->digest);
 
-  if (!item->life || !*item->life)
+  if (!item->instance || !*item->instance)
     {
       if (entry)
         remove_entry (list, entry);
@@ -229,7 +231,7 @@
   else if (was_answered (list, item->digest))
     add_report_item (list, item->digest, "");
   else
-    add_crash (list, now, item->digest, item->life);
+    add_crash (list, now, item->digest, item->instance);
 }
 
 void
@@ -246,14 +248,14 @@
 
 static void
 add_item (struct marjoram_crash_report *out, const char *digest,
-          const char *life)
+          const char *instance)
 {
   struct marjoram_crash_item *items = out->items.items;
 
   if (out->items.count == MARJORAM_CRASHES_MAX)
     return;
   items[out->items.count].digest = marjoram_strdup (digest);
-  items[out->items.count].life = marjoram_strdup (life);
+  items[out->items.count].instance = marjoram_strdup (instance);
   out->items.count++;
 }
 
@@ -270,7 +272,7 @@
   out->items.items = marjoram_alloc (list->report_item_count
                                      * sizeof (struct marjoram_crash_item));
   STAILQ_FOREACH (report_item, &list->report_items, link)
-  add_item (out, report_item->digest, report_item->life);
+  add_item (out, report_item->digest, report_item->instance);
   while (!STAILQ_EMPTY (&list->report_items))
     remove_report_item (list);
   return true;
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -158,7 +158,7 @@
 }
 
 static void
-op_hang_up (void *context, const char *slot)
+op_reconnect (void *context, const char *slot)
 {
   marjoram_daemon *daemon = context;
 
@@ -216,7 +216,7 @@
   .connect = op_connect,
   .send = op_send,
   .reply = op_reply,
-  .hang_up = op_hang_up,
+  .reconnect = op_reconnect,
   .persist = op_persist,
   .applied = op_applied,
   .drained = op_drained,
--- a/src/entry_frame.c
+++ b/src/entry_frame.c
@@ -172,8 +172,8 @@
         || (request != 0 && inbound->request != request))
       continue;
     marjoram_entry_remove_inbound (self, inbound);
-    marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
-                                  call);
+    marjoram_gateway_caller_disconnected (self->gateway,
+                                          marjoram_entry_now (self), call);
   }
 }
 
--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -65,8 +65,8 @@
 {
   struct marjoram_entry *self = context;
 
-  marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
-                                call);
+  marjoram_gateway_caller_disconnected (self->gateway,
+                                        marjoram_entry_now (self), call);
 }
 
 static void
@@ -357,11 +357,11 @@
       marjoram_gateway_report_upstreams (self->registry, now));
 }
 
-static struct marjoram_repeat_terms
+static struct marjoram_repeat_limits
 repeat_terms (const struct marjoram_entry *self)
 {
   const struct marjoram_gateway_settings *settings = self->parts->settings;
-  const struct marjoram_repeat_terms terms
+  const struct marjoram_repeat_limits terms
       = { settings->repeat_ratio, settings->repeat_allowance,
           settings->repeat_window_ms };
 
@@ -372,7 +372,7 @@
 role_reload (struct marjoram_role *role)
 {
   struct marjoram_entry *self = entry_from_role (role);
-  const struct marjoram_repeat_terms terms = repeat_terms (self);
+  const struct marjoram_repeat_limits terms = repeat_terms (self);
 
   marjoram_repeat_budget_set (marjoram_gateway_budget (self->gateway), &terms);
 }
--- a/src/forward.c
+++ b/src/forward.c
@@ -217,10 +217,10 @@
 {
   struct marjoram_suspect_message suspect = { 0 };
 
-  if (end->deaths == 0)
+  if (end->crashes == 0)
     return;
   suspect.digest = (char *)request->digest;
-  suspect.deaths = end->deaths;
+  suspect.crashes = end->crashes;
   suspect.suspicion = end->reason == MARJORAM_REASON_CONVICTED
                           ? MARJORAM_SUSPICION_CONVICTED
                           : MARJORAM_SUSPICION_SUSPECT;
--- a/src/frame.c
+++ b/src/frame.c
@@ -125,7 +125,7 @@
   { MARJORAM_WIRE_UINT (struct marjoram_end, reason) },
   { MARJORAM_WIRE_UINT (struct marjoram_end, length) },
   { MARJORAM_WIRE_INT (struct marjoram_end, retry_ms) },
-  { MARJORAM_WIRE_UINT (struct marjoram_end, deaths) },
+  { MARJORAM_WIRE_UINT (struct marjoram_end, crashes) },
 };
 LAYOUT (end_layout, marjoram_end, end_fields);
 
--- a/src/frame.h
+++ b/src/frame.h
@@ -160,7 +160,7 @@
   uint64_t reason;  /* enum marjoram_reason */
   uint64_t length;  /* of the complete body, if the request succeeded */
   int64_t retry_ms;
-  uint64_t deaths; /* upstreams that crashed while processing the request */
+  uint64_t crashes; /* upstreams that crashed while processing the request */
 };
 
 /* Cancels a forwarded request.  */
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -243,8 +243,8 @@
 
 /* Closing the connection tells the upstream to stop work on the request.  */
 void
-marjoram_gateway_caller_gone (marjoram_gateway *gateway, int64_t now,
-                              uint64_t call)
+marjoram_gateway_caller_disconnected (marjoram_gateway *gateway, int64_t now,
+                                      uint64_t call)
 {
   struct marjoram_exchange *exchange = find_call (gateway, call);
 
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -57,7 +57,7 @@
 {
   const struct marjoram_dialect *dialect;
   struct marjoram_placement_options place;
-  struct marjoram_repeat_terms repeats;
+  struct marjoram_repeat_limits repeats;
   marjoram_metrics *metrics;
 };
 
@@ -87,8 +87,8 @@
                                uint64_t call,
                                struct marjoram_http_request *request,
                                const struct marjoram_forwarded *forwarded);
-void marjoram_gateway_caller_gone (marjoram_gateway *gateway, int64_t now,
-                                   uint64_t call);
+void marjoram_gateway_caller_disconnected (marjoram_gateway *gateway,
+                                           int64_t now, uint64_t call);
 
 /* Events of attempts, whether sent to an upstream or forwarded.
    marjoram_gateway_head returns false if the answer does not belong to the
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -185,7 +185,7 @@
     }
   daemon->settings = settings;
   daemon->role_context.settings = settings;
-  marjoram_host_links_set_seeds (daemon->links, settings);
+  marjoram_host_links_set_settings (daemon->links, settings);
   daemon->role->ops->reload (daemon->role);
   marjoram_event (MARJORAM_EVENT_PROCESS,
                   "state=reload cause=%s taken=yes seeds=%zu", cause,
--- a/src/gateway_message.c
+++ b/src/gateway_message.c
@@ -36,7 +36,7 @@
   STRING (marjoram_repeat_use, service),
   UINT (marjoram_repeat_use, requests),
   UINT (marjoram_repeat_use, repeats),
-  BOOL (marjoram_repeat_use, asks),
+  BOOL (marjoram_repeat_use, wants_sums),
 };
 static LAYOUT (repeat_use_layout, marjoram_repeat_use, repeat_use_fields);
 
@@ -124,8 +124,8 @@
 
 static const struct marjoram_field crash_item_fields[] = {
   STRING (marjoram_crash_item, digest),
-  { MARJORAM_WIRE_STRING (struct marjoram_crash_item, life,
-                          MARJORAM_LIFE_MAX) },
+  { MARJORAM_WIRE_STRING (struct marjoram_crash_item, instance,
+                          MARJORAM_INSTANCE_MAX) },
 };
 static LAYOUT (crash_item_layout, marjoram_crash_item, crash_item_fields);
 
--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -14,7 +14,7 @@
   MARJORAM_PLACED_MAX = 4096,
   MARJORAM_CRASHES_MAX = 4096,
   /* Bytes of an upstream id with its start time, including the NUL.  */
-  MARJORAM_LIFE_MAX = 128,
+  MARJORAM_INSTANCE_MAX = 128,
   /* Bytes of the replicated state in one message.  Bounds the time for which
      other messages on the link wait behind it.  */
   MARJORAM_STATE_PIECE_MAX = 16 * 1024
@@ -38,7 +38,7 @@
   char *service;
   uint64_t requests; /* from callers */
   uint64_t repeats;
-  bool asks; /* requests the sums over all hosts */
+  bool wants_sums; /* requests the sums over all hosts */
 };
 
 /* Sums over the hosts from which a keeper has reports.  */
@@ -134,7 +134,7 @@
 struct marjoram_crash_item
 {
   char *digest;
-  char *life; /* upstream id and start time; "" if answered */
+  char *instance; /* upstream id and start time; "" if answered */
 };
 
 struct marjoram_crash_report
--- a/src/gateway_settings.c
+++ b/src/gateway_settings.c
@@ -272,7 +272,7 @@
 }
 
 bool
-marjoram_gateway_settings_is (const char *path)
+marjoram_gateway_settings_detect (const char *path)
 {
   marjoram_auto (marjoram_faults_cleanup) marjoram_faults *ignored
       = marjoram_faults_create ();
--- a/src/gateway_settings.h
+++ b/src/gateway_settings.h
@@ -63,7 +63,7 @@
 marjoram_gateway_settings_destroy (struct marjoram_gateway_settings *settings);
 /* Whether the file at PATH has a [gateway] section and thus configures one of
    these roles.  */
-bool marjoram_gateway_settings_is (const char *path);
+bool marjoram_gateway_settings_detect (const char *path);
 /* Returns null if ZONE is unknown.  */
 const char *marjoram_gateway_settings_region (
     const struct marjoram_gateway_settings *settings, const char *zone);
--- a/src/host.h
+++ b/src/host.h
@@ -118,7 +118,7 @@
                 const void *message);
   void (*reply) (void *context, const char *slot, uint64_t session,
                  enum marjoram_frame_type type, const void *message);
-  void (*hang_up) (void *context, const char *slot);
+  void (*reconnect) (void *context, const char *slot);
   /* Writes a keeper's record to disk; takes ownership of RECORD; completed by
      marjoram_host_persisted.  */
   void (*persist) (void *context, uint64_t ticket, marjoram_bytes *record);
--- a/src/host_links.c
+++ b/src/host_links.c
@@ -491,7 +491,7 @@
 /* ---- Creation.  ---- */
 
 void
-marjoram_host_links_set_seeds (
+marjoram_host_links_set_settings (
     marjoram_host_links *links,
     const struct marjoram_gateway_settings *settings)
 {
@@ -552,7 +552,7 @@
       free (links);
       return NULL;
     }
-  marjoram_host_links_set_seeds (links, settings);
+  marjoram_host_links_set_settings (links, settings);
   return links;
 }
 
--- a/src/host_links.h
+++ b/src/host_links.h
@@ -35,7 +35,7 @@
     void *context, struct marjoram_error *err);
 void marjoram_host_links_destroy (marjoram_host_links *links);
 /* Replaces the settings, after a reload.  */
-void marjoram_host_links_set_seeds (
+void marjoram_host_links_set_settings (
     marjoram_host_links *links,
     const struct marjoram_gateway_settings *settings);
 
--- a/src/host_upstream.c
+++ b/src/host_upstream.c
@@ -44,8 +44,8 @@
 {
   marjoram_log (MARJORAM_LOG_WARNING, "upstream %s died", upstream);
   marjoram_members_mark_dead (host->members, now, upstream);
-  marjoram_suspects_died (host->suspects, now, upstream,
-                          marjoram_host_report_suspect, host);
+  marjoram_suspects_crashed (host->suspects, now, upstream,
+                             marjoram_host_report_suspect, host);
 }
 
 void
@@ -195,7 +195,7 @@
       if (request->state != MARJORAM_REQUEST_PROBING || !request->attempt
           || strcmp (request->upstream, upstream) != 0)
         continue;
-      request->deaths += !alive;
+      request->crashes += !alive;
       marjoram_request_failed (host, now, request, MARJORAM_OUTCOME_UNKNOWN,
                                MARJORAM_REASON_UPSTREAM_FAILED, 0, false);
     }
--- a/src/link.c
+++ b/src/link.c
@@ -242,7 +242,7 @@
                 "link to %s silent for %d ms; reconnecting", link->slot,
                 (int)(now - link->received_at));
   marjoram_counters_add (host->counters, MARJORAM_COUNTER_PEER_LOSSES, 1);
-  host->ops->hang_up (host->context, link->slot);
+  host->ops->reconnect (host->context, link->slot);
   link->up = false;
 }
 
--- a/src/main_marjoramd.c
+++ b/src/main_marjoramd.c
@@ -150,7 +150,7 @@
       fputs (usage, stderr);
       return EXIT_USAGE;
     }
-  if (marjoram_gateway_settings_is (path))
+  if (marjoram_gateway_settings_detect (path))
     return load_and_run_gateway (path, check_only);
   return load_and_run (path, check_only);
 }
--- a/src/member.c
+++ b/src/member.c
@@ -501,7 +501,7 @@
     return true;
   return members->hosts[ordinal].heard
          && now < members->hosts[ordinal].last_heartbeat
-                      + MARJORAM_HOST_SILENT_MS;
+                      + MARJORAM_HOST_TIMEOUT_MS;
 }
 
 bool
--- a/src/member.h
+++ b/src/member.h
@@ -17,7 +17,7 @@
   MARJORAM_LEASE_MIN_MS = 1000,
   MARJORAM_LEASE_MAX_MS = 60000,
   /* A host is considered down if no heartbeat arrives for this long.  */
-  MARJORAM_HOST_SILENT_MS = 2000
+  MARJORAM_HOST_TIMEOUT_MS = 2000
 };
 
 /* Self-description of an upstream, also exchanged between hosts.  */
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -329,9 +329,9 @@
 static size_t
 home_route_count (const struct lookup *lookup, const char *region)
 {
-  return lookup->table
-             ? marjoram_route_table_homes (lookup->table, lookup->host, region)
-             : 0;
+  return lookup->table ? marjoram_route_table_count_homes (
+             lookup->table, lookup->host, region)
+                       : 0;
 }
 
 /* A lookup does not identify a route, and routes of one host name may have
--- a/src/relay.c
+++ b/src/relay.c
@@ -39,7 +39,7 @@
 {
   struct marjoram_end end
       = { request->peer_number, request->outcome, request->reason,
-          request->delivered,   retry_ms,         request->deaths };
+          request->delivered,   retry_ms,         request->crashes };
 
   if (request->peer_session)
     host->ops->reply (host->context, request->peer, request->peer_session,
@@ -189,7 +189,7 @@
 
       suspect.digest = request->digest;
       suspect.suspicion = forward->suspicion;
-      suspect.deaths = 1;
+      suspect.crashes = 1;
       marjoram_suspects_apply (host->suspects, now, &suspect);
     }
   marjoram_request_start (host, now, request);
--- a/src/repeat_budget.c
+++ b/src/repeat_budget.c
@@ -41,12 +41,12 @@
 
 struct marjoram_repeat_budget
 {
-  struct marjoram_repeat_terms terms;
+  struct marjoram_repeat_limits terms;
   struct account *accounts;
 };
 
 marjoram_repeat_budget *
-marjoram_repeat_budget_create (const struct marjoram_repeat_terms *terms)
+marjoram_repeat_budget_create (const struct marjoram_repeat_limits *terms)
 {
   marjoram_repeat_budget *budget = marjoram_alloc (sizeof *budget);
 
@@ -74,7 +74,7 @@
 
 void
 marjoram_repeat_budget_set (marjoram_repeat_budget *budget,
-                            const struct marjoram_repeat_terms *terms)
+                            const struct marjoram_repeat_limits *terms)
 {
   budget->terms = *terms;
 }
@@ -186,7 +186,7 @@
     use->service = account->service;
     use->requests = count_requests (account);
     use->repeats = count_repeats (account);
-    use->asks
+    use->wants_sums
         = use->repeats > 0
           && ((double)use->repeats >= SUMS_REQUEST_SHARE * account->own_bound
               || account->spent_share > SUMS_REQUEST_SHARE);
--- a/src/repeat_budget.h
+++ b/src/repeat_budget.h
@@ -18,7 +18,7 @@
 
 typedef struct marjoram_repeat_budget marjoram_repeat_budget;
 
-struct marjoram_repeat_terms
+struct marjoram_repeat_limits
 {
   double ratio;     /* of requests in the window */
   double allowance; /* repeats per window, over all hosts */
@@ -26,10 +26,10 @@
 };
 
 marjoram_repeat_budget *
-marjoram_repeat_budget_create (const struct marjoram_repeat_terms *terms);
+marjoram_repeat_budget_create (const struct marjoram_repeat_limits *terms);
 void marjoram_repeat_budget_destroy (marjoram_repeat_budget *budget);
 void marjoram_repeat_budget_set (marjoram_repeat_budget *budget,
-                                 const struct marjoram_repeat_terms *terms);
+                                 const struct marjoram_repeat_limits *terms);
 /* Records a caller's request for SERVICE.  */
 void marjoram_repeat_budget_add_request (marjoram_repeat_budget *budget,
                                          int64_t now, const char *service);
--- a/src/repeat_sums.c
+++ b/src/repeat_sums.c
@@ -197,7 +197,7 @@
     {
       const struct sum *sum = NULL;
 
-      if (asked[i].asks && asked[i].service)
+      if (asked[i].wants_sums && asked[i].service)
         HASH_FIND_STR (list->sums, asked[i].service, sum);
       if (sum)
         items[sums->items.count++]
--- a/src/replay.c
+++ b/src/replay.c
@@ -70,8 +70,8 @@
 }
 
 enum marjoram_replay_verdict
-marjoram_replays_take (marjoram_replays *replays, int64_t wall, int64_t sent,
-                       const char *nonce)
+marjoram_replays_check (marjoram_replays *replays, int64_t wall, int64_t sent,
+                        const char *nonce)
 {
   int64_t now = marjoram_replays_now (replays, wall);
   struct nonce_entry *entry;
--- a/src/replay.h
+++ b/src/replay.h
@@ -33,9 +33,10 @@
 /* Checks and stores NONCE, of MARJORAM_NONCE_TEXT characters.  To be called
    only after the signature was verified, so that unauthenticated calls cannot
    fill the memory.  */
-enum marjoram_replay_verdict marjoram_replays_take (marjoram_replays *replays,
-                                                    int64_t wall, int64_t sent,
-                                                    const char *nonce);
+enum marjoram_replay_verdict marjoram_replays_check (marjoram_replays *replays,
+                                                     int64_t wall,
+                                                     int64_t sent,
+                                                     const char *nonce);
 size_t marjoram_replays_count (const marjoram_replays *replays);
 
 #endif
--- a/src/request.h
+++ b/src/request.h
@@ -81,7 +81,7 @@
   int zones_tried[MARJORAM_TRIED_MAX];
   enum marjoram_outcome outcome;
   enum marjoram_reason reason; /* of the last failed attempt */
-  uint64_t deaths;
+  uint64_t crashes;
 
   /* Times on this host's clock.  */
   int64_t arrived;
--- a/src/retry.c
+++ b/src/retry.c
@@ -12,7 +12,7 @@
 }
 
 void
-marjoram_retry_budget_earn (struct marjoram_retry_budget *budget)
+marjoram_retry_budget_credit (struct marjoram_retry_budget *budget)
 {
   budget->tokens += RETRY_RATIO;
   if (budget->tokens > TOKENS_MAX)
@@ -20,7 +20,7 @@
 }
 
 bool
-marjoram_retry_budget_spend (struct marjoram_retry_budget *budget)
+marjoram_retry_budget_take (struct marjoram_retry_budget *budget)
 {
   if (budget->tokens < 1)
     return false;
--- a/src/retry.h
+++ b/src/retry.h
@@ -12,8 +12,8 @@
 
 void marjoram_retry_budget_init (struct marjoram_retry_budget *budget);
 /* Credits a caller's request.  */
-void marjoram_retry_budget_earn (struct marjoram_retry_budget *budget);
+void marjoram_retry_budget_credit (struct marjoram_retry_budget *budget);
 /* Takes a token for a retry; returns false if none is left.  */
-bool marjoram_retry_budget_spend (struct marjoram_retry_budget *budget);
+bool marjoram_retry_budget_take (struct marjoram_retry_budget *budget);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -124,7 +124,7 @@
     return MARJORAM_REASON_NO_CONFIG;
   if (caller < 0 || caller >= marjoram_config_caller_count (router->config))
     return MARJORAM_REASON_UNKNOWN_CALLER;
-  marjoram_retry_budget_earn (&router->budget);
+  marjoram_retry_budget_credit (&router->budget);
   return marjoram_limits_admit (
       router->limits, now, caller,
       marjoram_members_count_hosts (router->members, now), retry_ms);
@@ -134,7 +134,7 @@
 marjoram_router_retry (marjoram_router *router, int64_t now)
 {
   (void)now;
-  return marjoram_retry_budget_spend (&router->budget);
+  return marjoram_retry_budget_take (&router->budget);
 }
 
 static bool
--- a/src/route_file.c
+++ b/src/route_file.c
@@ -120,7 +120,7 @@
 };
 
 bool
-marjoram_route_file_is (const char *text, size_t size)
+marjoram_route_file_detect (const char *text, size_t size)
 {
   size_t i = 0;
 
--- a/src/route_file.h
+++ b/src/route_file.h
@@ -18,7 +18,7 @@
 #include "route_table.h"
 
 /* Whether TEXT starts like an INI file, with a section or a comment.  */
-bool marjoram_route_file_is (const char *text, size_t size);
+bool marjoram_route_file_detect (const char *text, size_t size);
 /* Returns NULL and sets ERR to the first error, with its line and remedy.  */
 struct marjoram_route_table *
 marjoram_route_file_read (const char *text, size_t size,
--- a/src/route_table.c
+++ b/src/route_table.c
@@ -224,8 +224,8 @@
 }
 
 size_t
-marjoram_route_table_homes (const struct marjoram_route_table *table,
-                            const char *host, const char *region)
+marjoram_route_table_count_homes (const struct marjoram_route_table *table,
+                                  const char *host, const char *region)
 {
   size_t count = 0;
 
--- a/src/route_table.h
+++ b/src/route_table.h
@@ -96,8 +96,9 @@
 bool marjoram_route_allows (const struct marjoram_route_rule *route,
                             const char *region);
 /* Number of routes of HOST restricted to home regions that include REGION.  */
-size_t marjoram_route_table_homes (const struct marjoram_route_table *table,
-                                   const char *host, const char *region);
+size_t
+marjoram_route_table_count_homes (const struct marjoram_route_table *table,
+                                  const char *host, const char *region);
 /* Whether any route of HOST is restricted to home regions.  */
 bool marjoram_route_table_has_homes (const struct marjoram_route_table *table,
                                      const char *host);
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -21,11 +21,11 @@
   { MARJORAM_WIRE_STRING (struct marjoram_suspect_message, digest,
                           DIGEST_MAX) },
   { MARJORAM_WIRE_UINT (struct marjoram_suspect_message, suspicion) },
-  { MARJORAM_WIRE_UINT (struct marjoram_suspect_message, deaths) },
+  { MARJORAM_WIRE_UINT (struct marjoram_suspect_message, crashes) },
   { MARJORAM_WIRE_STRING (struct marjoram_suspect_message, upstream,
                           MARJORAM_NAME_MAX) },
   { MARJORAM_WIRE_BOOL (struct marjoram_suspect_message, running) },
-  { MARJORAM_WIRE_STRING (struct marjoram_suspect_message, died,
+  { MARJORAM_WIRE_STRING (struct marjoram_suspect_message, crashed_upstream,
                           MARJORAM_NAME_MAX) },
 };
 const struct marjoram_layout marjoram_suspect_layout
@@ -36,11 +36,12 @@
 {
   char digest[DIGEST_MAX + 1];
   enum marjoram_suspicion suspicion;
-  uint64_t deaths;
+  uint64_t crashes;
   int64_t expires;
-  char died[MARJORAM_NAME_MAX + 1]; /* upstream whose death made it suspect */
-  uint64_t since;                   /* event number at which it became
-                                       suspect */
+  char crashed_upstream[MARJORAM_NAME_MAX
+                        + 1]; /* upstream whose death made it suspect */
+  uint64_t since;             /* event number at which it became
+                                 suspect */
   UT_hash_handle hh;
   TAILQ_ENTRY (entry) link; /* least recently updated first */
 };
@@ -274,8 +275,8 @@
   if (entry && entry->expires > now)
     {
       message.suspicion = entry->suspicion;
-      message.deaths = entry->deaths;
-      message.died = (char *)entry->died;
+      message.crashes = entry->crashes;
+      message.crashed_upstream = (char *)entry->crashed_upstream;
     }
   if (run->reported == message.running
       || (message.running && message.suspicion == MARJORAM_SUSPICION_NONE))
@@ -289,7 +290,7 @@
    is running.  */
 static void
 report_runs (marjoram_suspects *suspects, int64_t now, const char *digest,
-             const char *died)
+             const char *crashed_upstream)
 {
   const struct upstream_entry *upstream_entry;
 
@@ -299,7 +300,7 @@
       struct run *run = find_run (upstream_entry, digest);
 
       if (run && run->local_runs > 0
-          && strcmp (upstream_entry->upstream, died) != 0)
+          && strcmp (upstream_entry->upstream, crashed_upstream) != 0)
         report_run (suspects, now, upstream_entry->upstream, run);
     }
 }
@@ -426,7 +427,7 @@
   if (!entry || entry->expires <= now || !is_running (run, now))
     return false;
   return run->since > entry->since
-         || strcmp (entry->died, upstream_entry->upstream) != 0;
+         || strcmp (entry->crashed_upstream, upstream_entry->upstream) != 0;
 }
 
 static int
@@ -444,12 +445,13 @@
 
 static void
 become_suspect (marjoram_suspects *suspects, struct entry *entry,
-                const char *died)
+                const char *crashed_upstream)
 {
   entry->suspicion = MARJORAM_SUSPICION_SUSPECT;
-  entry->deaths = 0;
+  entry->crashes = 0;
   entry->since = ++suspects->events;
-  copy_text (entry->died, died, sizeof entry->died);
+  copy_text (entry->crashed_upstream, crashed_upstream,
+             sizeof entry->crashed_upstream);
 }
 
 /* Convicts a request only if it was the only suspect at the upstream before
@@ -466,26 +468,27 @@
   bool suspect = was_suspect (suspects, now, upstream_entry, run);
   struct entry *entry = touch_entry (suspects, now, run->digest);
   struct marjoram_suspect_message message
-      = { .digest = entry->digest, .died = (char *)upstream_entry->upstream };
+      = { .digest = entry->digest,
+          .crashed_upstream = (char *)upstream_entry->upstream };
 
   if (before == MARJORAM_SUSPICION_NONE)
     become_suspect (suspects, entry, upstream_entry->upstream);
   if (before == MARJORAM_SUSPICION_NONE || suspect)
-    entry->deaths++;
+    entry->crashes++;
   if (suspect && only_suspect)
     entry->suspicion = MARJORAM_SUSPICION_CONVICTED;
   message.suspicion = entry->suspicion;
-  message.deaths = entry->deaths;
+  message.crashes = entry->crashes;
   if (report && entry->suspicion != before)
     report (context, &message);
   if (before == MARJORAM_SUSPICION_NONE)
-    report_runs (suspects, now, entry->digest, entry->died);
+    report_runs (suspects, now, entry->digest, entry->crashed_upstream);
 }
 
 void
-marjoram_suspects_died (marjoram_suspects *suspects, int64_t now,
-                        const char *upstream, marjoram_suspects_report *report,
-                        void *context)
+marjoram_suspects_crashed (marjoram_suspects *suspects, int64_t now,
+                           const char *upstream,
+                           marjoram_suspects_report *report, void *context)
 {
   struct upstream_entry *upstream_entry = find_upstream (suspects, upstream);
   const struct run *run;
@@ -534,13 +537,15 @@
   struct entry *entry = touch_entry (suspects, now, message->digest);
 
   if (before == MARJORAM_SUSPICION_NONE)
-    become_suspect (suspects, entry, message->died ? message->died : "");
+    become_suspect (suspects, entry,
+                    message->crashed_upstream ? message->crashed_upstream
+                                              : "");
   if (entry->suspicion < message->suspicion)
     entry->suspicion = message->suspicion;
-  if (entry->deaths < message->deaths)
-    entry->deaths = message->deaths;
+  if (entry->crashes < message->crashes)
+    entry->crashes = message->crashes;
   if (before == MARJORAM_SUSPICION_NONE)
-    report_runs (suspects, now, entry->digest, entry->died);
+    report_runs (suspects, now, entry->digest, entry->crashed_upstream);
 }
 
 void
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -23,10 +23,10 @@
 {
   char *digest; /* request digest in hex */
   uint64_t suspicion;
-  uint64_t deaths;
-  char *upstream; /* where a suspect starts or ends; null otherwise */
-  bool running;   /* it is running there */
-  char *died;     /* the upstream whose death made it suspect */
+  uint64_t crashes;
+  char *upstream;         /* where a suspect starts or ends; null otherwise */
+  bool running;           /* it is running there */
+  char *crashed_upstream; /* the upstream whose death made it suspect */
 };
 extern const struct marjoram_layout marjoram_suspect_layout;
 
@@ -59,9 +59,10 @@
                                   const char *digest);
 /* Records the death of UPSTREAM.  Calls REPORT, to inform the zone's other
    hosts, for each request whose suspicion changed.  */
-void marjoram_suspects_died (marjoram_suspects *suspects, int64_t now,
-                             const char *upstream,
-                             marjoram_suspects_report *report, void *context);
+void marjoram_suspects_crashed (marjoram_suspects *suspects, int64_t now,
+                                const char *upstream,
+                                marjoram_suspects_report *report,
+                                void *context);
 /* Applies a message from another host: the higher suspicion wins, except that
    a message without suspicion and upstream clears the request.  */
 void marjoram_suspects_apply (marjoram_suspects *suspects, int64_t now,
--- a/test/lib_hosts.c
+++ b/test/lib_hosts.c
@@ -110,7 +110,7 @@
 static void
 op_abort (void *context, uint64_t call)
 {
-  find_reply (context, call)->cut = true;
+  find_reply (context, call)->aborted = true;
 }
 
 static void
@@ -267,7 +267,7 @@
 
 /* Queued frames of the closed session are dropped on delivery.  */
 static void
-op_hang_up (void *context, const char *slot)
+op_reconnect (void *context, const char *slot)
 {
   struct node *node = context;
   int to = slot_index (slot);
@@ -313,7 +313,7 @@
   .connect = op_connect,
   .send = op_send,
   .reply = op_reply,
-  .hang_up = op_hang_up,
+  .reconnect = op_reconnect,
   .persist = op_persist,
   .applied = op_applied,
   .drained = op_drained,
--- a/test/lib_hosts.h
+++ b/test/lib_hosts.h
@@ -32,8 +32,8 @@
 /* What a caller has received.  */
 struct test_reply
 {
-  bool ended; /* completely */
-  bool cut;   /* truncated */
+  bool ended;   /* completely */
+  bool aborted; /* truncated */
   bool refused;
   bool replayed;
   enum marjoram_outcome outcome;
--- a/test/test_control.c
+++ b/test/test_control.c
@@ -586,8 +586,8 @@
 
   for (size_t i = 0; i < sizeof calls / sizeof *calls; i++)
     ck_assert_msg (
-        marjoram_replays_take (replays, START_WALL + calls[i].wall_ms,
-                               START_WALL + calls[i].sent, calls[i].nonce)
+        marjoram_replays_check (replays, START_WALL + calls[i].wall_ms,
+                                START_WALL + calls[i].sent, calls[i].nonce)
             == calls[i].verdict,
         "call %zu", i);
   ck_assert_uint_eq (marjoram_replays_count (replays), 1);
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -617,7 +617,7 @@
 {
   uint64_t call = gateway_fixture_call (&f, 0, "/ask/x");
 
-  marjoram_gateway_caller_gone (f.gateway, 10, call);
+  marjoram_gateway_caller_disconnected (f.gateway, 10, call);
   ck_assert_int_eq (f.seen.cancels, 1);
   ck_assert_int_eq (f.seen.refusals, 0);
   ck_assert_uint_eq (marjoram_gateway_request_count (f.gateway), 0);
--- a/test/test_gateway_settings.c
+++ b/test/test_gateway_settings.c
@@ -29,7 +29,7 @@
   ck_assert_int_ge (fd, 0);
   ck_assert_int_eq (write (fd, text, strlen (text)), (ssize_t)strlen (text));
   close (fd);
-  ck_assert (marjoram_gateway_settings_is (path)
+  ck_assert (marjoram_gateway_settings_detect (path)
              == (strstr (text, "[gateway]") != NULL));
   settings = marjoram_gateway_settings_load (path, faults, err);
   unlink (path);
--- a/test/test_host.c
+++ b/test/test_host.c
@@ -411,7 +411,7 @@
   test_probed (hosts, 0, "u", true);
   test_probed (hosts, 0, "v", true);
   ck_assert_int_eq (test_runs (hosts), 1);
-  ck_assert (test_reply (hosts, call)->cut);
+  ck_assert (test_reply (hosts, call)->aborted);
   ck_assert (!test_reply (hosts, call)->ended);
 }
 END_TEST
--- a/test/test_member.c
+++ b/test/test_member.c
@@ -247,7 +247,7 @@
   ck_assert (marjoram_members_host_draining (members, 1));
   ck_assert_int_eq (marjoram_members_count_hosts (members, 300), 1);
   ck_assert (!marjoram_members_host_alive (members,
-                                           200 + MARJORAM_HOST_SILENT_MS, 1));
+                                           200 + MARJORAM_HOST_TIMEOUT_MS, 1));
 }
 END_TEST
 
--- a/test/test_mix.c
+++ b/test/test_mix.c
@@ -242,7 +242,8 @@
       const struct test_reply *reply = test_reply (mix->hosts, sent->call);
       char expected[80];
 
-      if (sent->verified || (!reply->ended && !reply->refused && !reply->cut))
+      if (sent->verified
+          || (!reply->ended && !reply->refused && !reply->aborted))
         continue;
       sent->verified = true;
       snprintf (expected, sizeof expected, "answer to %s", sent->body);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -324,9 +324,12 @@
   ck_assert_uint_eq (route->targets.count, 2);
   ck_assert (marjoram_route_allows (route, "r2"));
   ck_assert (!marjoram_route_allows (route, "r3"));
-  ck_assert_uint_eq (marjoram_route_table_homes (table, "a.example", "r2"), 1);
-  ck_assert_uint_eq (marjoram_route_table_homes (table, "a.example", "r3"), 0);
-  ck_assert_uint_eq (marjoram_route_table_homes (table, "b.example", "r2"), 0);
+  ck_assert_uint_eq (
+      marjoram_route_table_count_homes (table, "a.example", "r2"), 1);
+  ck_assert_uint_eq (
+      marjoram_route_table_count_homes (table, "a.example", "r3"), 0);
+  ck_assert_uint_eq (
+      marjoram_route_table_count_homes (table, "b.example", "r2"), 0);
   ck_assert (marjoram_route_may_repeat (route));
   service = marjoram_route_table_service (table, "lm");
   ck_assert (service->has_engine);
--- a/test/test_repeat_budget.c
+++ b/test/test_repeat_budget.c
@@ -14,7 +14,7 @@
   WINDOW_MS = 10000
 };
 
-static const struct marjoram_repeat_terms terms = { 0.2, 58, WINDOW_MS };
+static const struct marjoram_repeat_limits terms = { 0.2, 58, WINDOW_MS };
 
 /* Guards against exceeding the total bound in any window when hosts without
    contact repeat every request.  */
--- a/test/test_suspect.c
+++ b/test/test_suspect.c
@@ -27,7 +27,7 @@
   marjoram_suspects *hosts[HOSTS];
   int runs[HOSTS][UPSTREAMS][DIGESTS];
   int crashing_runs; /* current runs of the crashing request */
-  int deaths;
+  int crashes;
   int reports;
 };
 
@@ -105,10 +105,10 @@
 kill_upstream (struct cluster *cluster, struct report_context *contexts,
                const char *upstream)
 {
-  cluster->deaths++;
+  cluster->crashes++;
   for (int i = 0; i < HOSTS; i++)
-    marjoram_suspects_died (cluster->hosts[i], cluster->now, upstream,
-                            broadcast, &contexts[i]);
+    marjoram_suspects_crashed (cluster->hosts[i], cluster->now, upstream,
+                               broadcast, &contexts[i]);
 }
 
 /* Guards against more than two crashes by one request (K), and against
@@ -229,7 +229,7 @@
     {
       snprintf (digest, sizeof digest, "d%d", i);
       marjoram_suspects_started (suspects, 1, "u", digest);
-      marjoram_suspects_died (suspects, 1, "u", NULL, NULL);
+      marjoram_suspects_crashed (suspects, 1, "u", NULL, NULL);
     }
   ck_assert_uint_eq (marjoram_suspects_count (suspects), 10000);
   ck_assert_int_eq (marjoram_suspects_get (suspects, 2, digest),
@@ -318,7 +318,7 @@
               break;
             }
         }
-      ck_assert_msg (c.deaths <= 2, "seed %d: %d deaths", seed, c.deaths);
+      ck_assert_msg (c.crashes <= 2, "seed %d: %d deaths", seed, c.crashes);
       for (int i = 0; i < HOSTS; i++)
         for (int j = 0; j < DIGESTS; j++)
           {
@@ -326,8 +326,8 @@
 
             snprintf (d, sizeof d, "d%d", j);
             ck_assert_msg (
-                convicted (&c, i, d) == (j == CRASHING && c.deaths == 2),
-                "seed %d: host %d, %s after %d deaths", seed, i, d, c.deaths);
+                convicted (&c, i, d) == (j == CRASHING && c.crashes == 2),
+                "seed %d: host %d, %s after %d deaths", seed, i, d, c.crashes);
           }
       close_cluster (&c);
       marjoram_random_destroy (random);
