--- a/src/entry_role.c
+++ b/src/entry_role.c
@@ -65,8 +65,8 @@
 {
   struct marjoram_entry *self = context;
 
-  marjoram_gateway_caller_gone (self->gateway, marjoram_entry_now (self),
-                                call);
+  marjoram_gateway_caller_disconnected (self->gateway,
+                                        marjoram_entry_now (self), call);
 }
 
 static void
@@ -160,7 +160,7 @@
                       const struct marjoram_names *before)
 {
   for (size_t i = 0; self->evacuations_known && i < self->evacuated.count; i++)
-    if (!marjoram_agreed_is_evacuated (before, self->evacuated.items[i]))
+    if (!marjoram_state_files_is_evacuated (before, self->evacuated.items[i]))
       marjoram_leaving_zones_add (&self->leaving, marjoram_entry_now (self),
                                   self->evacuated.items[i]);
   self->evacuations_known = true;
@@ -176,7 +176,8 @@
   self->evacuated = zones;
   record_leaving_zones (self, &before);
   for (size_t i = 0; i < before.count; i++)
-    if (self->table && !marjoram_agreed_is_evacuated (&zones, before.items[i]))
+    if (self->table
+        && !marjoram_state_files_is_evacuated (&zones, before.items[i]))
       marjoram_placement_zone_restored (
           marjoram_gateway_placement (self->gateway),
           marjoram_entry_now (self), before.items[i]);
@@ -207,7 +208,7 @@
 
   if (state->number <= self->config_number)
     return;
-  table = marjoram_agreed_routes (state, self->parts->dialect, &err);
+  table = marjoram_state_files_routes (state, self->parts->dialect, &err);
   self->config_number = state->number;
   /* A new state may repeat the same routes.  They must not replace the
      previous table, whose timeouts still apply.  */
@@ -219,7 +220,7 @@
     marjoram_event (MARJORAM_EVENT_CONFIG,
                     "taken=no number=%" PRIu64 " why=\"%s\"", state->number,
                     err.message);
-  set_evacuated (self, marjoram_agreed_evacuations (state));
+  set_evacuated (self, marjoram_state_files_evacuations (state));
   marjoram_event (MARJORAM_EVENT_CONFIG,
                   "state=in-force number=%" PRIu64 " version=%" PRIu64
                   " routes=%zu evacuated=%zu",
@@ -245,14 +246,14 @@
 /* ---- Role operations.  ---- */
 
 static void
-role_beat (struct marjoram_role *role, const char *host, uint64_t session,
-           bool first, const struct marjoram_host_beat *beat)
+role_heartbeat (struct marjoram_role *role, const char *host, uint64_t session,
+                bool first, const struct marjoram_host_beat *heartbeat)
 {
   (void)role;
   (void)host;
   (void)session;
   (void)first;
-  (void)beat;
+  (void)heartbeat;
 }
 
 static void
@@ -308,24 +309,26 @@
 }
 
 static void
-role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
+role_fill_heartbeat (struct marjoram_role *role,
+                     struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_entry *self = entry_from_role (role);
 
   update_offers (self);
-  beat->ready = marjoram_entry_is_ready (self);
-  beat->leaving = self->stopped_at != 0;
-  beat->config_number = self->config_number;
-  beat->offers = self->offers;
-  beat->uses.items = self->uses;
-  beat->uses.count = marjoram_repeat_budget_report (
+  heartbeat->ready = marjoram_entry_is_ready (self);
+  heartbeat->leaving = self->stopped_at != 0;
+  heartbeat->config_number = self->config_number;
+  heartbeat->offers = self->offers;
+  heartbeat->uses.items = self->uses;
+  heartbeat->uses.count = marjoram_repeat_budget_report (
       marjoram_gateway_budget (self->gateway), marjoram_entry_now (self),
       self->uses, MARJORAM_REPEAT_USES_MAX);
 }
 
 static void
-role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
-          const char *target, const char *body, size_t size)
+role_api_request (struct marjoram_role *role, uint64_t request_id,
+                  const char *method, const char *target, const char *body,
+                  size_t size)
 {
   struct marjoram_entry *self = entry_from_role (role);
   struct marjoram_api_request what = { 0 };
@@ -335,8 +338,8 @@
                                                    &what, NULL)
       && what.kind == MARJORAM_API_READY)
     status = marjoram_entry_is_ready (self) ? STATUS_OK : STATUS_UNAVAILABLE;
-  marjoram_api_server_respond (self->parts->asks, ask, status, "text/plain",
-                               NULL, 0);
+  marjoram_api_server_respond (self->parts->api_server, request_id, status,
+                               "text/plain", NULL, 0);
 }
 
 static json_t *
@@ -354,11 +357,11 @@
       marjoram_gateway_report_upstreams (self->registry, now));
 }
 
-static struct marjoram_repeat_terms
+static struct marjoram_repeat_limits
 repeat_terms (const struct marjoram_entry *self)
 {
   const struct marjoram_gateway_settings *settings = self->parts->settings;
-  const struct marjoram_repeat_terms terms
+  const struct marjoram_repeat_limits terms
       = { settings->repeat_ratio, settings->repeat_allowance,
           settings->repeat_window_ms };
 
@@ -369,7 +372,7 @@
 role_reload (struct marjoram_role *role)
 {
   struct marjoram_entry *self = entry_from_role (role);
-  const struct marjoram_repeat_terms terms = repeat_terms (self);
+  const struct marjoram_repeat_limits terms = repeat_terms (self);
 
   marjoram_repeat_budget_set (marjoram_gateway_budget (self->gateway), &terms);
 }
@@ -385,19 +388,19 @@
 }
 
 static const struct marjoram_engine_survey_ops survey_ops
-    = { .kept = survey_cached };
+    = { .cached = survey_cached };
 
 static bool
 should_survey (struct marjoram_entry *self,
                const struct marjoram_registered *upstream)
 {
-  const struct marjoram_service_rule *service
-      = marjoram_route_table_service (self->table, upstream->news.service);
-  const char *region = marjoram_gateway_settings_region (self->parts->settings,
-                                                         upstream->news.zone);
+  const struct marjoram_service_rule *service = marjoram_route_table_service (
+      self->table, upstream->heartbeat.service);
+  const char *region = marjoram_gateway_settings_region (
+      self->parts->settings, upstream->heartbeat.zone);
 
   return service && service->has_engine
-         && upstream->news.state == MARJORAM_UPSTREAM_READY && region
+         && upstream->heartbeat.state == MARJORAM_UPSTREAM_READY && region
          && strcmp (region, self->parts->settings->region) == 0;
 }
 
@@ -413,8 +416,8 @@
     return;
   TAILQ_FOREACH (upstream, marjoram_registry_all (self->registry), link)
   if (should_survey (self, upstream))
-    marjoram_engine_survey_query (self->survey, upstream->news.id,
-                                  upstream->news.address);
+    marjoram_engine_survey_query (self->survey, upstream->heartbeat.id,
+                                  upstream->heartbeat.address);
 }
 
 static void
@@ -488,11 +491,11 @@
 
 static const struct marjoram_role_ops role_ops = {
   .frame = role_frame,
-  .beat = role_beat,
+  .heartbeat = role_heartbeat,
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
-  .fill_beat = role_fill_beat,
-  .ask = role_ask,
+  .fill_heartbeat = role_fill_heartbeat,
+  .api_request = role_api_request,
   .report = role_report,
   .reload = role_reload,
   .tick = role_tick,
@@ -514,7 +517,7 @@
 {
   struct marjoram_entry *self = context;
 
-  return marjoram_agreed_is_evacuated (&self->evacuated, zone);
+  return marjoram_state_files_is_evacuated (&self->evacuated, zone);
 }
 
 static bool
--- a/src/frame.h
+++ b/src/frame.h
@@ -134,7 +134,7 @@
   bool no_local_upstream; /* the sender's zone has no upstream for the request
                            */
   /* Remaining time until the first event is late; 0 if unknown.  */
-  int64_t useful_ms;
+  int64_t time_left_ms;
 };
 
 struct marjoram_head
@@ -160,7 +160,7 @@
   uint64_t reason;  /* enum marjoram_reason */
   uint64_t length;  /* of the complete body, if the request succeeded */
   int64_t retry_ms;
-  uint64_t deaths; /* upstreams that crashed while processing the request */
+  uint64_t crashes; /* upstreams that crashed while processing the request */
 };
 
 /* Cancels a forwarded request.  */
--- a/src/gateway_daemon.c
+++ b/src/gateway_daemon.c
@@ -72,13 +72,14 @@
 }
 
 static void
-on_beat (void *context, const char *host, uint64_t session, bool first,
-         const struct marjoram_host_beat *beat)
+on_heartbeat (void *context, const char *host, uint64_t session, bool first,
+              const struct marjoram_host_beat *heartbeat)
 {
   marjoram_gateway_daemon *daemon = context;
 
   if (daemon->role)
-    daemon->role->ops->beat (daemon->role, host, session, first, beat);
+    daemon->role->ops->heartbeat (daemon->role, host, session, first,
+                                  heartbeat);
 }
 
 static void
@@ -101,20 +102,20 @@
 }
 
 static void
-fill_beat (void *context, struct marjoram_host_beat *beat)
+fill_heartbeat (void *context, struct marjoram_host_beat *heartbeat)
 {
   marjoram_gateway_daemon *daemon = context;
 
   if (daemon->role)
-    daemon->role->ops->fill_beat (daemon->role, beat);
+    daemon->role->ops->fill_heartbeat (daemon->role, heartbeat);
 }
 
 static const struct marjoram_host_links_ops links_ops = {
   .frame = on_frame,
-  .beat = on_beat,
+  .heartbeat = on_heartbeat,
   .session_closed = on_session_closed,
   .link_lost = on_link_lost,
-  .fill_beat = fill_beat,
+  .fill_heartbeat = fill_heartbeat,
 };
 
 /* ---- HTTP requests to the status interface. ---- */
@@ -157,7 +158,8 @@
     marjoram_api_server_respond (daemon->api_server, request, STATUS_OK, type,
                                  text, strlen (text));
   else
-    daemon->role->ops->ask (daemon->role, request, method, target, body, size);
+    daemon->role->ops->api_request (daemon->role, request, method, target,
+                                    body, size);
 }
 
 static const struct marjoram_api_server_ops api_server_ops
@@ -183,7 +185,7 @@
     }
   daemon->settings = settings;
   daemon->role_context.settings = settings;
-  marjoram_host_links_set_seeds (daemon->links, settings);
+  marjoram_host_links_set_settings (daemon->links, settings);
   daemon->role->ops->reload (daemon->role);
   marjoram_event (MARJORAM_EVENT_PROCESS,
                   "state=reload cause=%s taken=yes seeds=%zu", cause,
@@ -294,7 +296,7 @@
     .metrics = daemon->metrics,
     .hosts = daemon->hosts,
     .links = daemon->links,
-    .asks = daemon->api_server,
+    .api_server = daemon->api_server,
     .incarnation = new_incarnation (daemon->clock),
   };
   daemon->role
--- a/src/gateway_message.c
+++ b/src/gateway_message.c
@@ -36,7 +36,7 @@
   STRING (marjoram_repeat_use, service),
   UINT (marjoram_repeat_use, requests),
   UINT (marjoram_repeat_use, repeats),
-  BOOL (marjoram_repeat_use, asks),
+  BOOL (marjoram_repeat_use, wants_sums),
 };
 static LAYOUT (repeat_use_layout, marjoram_repeat_use, repeat_use_fields);
 
@@ -76,7 +76,7 @@
 static const struct marjoram_field news_item_fields[] = {
   STRING (marjoram_news_item, id),      STRING (marjoram_news_item, service),
   STRING (marjoram_news_item, address), STRING (marjoram_news_item, zone),
-  UINT (marjoram_news_item, state),     INT (marjoram_news_item, born),
+  UINT (marjoram_news_item, state),     INT (marjoram_news_item, started_at),
   INT (marjoram_news_item, sequence),   INT (marjoram_news_item, cold_ms),
   INT (marjoram_news_item, ends_ms),    INT (marjoram_news_item, age_ms),
   INT (marjoram_news_item, slots),
@@ -98,7 +98,7 @@
 static const struct marjoram_field load_item_fields[] = {
   STRING (marjoram_load_item, upstream),
   UINT (marjoram_load_item, running),
-  UINT (marjoram_load_item, unread_tokens),
+  UINT (marjoram_load_item, prefill_tokens),
   UINT (marjoram_load_item, urgent_tokens),
   UINT (marjoram_load_item, held_tokens),
   UINT (marjoram_load_item, answer_tokens),
@@ -124,8 +124,8 @@
 
 static const struct marjoram_field crash_item_fields[] = {
   STRING (marjoram_crash_item, digest),
-  { MARJORAM_WIRE_STRING (struct marjoram_crash_item, life,
-                          MARJORAM_LIFE_MAX) },
+  { MARJORAM_WIRE_STRING (struct marjoram_crash_item, instance,
+                          MARJORAM_INSTANCE_MAX) },
 };
 static LAYOUT (crash_item_layout, marjoram_crash_item, crash_item_fields);
 
--- a/src/gateway_message.h
+++ b/src/gateway_message.h
@@ -14,7 +14,7 @@
   MARJORAM_PLACED_MAX = 4096,
   MARJORAM_CRASHES_MAX = 4096,
   /* Bytes of an upstream id with its start time, including the NUL.  */
-  MARJORAM_LIFE_MAX = 128,
+  MARJORAM_INSTANCE_MAX = 128,
   /* Bytes of the replicated state in one message.  Bounds the time for which
      other messages on the link wait behind it.  */
   MARJORAM_STATE_PIECE_MAX = 16 * 1024
@@ -38,7 +38,7 @@
   char *service;
   uint64_t requests; /* from callers */
   uint64_t repeats;
-  bool asks; /* requests the sums over all hosts */
+  bool wants_sums; /* requests the sums over all hosts */
 };
 
 /* Sums over the hosts from which a keeper has reports.  */
@@ -82,7 +82,7 @@
   char *address;
   char *zone;
   uint64_t state; /* enum marjoram_upstream_state */
-  int64_t born;
+  int64_t started_at;
   int64_t sequence;
   int64_t cold_ms; /* remaining when sent */
   int64_t ends_ms; /* remaining when sent; -1: no known end */
@@ -106,11 +106,11 @@
 {
   char *upstream;
   uint64_t running;
-  uint64_t unread_tokens; /* of prompts not yet processed */
-  uint64_t urgent_tokens; /* those of the most urgent priority */
-  uint64_t held_tokens;   /* of running requests, in engine memory */
-  uint64_t answer_tokens; /* upper bound of what is still to be generated */
-  bool lost;              /* connections broke; may have restarted */
+  uint64_t prefill_tokens; /* of prompts not yet processed */
+  uint64_t urgent_tokens;  /* those of the most urgent priority */
+  uint64_t held_tokens;    /* of running requests, in engine memory */
+  uint64_t answer_tokens;  /* upper bound of what is still to be generated */
+  bool lost;               /* connections broke; may have restarted */
 };
 
 /* A prompt prefix block that was just sent to an upstream.  */
@@ -134,7 +134,7 @@
 struct marjoram_crash_item
 {
   char *digest;
-  char *life; /* upstream id and start time; "" if answered */
+  char *instance; /* upstream id and start time; "" if answered */
 };
 
 struct marjoram_crash_report
--- a/src/keeper_role.c
+++ b/src/keeper_role.c
@@ -72,7 +72,7 @@
 
   if (request != REPAIR_REQUEST)
     {
-      marjoram_registrar_decided (
+      marjoram_registrar_request_completed (
           self->registrar, marjoram_keeper_role_now (self), request, answer);
       return;
     }
@@ -118,17 +118,17 @@
 /* ---- The registrar's operations.  ---- */
 
 static void
-reg_answer (void *context, uint64_t ask, int status, const char *body,
-            size_t size)
+reg_respond (void *context, uint64_t request_id, int status, const char *body,
+             size_t size)
 {
   struct marjoram_keeper_role *self = context;
 
-  marjoram_api_server_respond (self->parts->asks, ask, status,
+  marjoram_api_server_respond (self->parts->api_server, request_id, status,
                                "application/json", body, size);
 }
 
 static size_t
-reg_tell (void *context, const struct marjoram_news_batch *batch)
+reg_broadcast (void *context, const struct marjoram_news_batch *batch)
 {
   return marjoram_keeper_publish_changes (context, batch);
 }
@@ -167,8 +167,8 @@
 }
 
 static const struct marjoram_registrar_ops registrar_ops = {
-  .answer = reg_answer,
-  .tell = reg_tell,
+  .respond = reg_respond,
+  .broadcast = reg_broadcast,
   .renew = reg_renew,
   .apply = reg_apply,
   .read = reg_read,
@@ -193,17 +193,17 @@
 }
 
 static void
-role_beat (struct marjoram_role *role, const char *host, uint64_t session,
-           bool first, const struct marjoram_host_beat *beat)
+role_heartbeat (struct marjoram_role *role, const char *host, uint64_t session,
+                bool first, const struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_keeper_role *self = self_of (role);
 
-  if (beat->config_number > 0)
-    marjoram_keeper_observe_number (self->keeper, beat->config_number);
+  if (heartbeat->config_number > 0)
+    marjoram_keeper_observe_number (self->keeper, heartbeat->config_number);
   if (first)
-    marjoram_keeper_send_snapshot (self, host, session, beat);
-  marjoram_keeper_announce_state_to (self, host, session, beat);
-  marjoram_keeper_exchange_retries (self, host, session, beat);
+    marjoram_keeper_send_snapshot (self, host, session, heartbeat);
+  marjoram_keeper_announce_state_to (self, host, session, heartbeat);
+  marjoram_keeper_exchange_retries (self, host, session, heartbeat);
 }
 
 static void
@@ -254,29 +254,31 @@
 }
 
 static void
-role_fill_beat (struct marjoram_role *role, struct marjoram_host_beat *beat)
+role_fill_heartbeat (struct marjoram_role *role,
+                     struct marjoram_host_beat *heartbeat)
 {
   struct marjoram_keeper_role *self = self_of (role);
   const struct marjoram_state *state
       = marjoram_keeper_durable_state (self->keeper);
 
-  beat->ready = self->stopped_at == 0;
-  beat->leaving = self->stopped_at != 0;
-  beat->config_number = state ? state->number : 0;
+  heartbeat->ready = self->stopped_at == 0;
+  heartbeat->leaving = self->stopped_at != 0;
+  heartbeat->config_number = state ? state->number : 0;
 }
 
 static void
-role_ask (struct marjoram_role *role, uint64_t ask, const char *method,
-          const char *target, const char *body, size_t size)
+role_api_request (struct marjoram_role *role, uint64_t request_id,
+                  const char *method, const char *target, const char *body,
+                  size_t size)
 {
   struct marjoram_keeper_role *self = self_of (role);
 
   if (self->stopped_at)
-    reg_answer (self, ask, STATUS_UNAVAILABLE, NULL, 0);
+    reg_respond (self, request_id, STATUS_UNAVAILABLE, NULL, 0);
   else
     marjoram_registrar_receive (self->registrar,
-                                marjoram_keeper_role_now (self), ask, method,
-                                target, body, size);
+                                marjoram_keeper_role_now (self), request_id,
+                                method, target, body, size);
 }
 
 static json_t *
@@ -287,7 +289,7 @@
       = marjoram_keeper_chosen_state (self->keeper);
   const struct marjoram_file *routes
       = state ? marjoram_state_file (state, MARJORAM_FILE_ROUTES) : NULL;
-  struct marjoram_names zones = marjoram_agreed_evacuations (state);
+  struct marjoram_names zones = marjoram_state_files_evacuations (state);
   json_t *report = json_pack (
       "{s:s, s:I, s:o, s:o, s:o}", "role", "keeper", "config_version",
       (json_int_t)(routes ? routes->version : 0), "evacuated",
@@ -369,11 +371,11 @@
 
 static const struct marjoram_role_ops role_ops = {
   .frame = role_frame,
-  .beat = role_beat,
+  .heartbeat = role_heartbeat,
   .session_closed = role_session_closed,
   .link_lost = role_link_lost,
-  .fill_beat = role_fill_beat,
-  .ask = role_ask,
+  .fill_heartbeat = role_fill_heartbeat,
+  .api_request = role_api_request,
   .report = role_report,
   .reload = role_reload,
   .tick = role_tick,
--- a/src/placement_private.h
+++ b/src/placement_private.h
@@ -11,11 +11,11 @@
 
 struct marjoram_endpoint_load
 {
-  int64_t running; /* requests */
-  int64_t unread;  /* prompt tokens not yet prefilled */
-  int64_t urgent;  /* the part of UNREAD with scheduling priority */
-  int64_t held;    /* KV cache tokens held by running requests */
-  int64_t answer;  /* response tokens still expected */
+  int64_t running;        /* requests */
+  int64_t prefill_tokens; /* prompt tokens not yet prefilled */
+  int64_t urgent;         /* the part of UNREAD with scheduling priority */
+  int64_t held;           /* KV cache tokens held by running requests */
+  int64_t answer;         /* response tokens still expected */
 };
 
 struct marjoram_endpoint;
@@ -39,7 +39,8 @@
   UT_hash_handle hh;
 };
 
-/* Value of BORN while the endpoint is known only from other hosts' reports. */
+/* Value of INSTANCE_STARTED_AT while the endpoint is known only from other
+ * hosts' reports. */
 #define MARJORAM_START_UNKNOWN INT64_MIN
 
 /* Placement state of one upstream, in addition to the registry entry.  */
@@ -58,12 +59,13 @@
   int64_t reported_at;
   marjoram_engine_cache *cache;
   int64_t capacity; /* KV cache size in tokens; 0 if unknown */
-  int64_t born;     /* start time of the instance that CACHE models */
+  int64_t
+      instance_started_at; /* start time of the instance that CACHE models */
   int64_t paused_until;
   int64_t suspected_until; /* used only if there is no alternative */
   int64_t disconnected_at; /* 0 if its connections never broke */
   int64_t address_conflict_at;
-  int64_t heard_at; /* last response data to this host; 0 if none */
+  int64_t last_received_at; /* last response data to this host; 0 if none */
   int64_t cold_until;
   int64_t cold_sent_at; /* last request sent; limits the rate while cold */
   int connect_failures;
@@ -85,8 +87,8 @@
   struct marjoram_endpoint *endpoint;
   char *service;
   int64_t started_at;
-  int64_t unread;
-  int64_t queued; /* unread tokens queued ahead when it was sent */
+  int64_t prefill_tokens;
+  int64_t queued; /* prefill tokens queued ahead when it was sent */
   int64_t held;
   int64_t answer;
   int64_t expected_ms; /* estimated time to the first event when sent */
@@ -129,7 +131,7 @@
 };
 
 struct marjoram_endpoint *
-marjoram_endpoint_find (marjoram_placement *placement, const char *id);
+marjoram_endpoint_find_or_add (marjoram_placement *placement, const char *id);
 /* The endpoint of UPSTREAM, reset if the upstream has restarted.  */
 struct marjoram_endpoint *
 marjoram_endpoint_of (marjoram_placement *placement,
@@ -163,9 +165,9 @@
                                 const struct marjoram_placed_part *placed);
 void marjoram_reporter_destroy (marjoram_placement *placement,
                                 struct marjoram_reporter *reporter);
-int64_t
-marjoram_endpoint_cached_tokens (const struct marjoram_endpoint *endpoint,
-                                 const struct marjoram_call_metadata *facts);
+int64_t marjoram_endpoint_cached_tokens (
+    const struct marjoram_endpoint *endpoint,
+    const struct marjoram_call_metadata *metadata);
 /* Whether UPSTREAM is usable, in this region and not in an evacuated zone.  */
 bool marjoram_placement_is_candidate (
     marjoram_placement *placement, const struct marjoram_registered *upstream,
@@ -174,7 +176,7 @@
 int64_t marjoram_load_queued_tokens (const struct marjoram_endpoint_load *load,
                                      int priority);
 /* Expected number of response tokens.  */
-double marjoram_answer_tokens (const struct marjoram_call_metadata *facts);
+double marjoram_answer_tokens (const struct marjoram_call_metadata *metadata);
 struct marjoram_service_stats *
 marjoram_placement_service_stats (marjoram_placement *placement,
                                   const char *service);
--- a/src/registrar.c
+++ b/src/registrar.c
@@ -61,22 +61,23 @@
 }
 
 void
-marjoram_registrar_answer (marjoram_registrar *registrar, uint64_t ask,
-                           int status, const char *body)
+marjoram_registrar_respond (marjoram_registrar *registrar, uint64_t request_id,
+                            int status, const char *body)
 {
-  registrar->ops->answer (registrar->context, ask, status, body,
-                          body ? strlen (body) : 0);
+  registrar->ops->respond (registrar->context, request_id, status, body,
+                           body ? strlen (body) : 0);
 }
 
 struct marjoram_pending_request *
 marjoram_registrar_add_pending (marjoram_registrar *registrar, int64_t now,
-                                uint64_t ask, enum marjoram_pending_kind kind,
+                                uint64_t request_id,
+                                enum marjoram_pending_kind kind,
                                 int64_t timeout_ms)
 {
   struct marjoram_pending_request *pending = marjoram_alloc (sizeof *pending);
 
   pending->number = ++registrar->next_number;
-  pending->ask = ask;
+  pending->request_id = request_id;
   pending->kind = kind;
   pending->deadline = now + timeout_ms;
   HASH_ADD (hh, registrar->pending, number, sizeof pending->number, pending);
@@ -98,8 +99,8 @@
 static const char *const state_names[] = { "ready", "leaving", "gone" };
 
 static void
-log_news (const struct marjoram_upstream_heartbeat *news,
-          enum marjoram_registry_result result)
+log_heartbeat (const struct marjoram_upstream_heartbeat *heartbeat,
+               enum marjoram_registry_result result)
 {
   if (result == MARJORAM_REGISTRY_RENEWED)
     return;
@@ -107,11 +108,12 @@
       MARJORAM_EVENT_UPSTREAM,
       "id=%s state=%s taken=%s service=%s address=%s zone=%s "
       "born=%" PRId64 " seq=%" PRId64 " cold_ms=%" PRId64 " ends_ms=%" PRId64,
-      news->id, state_names[news->state],
+      heartbeat->id, state_names[heartbeat->state],
       result == MARJORAM_REGISTRY_STALE ? "no" : "yes",
-      *news->service ? news->service : "-",
-      *news->address ? news->address : "-", *news->zone ? news->zone : "-",
-      news->born, news->sequence, news->cold_ms, news->ends_ms);
+      *heartbeat->service ? heartbeat->service : "-",
+      *heartbeat->address ? heartbeat->address : "-",
+      *heartbeat->zone ? heartbeat->zone : "-", heartbeat->started_at,
+      heartbeat->sequence, heartbeat->cold_ms, heartbeat->ends_ms);
 }
 
 static size_t
@@ -126,41 +128,41 @@
   if (!upstream)
     return 0;
   marjoram_registry_pack (upstream, now, &item);
-  return registrar->ops->tell (registrar->context, &batch);
+  return registrar->ops->broadcast (registrar->context, &batch);
 }
 
 /* Responds to a deregistration only after all connected hosts have
    acknowledged it, so that it takes effect even if this keeper fails.  */
 static void
-confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+confirm_leave (marjoram_registrar *registrar, int64_t now, uint64_t request_id,
                const char *id)
 {
   struct marjoram_pending_request *pending = marjoram_registrar_add_pending (
-      registrar, now, ask, MARJORAM_PENDING_LEAVE, ACK_TIMEOUT_MS);
+      registrar, now, request_id, MARJORAM_PENDING_LEAVE, ACK_TIMEOUT_MS);
 
   pending->pending_acks = broadcast_one (registrar, now, id, pending->number);
   if (pending->pending_acks > 0)
     return;
   marjoram_registrar_remove_pending (registrar, pending);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, "{}");
 }
 
 static bool
-check_news (const marjoram_registrar *registrar,
-            const struct marjoram_upstream_heartbeat *news,
-            struct marjoram_error *err)
+check_heartbeat (const marjoram_registrar *registrar,
+                 const struct marjoram_upstream_heartbeat *heartbeat,
+                 struct marjoram_error *err)
 {
-  if (news->state == MARJORAM_UPSTREAM_GONE
+  if (heartbeat->state == MARJORAM_UPSTREAM_GONE
       || registrar->options.knows_zone (registrar->options.context,
-                                        news->zone))
+                                        heartbeat->zone))
     return true;
   return marjoram_error_set (
       err, MARJORAM_ERROR_INVALID,
-      "unknown zone \"%s\"; use one listed in the settings", news->zone);
+      "unknown zone \"%s\"; use one listed in the settings", heartbeat->zone);
 }
 
 void
-marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t ask,
+marjoram_registrar_reject (marjoram_registrar *registrar, uint64_t request_id,
                            const char *target,
                            const struct marjoram_error *err)
 {
@@ -168,8 +170,8 @@
                         MARJORAM_METRIC_REJECTED_INPUT, 1);
   marjoram_event (MARJORAM_EVENT_REJECT, "call=%.80s status=%d why=\"%s\"",
                   target, MARJORAM_STATUS_BAD_REQUEST, err->message);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_BAD_REQUEST,
-                             err->message);
+  marjoram_registrar_respond (registrar, request_id,
+                              MARJORAM_STATUS_BAD_REQUEST, err->message);
 }
 
 static void
@@ -179,33 +181,34 @@
       = marjoram_registry_find (registrar->options.registry, id);
 
   if (upstream)
-    upstream->direct_heard_at = now;
+    upstream->direct_received_at = now;
 }
 
 static void
-process_news (marjoram_registrar *registrar, int64_t now, uint64_t ask,
-              const struct marjoram_upstream_heartbeat *news)
+process_heartbeat (marjoram_registrar *registrar, int64_t now,
+                   uint64_t request_id,
+                   const struct marjoram_upstream_heartbeat *heartbeat)
 {
-  enum marjoram_registry_result result
-      = marjoram_registry_update (registrar->options.registry, now, news, 0);
+  enum marjoram_registry_result result = marjoram_registry_update (
+      registrar->options.registry, now, heartbeat, 0);
 
-  log_news (news, result);
-  record_contact (registrar, now, news->id);
+  log_heartbeat (heartbeat, result);
+  record_contact (registrar, now, heartbeat->id);
   marjoram_metrics_add (registrar->options.metrics,
                         result == MARJORAM_REGISTRY_STALE
-                            ? MARJORAM_METRIC_NEWS_STALE
-                            : MARJORAM_METRIC_NEWS,
+                            ? MARJORAM_METRIC_UPSTREAM_HEARTBEATS_STALE
+                            : MARJORAM_METRIC_UPSTREAM_HEARTBEATS,
                         1);
-  if (news->state != MARJORAM_UPSTREAM_READY)
+  if (heartbeat->state != MARJORAM_UPSTREAM_READY)
     {
-      confirm_leave (registrar, now, ask, news->id);
+      confirm_leave (registrar, now, request_id, heartbeat->id);
       return;
     }
   if (result == MARJORAM_REGISTRY_CHANGED)
-    broadcast_one (registrar, now, news->id, 0);
+    broadcast_one (registrar, now, heartbeat->id, 0);
   else if (result == MARJORAM_REGISTRY_RENEWED && !registrar->renewals_since)
     registrar->renewals_since = now;
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, "{}");
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, "{}");
 }
 
 void
@@ -216,10 +219,10 @@
 
   for (size_t i = 0; i < batch->items.count; i++)
     {
-      struct marjoram_upstream_heartbeat news;
+      struct marjoram_upstream_heartbeat heartbeat;
 
-      if (marjoram_registry_unpack (&items[i], &news))
-        marjoram_registry_update (registrar->options.registry, now, &news,
+      if (marjoram_registry_unpack (&items[i], &heartbeat))
+        marjoram_registry_update (registrar->options.registry, now, &heartbeat,
                                   items[i].age_ms);
     }
 }
@@ -242,7 +245,7 @@
   batch->items.items = items = marjoram_alloc (count * sizeof *items);
   batch->items.count = 0;
   TAILQ_FOREACH (upstream, all, link)
-  if (upstream->direct_heard_at >= since
+  if (upstream->direct_received_at >= since
       && batch->items.count < MARJORAM_NEWS_MAX)
     marjoram_registry_pack (upstream, now, &items[batch->items.count++]);
 }
@@ -290,8 +293,8 @@
   if (!pending || pending->kind != MARJORAM_PENDING_LEAVE
       || --pending->pending_acks > 0)
     return;
-  marjoram_registrar_answer (registrar, pending->ask, MARJORAM_STATUS_OK,
-                             "{}");
+  marjoram_registrar_respond (registrar, pending->request_id,
+                              MARJORAM_STATUS_OK, "{}");
   marjoram_registrar_remove_pending (registrar, pending);
 }
 
@@ -307,12 +310,12 @@
     return registrar->table;
   marjoram_route_table_destroy (registrar->table);
   registrar->table
-      = marjoram_agreed_routes (state, registrar->options.dialect, NULL);
+      = marjoram_state_files_routes (state, registrar->options.dialect, NULL);
   registrar->table_number = state->number;
   return registrar->table;
 }
 
-static const char *const reach_names[MARJORAM_REACH_COUNT]
+static const char *const scope_names[MARJORAM_SCOPE_COUNT]
     = { "zone", "region", "allowed" };
 
 struct lookup
@@ -326,9 +329,9 @@
 static size_t
 home_route_count (const struct lookup *lookup, const char *region)
 {
-  return lookup->table
-             ? marjoram_route_table_homes (lookup->table, lookup->host, region)
-             : 0;
+  return lookup->table ? marjoram_route_table_count_homes (
+             lookup->table, lookup->host, region)
+                       : 0;
 }
 
 /* A lookup does not identify a route, and routes of one host name may have
@@ -355,7 +358,7 @@
   TAILQ_FOREACH (host, marjoram_host_list_all (registrar->options.hosts), link)
   if (marjoram_host_list_serves (host, now))
     {
-      size_t homes = home_route_count (lookup, host->beat.region);
+      size_t homes = home_route_count (lookup, host->heartbeat.region);
 
       if (homes > lookup->most_homes)
         lookup->most_homes = homes;
@@ -363,13 +366,13 @@
 }
 
 static void
-look_up (marjoram_registrar *registrar, int64_t now, uint64_t ask,
+look_up (marjoram_registrar *registrar, int64_t now, uint64_t request_id,
          const struct marjoram_api_request *request)
 {
   const char *addresses[MARJORAM_LOOKUP_MAX];
   struct lookup lookup
       = { .table = current_table (registrar), .host = request->host };
-  enum marjoram_lookup_reach reach;
+  enum marjoram_lookup_scope scope;
   size_t count;
   marjoram_auto_free char *body = NULL;
 
@@ -379,30 +382,30 @@
   find_most_homes (registrar, now, &lookup);
   count = marjoram_host_list_lookup (
       registrar->options.hosts, now, request->zone, request->region,
-      is_allowed_region, &lookup, addresses, &reach);
+      is_allowed_region, &lookup, addresses, &scope);
   marjoram_metrics_add (registrar->options.metrics, MARJORAM_METRIC_LOOKUPS,
                         1);
-  if (reach != MARJORAM_REACH_ZONE)
+  if (scope != MARJORAM_SCOPE_ZONE)
     marjoram_event (MARJORAM_EVENT_HOST,
                     "lookup=%s zone=%s region=%s reach=%s hosts=%zu "
                     "config=%" PRIu64,
                     request->host, request->zone, request->region,
-                    reach_names[reach], count,
+                    scope_names[scope], count,
                     lookup.table ? lookup.table->version : 0);
   if (count == 0)
     {
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_UNAVAILABLE,
-                                 NULL);
+      marjoram_registrar_respond (registrar, request_id,
+                                  MARJORAM_STATUS_UNAVAILABLE, NULL);
       return;
     }
   body = registrar->options.dialect->ops->write_lookup (
       addresses, count, registrar->options.lookup_valid_s);
-  marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, body);
+  marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK, body);
 }
 
 void
 marjoram_registrar_receive (marjoram_registrar *registrar, int64_t now,
-                            uint64_t ask, const char *method,
+                            uint64_t request_id, const char *method,
                             const char *target, const char *body, size_t size)
 {
   struct marjoram_api_request request;
@@ -411,39 +414,41 @@
   if (!registrar->options.dialect->ops->read_api_request (method, target, body,
                                                           size, &request, &err)
       || (request.kind == MARJORAM_API_HEARTBEAT
-          && !check_news (registrar, &request.news, &err)))
+          && !check_heartbeat (registrar, &request.heartbeat, &err)))
     {
-      marjoram_registrar_reject (registrar, ask, target, &err);
+      marjoram_registrar_reject (registrar, request_id, target, &err);
       return;
     }
   switch (request.kind)
     {
     case MARJORAM_API_LOOKUP:
-      look_up (registrar, now, ask, &request);
+      look_up (registrar, now, request_id, &request);
       break;
     case MARJORAM_API_HEARTBEAT:
-      process_news (registrar, now, ask, &request.news);
+      process_heartbeat (registrar, now, request_id, &request.heartbeat);
       break;
     case MARJORAM_API_CONFIG_SET:
-      marjoram_registrar_set_config (registrar, now, ask, body, size);
+      marjoram_registrar_set_config (registrar, now, request_id, body, size);
       break;
     case MARJORAM_API_CONFIG_GET:
-      registrar->ops->read (registrar->context,
-                            marjoram_registrar_add_pending (
-                                registrar, now, ask, MARJORAM_PENDING_READ,
-                                MARJORAM_RESPONSE_TIMEOUT_MS)
-                                ->number);
+      registrar->ops->read (
+          registrar->context,
+          marjoram_registrar_add_pending (registrar, now, request_id,
+                                          MARJORAM_PENDING_READ,
+                                          MARJORAM_RESPONSE_TIMEOUT_MS)
+              ->number);
       break;
     case MARJORAM_API_EVACUATE:
     case MARJORAM_API_RESTORE:
-      marjoram_registrar_evacuate (registrar, now, ask, &request);
+      marjoram_registrar_evacuate (registrar, now, request_id, &request);
       break;
     case MARJORAM_API_READY:
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_OK, NULL);
+      marjoram_registrar_respond (registrar, request_id, MARJORAM_STATUS_OK,
+                                  NULL);
       break;
     case MARJORAM_API_UNKNOWN:
-      marjoram_registrar_answer (registrar, ask, MARJORAM_STATUS_NOT_FOUND,
-                                 NULL);
+      marjoram_registrar_respond (registrar, request_id,
+                                  MARJORAM_STATUS_NOT_FOUND, NULL);
       break;
     }
 }
@@ -462,11 +467,11 @@
   {
     if (now < pending->deadline)
       continue;
-    marjoram_registrar_answer (registrar, pending->ask,
-                               pending->kind == MARJORAM_PENDING_LEAVE
-                                   ? MARJORAM_STATUS_OK
-                                   : MARJORAM_STATUS_UNAVAILABLE,
-                               "{}");
+    marjoram_registrar_respond (registrar, pending->request_id,
+                                pending->kind == MARJORAM_PENDING_LEAVE
+                                    ? MARJORAM_STATUS_OK
+                                    : MARJORAM_STATUS_UNAVAILABLE,
+                                "{}");
     marjoram_registrar_remove_pending (registrar, pending);
   }
 }
--- a/src/route.c
+++ b/src/route.c
@@ -124,7 +124,7 @@
     return MARJORAM_REASON_NO_CONFIG;
   if (caller < 0 || caller >= marjoram_config_caller_count (router->config))
     return MARJORAM_REASON_UNKNOWN_CALLER;
-  marjoram_retry_budget_earn (&router->budget);
+  marjoram_retry_budget_credit (&router->budget);
   return marjoram_limits_admit (
       router->limits, now, caller,
       marjoram_members_count_hosts (router->members, now), retry_ms);
@@ -134,7 +134,7 @@
 marjoram_router_retry (marjoram_router *router, int64_t now)
 {
   (void)now;
-  return marjoram_retry_budget_spend (&router->budget);
+  return marjoram_retry_budget_take (&router->budget);
 }
 
 static bool
@@ -171,7 +171,7 @@
 
   if (!pick->upstream)
     return false;
-  if (pick->room)
+  if (pick->has_free_slot)
     return true;
   /* A zone offers free slots, not queue positions, except to work that cannot
      run elsewhere.  Overnight work uses only slots that interactive work
@@ -305,7 +305,7 @@
     return !local_fits
            && remote_ms * OVERNIGHT_URGENCY_FACTOR > inputs->slack_ms;
   return !local_fits
-         || (!inputs->pick.room
+         || (!inputs->pick.has_free_slot
              && remote_ms
                     < inputs->pick.total_ms * (1 - REMOTE_REGION_MIN_GAIN));
 }
--- a/test/test_load_collector.c
+++ b/test/test_load_collector.c
@@ -109,7 +109,7 @@
   marjoram_host_list *list;
   marjoram_placement *placements[2];
   struct marjoram_service_rule service;
-  struct marjoram_call_metadata facts;
+  struct marjoram_call_metadata metadata;
   uint64_t attempts;
 };
 
@@ -133,23 +133,24 @@
 pair_create (void)
 {
   struct pair *pair = marjoram_alloc (sizeof *pair);
-  struct marjoram_upstream_heartbeat news = { .id = "u",
-                                              .service = "lm",
-                                              .address = "10.0.0.1:1",
-                                              .zone = "z",
-                                              .state = MARJORAM_UPSTREAM_READY,
-                                              .sequence = 1,
-                                              .ends_ms = -1,
-                                              .slots = 64 };
+  struct marjoram_upstream_heartbeat heartbeat
+      = { .id = "u",
+          .service = "lm",
+          .address = "10.0.0.1:1",
+          .zone = "z",
+          .state = MARJORAM_UPSTREAM_READY,
+          .sequence = 1,
+          .ends_ms = -1,
+          .slots = 64 };
 
   pair->registry = marjoram_registry_create ();
   pair->list = marjoram_host_list_create ();
-  marjoram_registry_update (pair->registry, 1000, &news, 0);
+  marjoram_registry_update (pair->registry, 1000, &heartbeat, 0);
   pair->service.name = (char *)"lm";
   pair->service.has_engine = true;
   pair->service.engine.slots = 64;
   pair->service.engine.kv_capacity = 200000;
-  pair->facts.prompt_tokens = 8000;
+  pair->metadata.prompt_tokens = 8000;
   for (int i = 0; i < 2; i++)
     {
       const struct marjoram_placement_options options
@@ -180,9 +181,9 @@
 query_of (struct pair *pair)
 {
   return (struct marjoram_place_query){ .service = &pair->service,
-                                        .facts = &pair->facts,
+                                        .metadata = &pair->metadata,
                                         .priority = 1,
-                                        .useful_ms = 5000 };
+                                        .time_left_ms = 5000 };
 }
 
 static void
