--- a/src/model_placement.c
+++ b/src/model_placement.c
@@ -266,8 +266,7 @@
 
   load->number = order.number;
   load->until = now + 2 * model->load_ms + LOAD_MARGIN_MS;
-  marjoram_log (MARJORAM_LOG_NOTICE,
-                "ordering engine %s to load model %s, fence %llu",
+  marjoram_log (MARJORAM_LOG_NOTICE, "orders %s to load %s, fence %llu",
                 engine->name, model->name, (unsigned long long)fence);
   placement->ops->give (placement->context, &order);
 }
